--- a/crates/members/examples/measure.rs
+++ b/crates/cluster/examples/measure.rs
@@ -1,13 +1,13 @@
 //! Measures groups in simulated time: how soon a death is known and its duties are held again, who is missed wrongly under loss,
 //! and what a member sends.
 //!
-//!     cargo run --release -p liftrouter-members --example measure
+//!     cargo run --release -p liftrouter-cluster --example measure
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::{Link, World, SECOND};
-use liftrouter_members::News;
+use liftrouter_cluster::News;
 
 fn whole(world: &World) -> bool {
     let there = world.nodes.iter().filter(|n| n.members.is_some()).count();
--- a/crates/members/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -2,9 +2,9 @@
 //! started anew; clocks that run apart.
 #![allow(dead_code)]
 
-use liftrouter_members::lease::Terms;
-use liftrouter_members::swim::Pace;
-use liftrouter_members::{Input, Members, Micros, News, Output, Settings};
+use liftrouter_cluster::lease::Terms;
+use liftrouter_cluster::swim::Pace;
+use liftrouter_cluster::{Input, Members, Micros, News, Output, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -202,7 +202,7 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= liftrouter_members::LARGEST, "{} bytes", bytes.len());
+        assert!(bytes.len() <= liftrouter_cluster::LARGEST, "{} bytes", bytes.len());
         self.nodes[from].sent += 1;
         self.nodes[from].bytes += bytes.len();
         let Some(to) = (to.port() as usize).checked_sub(20_000).filter(|to| *to < self.nodes.len()) else {
--- a/crates/members/tests/exhaustive.rs
+++ b/crates/cluster/tests/exhaustive.rs
@@ -1,7 +1,7 @@
 //! A small configuration in every order there is: three voters, two holders and two duties, whose words are lost, late, doubled
 //! and out of order, and a voter that starts anew. Broken fences are found.
 
-use liftrouter_members::lease::{Claim, Claims, Terms, Voter, Votes};
+use liftrouter_cluster::lease::{Claim, Claims, Terms, Voter, Votes};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::Hash;
--- a/crates/members/tests/group.rs
+++ b/crates/cluster/tests/group.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::{address, Link, World, SECOND, TERMS};
-use liftrouter_members::swim::Seen;
-use liftrouter_members::{Input, News, Output};
+use liftrouter_cluster::swim::Seen;
+use liftrouter_cluster::{Input, News, Output};
 use proptest::prelude::*;
 
 /// A group that has found together and dealt its duties.
@@ -137,7 +137,7 @@
 fn two_of_one_name_are_told_apart_and_only_one_holds() {
     let mut world = group(4, 12, 13);
     // Another process that calls itself as the last does.
-    let settings = liftrouter_members::Settings {
+    let settings = liftrouter_cluster::Settings {
         name: "n3".into(),
         address: address(9),
         join: vec![address(0)],
@@ -146,7 +146,7 @@
         pace: common::PACE,
         terms: TERMS,
     };
-    let mut twin = liftrouter_members::Members::new(settings, 77, 0, 1_900_000_000_000).expect("settings");
+    let mut twin = liftrouter_cluster::Members::new(settings, 77, 0, 1_900_000_000_000).expect("settings");
     let mut out = Vec::new();
     twin.handle(0, Input::Wake, &mut out);
     // What it says to the others comes to the first, which answers; the twin hears of its namesake.
@@ -251,7 +251,7 @@
 
 #[test]
 fn settings_that_cannot_be_used_are_all_named() {
-    let mut settings = liftrouter_members::Settings {
+    let mut settings = liftrouter_cluster::Settings {
         name: String::new(),
         address: "10.0.0.1:7000".parse().expect("an address"),
         join: vec!["192.168.0.1:7000".parse().expect("an address")],
--- a/crates/keeper/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -8,7 +8,7 @@
 //! derives the bounds; `tests/bounds.rs` holds the decision module to them over simulated limiters and keepers.
 //!
 //! ```
-//! use liftrouter_keeper::{Bound, Fault, Quota, Timing};
+//! use liftrouter_counter::{Bound, Fault, Quota, Timing};
 //!
 //! let quota = Quota { rate: 6.5, burst: 30.0, largest: 4.0, width: 3, ceiling: 2.0 };
 //! let bound = Bound::of(&quota, &Timing::default(), Fault::Silent { seconds: 60.0 });
--- a/crates/keeper/tests/bounds.rs
+++ b/crates/counter/tests/bounds.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{plan, Change, Demand, Result, World};
-use liftrouter_keeper::{Bound, Fault, Pace, Quota, Timing};
+use liftrouter_counter::{Bound, Fault, Pace, Quota, Timing};
 
 /// Seconds of a run, and of a fault that lasts; both end well after the fault.
 const RUN: f64 = 50.0;
@@ -391,7 +391,7 @@
     let open = 6.0;
     for seed in 0..runs() {
         let width = 2 + (seed as usize) % 3;
-        let capped = liftrouter_decision::Plan { open, ..plan(26.0, 52.0, 0.0) };
+        let capped = liftrouter_decision::Plan { concurrency_limit: open, ..plan(26.0, 52.0, 0.0) };
         for (views, judged) in [(1, false), (2, false), (2, true)] {
             let demand = greedy(26.0, seed);
             let w = World::new(capped.clone(), width, seed, 0.0, demand, RUN).answers_in(0.8);
--- a/crates/keeper/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)]
 
 use fastrand::Rng;
+use liftrouter_counter::{Answer, Call, Order, Pace, Pacer, Panel, Store, Terms, Wake};
 use liftrouter_decision::*;
-use liftrouter_keeper::{Answer, Call, Order, Pace, Pacer, Panel, Store, Terms, Wake};
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
 
@@ -180,10 +180,10 @@
     Plan {
         name: "plan".into(),
         rate,
-        depth: burst,
-        hard_rate: rate * ceiling,
-        hard_burst: burst * ceiling,
-        price: 1.0,
+        burst: burst,
+        hard_limit_rate: rate * ceiling,
+        hard_limit_burst: burst * ceiling,
+        weight_multiplier: 1.0,
         ..Plan::default()
     }
 }
@@ -191,18 +191,24 @@
 impl World {
     /// Limiters before a server that takes everything, with clocks up to so many seconds apart.
     pub fn new(plan: Plan, limiters: usize, seed: u64, skew: f64, demand: Demand, until: f64) -> World {
-        let class = Class { name: "read".into(), aim: 1.0, deadline: 4.0, worth: 1.0, ..Class::default() };
-        let (rate, burst) = (plan.rate, plan.depth);
-        let (hard_rate, hard_burst) = (plan.hard_rate, plan.hard_burst);
+        let class = Class {
+            name: "read".into(),
+            latency_objective: 1.0,
+            deadline: 4.0,
+            priority_weight: 1.0,
+            ..Class::default()
+        };
+        let (rate, burst) = (plan.rate, plan.burst);
+        let (hard_rate, hard_burst) = (plan.hard_limit_rate, plan.hard_limit_burst);
         let settings = Settings {
-            peers: limiters as u32,
-            tick: 0.002,
+            instance_count: limiters as u32,
+            tick_interval: 0.002,
             classes: vec![class],
             plans: vec![plan],
-            max_units: 1.0,
+            max_request_units: 1.0,
             has_counter: true,
             counter_timeout: TIMEOUT,
-            start_capacity: 1.0,
+            slow_start_capacity: 1.0,
             max_attempts: 2,
             ..Settings::default()
         };
@@ -303,7 +309,7 @@
             self.later(panel.next(keeper) - skew, What::Judge(n, life, keeper));
         }
         self.gateways[n].panel = Some(panel);
-        self.feed(n, Event::KeeperView { share });
+        self.feed(n, Event::CounterValidity { usable_quota_ratio: share });
     }
 
     fn judge_due(&mut self, n: usize, life: u32, keeper: usize) {
@@ -339,7 +345,7 @@
             if let Some(pacer) = g.pacer.as_mut().filter(|_| belief.post != before) {
                 pacer.returned(now);
             }
-            self.feed(n, Event::KeeperView { share: belief.view.share });
+            self.feed(n, Event::CounterValidity { usable_quota_ratio: belief.view.share });
         }
     }
 
@@ -348,27 +354,27 @@
         let (now, g) = (self.now, &mut self.gateways[n]);
         if let (Some(panel), Some(_)) = (&mut g.panel, g.wake.look(now)) {
             if let Some(belief) = panel.woke(now + g.skew) {
-                self.feed(n, Event::KeeperView { share: belief.view.share });
+                self.feed(n, Event::CounterValidity { usable_quota_ratio: belief.view.share });
             }
         }
     }
 
     fn fresh(&self, n: usize, life: u32) -> Limiter {
-        let settings = Settings { me: n as u32, ..self.settings.clone() };
+        let settings = Settings { instance_index: n as u32, ..self.settings.clone() };
         Limiter::new(settings, self.seed ^ (n as u64) << 8 ^ u64::from(life), self.now)
     }
 
     fn start(&mut self, n: usize) {
-        let entry = |k: usize| ServerEntry {
+        let entry = |k: usize| EndpointEntry {
             id: format!("10.0.0.{k}:1").into(),
             zone: "".into(),
             kind: "std".into(),
             cell: 0,
-            state: ServerState::InService,
+            state: EndpointState::InService,
             weight: 1.0,
             started: None,
         };
-        self.feed(n, Event::ServerList((1..=4).map(entry).collect()));
+        self.feed(n, Event::EndpointList((1..=4).map(entry).collect()));
     }
 
     fn later(&mut self, at: f64, what: What) {
@@ -421,9 +427,9 @@
                 let event = Event::AttemptEnded {
                     id,
                     attempt: 0,
-                    finished: true,
+                    request_finished: true,
                     outcome: Outcome::Ok,
-                    took: ANSWER,
+                    elapsed: ANSWER,
                     units: None,
                     report: LoadReport::default(),
                 };
@@ -433,7 +439,7 @@
                 self.call(limiter, life, (name, add, lives), at, term)
             }
             What::Told { limiter, life, name, outcome, total, took } => {
-                self.told(limiter, life, Event::Counted { name, outcome, total, took });
+                self.told(limiter, life, Event::CounterReply { key: name, outcome, total, elapsed: took });
             }
             What::Judge(n, life, keeper) => self.judge_due(n, life, keeper),
             What::Judged { limiter, life, keeper, call, answer } => {
@@ -457,9 +463,9 @@
             plan: "plan".into(),
             class: "read".into(),
             units: 1.0,
-            width: self.gateways.len() as u32,
-            repeat: false,
-            due: self.now + self.gateways[n].skew + 4.0,
+            reachable_instances: self.gateways.len() as u32,
+            is_retry: false,
+            deadline: self.now + self.gateways[n].skew + 4.0,
         };
         self.feed(n, Event::Request(request));
     }
@@ -475,7 +481,7 @@
             return match event {
                 Event::Timer { token } => self.later(at, What::Timer(n, life, token)),
                 Event::AttemptEnded { id, .. } => self.later(at, What::End(n, life, id)),
-                Event::Counted { name, outcome, total, took } => {
+                Event::CounterReply { key: name, outcome, total, elapsed: took } => {
                     let took = took + at - self.now;
                     self.later(at, What::Told { limiter: n, life, name, outcome, total, took });
                 }
@@ -500,12 +506,12 @@
                     self.result.at_once = self.result.at_once.max(self.out);
                     self.later(self.now + self.answer, What::End(n, life, id));
                 }
-                Action::Refuse { .. } => self.result.refused += 1.0,
+                Action::Reject { .. } => self.result.refused += 1.0,
                 Action::SetTimer { at, token } => self.later(at - clock, What::Timer(n, life, token)),
-                Action::Count { name, add, lives } => {
+                Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
                     let (at, g) = (self.now, &mut self.gateways[n]);
                     if g.pacer.as_mut().is_some_and(|p| !p.take(at)) {
-                        let outcome = Outcome::Full;
+                        let outcome = Outcome::Overloaded;
                         self.later(at, What::Told { limiter: n, life, name, outcome, total: 0.0, took: 0.0 });
                         continue;
                     }
--- a/crates/keeper/tests/judge.rs
+++ b/crates/counter/tests/judge.rs
@@ -1,6 +1,6 @@
 //! The judge before a keeper that is written out here: every kind of evidence, and what it does not take for one.
 
-use liftrouter_keeper::{Answer, Evidence, Judge, Terms, View};
+use liftrouter_counter::{Answer, Evidence, Judge, Terms, View};
 use std::collections::HashMap;
 
 /// A keeper's numbers.
--- a/crates/keeper/tests/panel.rs
+++ b/crates/counter/tests/panel.rs
@@ -1,6 +1,6 @@
 //! Panels of several limiters before keepers that are written out here: who is believed, when, and in what words.
 
-use liftrouter_keeper::{Answer, Belief, Evidence, Fault, Order, Panel, Terms};
+use liftrouter_counter::{Answer, Belief, Evidence, Fault, Order, Panel, Terms};
 use std::collections::HashMap;
 
 /// A keeper's numbers; none while it is silent.
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,10 +1,10 @@
 //! The command line.
 
+use crate::cluster;
 use crate::config::read_setup;
-use crate::group;
+use crate::discovery::file;
+use crate::discovery::upstream::Upstream;
 use crate::log;
-use crate::membership::file;
-use crate::membership::upstream::Upstream;
 use crate::operator::{self, Operator};
 use crate::relay::{self, RelaySetup};
 use crate::serve::run;
@@ -128,7 +128,7 @@
             }
             Command::Inventory(InventoryCommand::Diff { old, new, json }) => file::compare(&old, &new, json),
             Command::Relay(args) => relay::run(args.setup()).map(|()| 0),
-            Command::Members { at, json } => group::show(&at, json).map(|text| {
+            Command::Members { at, json } => cluster::show(&at, json).map(|text| {
                 print!("{text}");
                 0
             }),
--- a/crates/daemon/src/group/ask.rs
+++ b/crates/daemon/src/cluster/ask.rs
@@ -2,7 +2,7 @@
 
 use super::Group;
 use crate::log;
-use liftrouter_members::{Row, Standing};
+use liftrouter_cluster::{Row, Standing};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 use std::io::Read;
--- a/crates/daemon/src/group/mod.rs
+++ b/crates/daemon/src/cluster/mod.rs
@@ -8,10 +8,10 @@
 
 pub use ask::{listen, show};
 
-use crate::inbox::Inbox;
+use crate::events::EventQueue;
 use crate::log;
-use crate::peers::servers::Servers;
-use liftrouter_members::{Input, Members, Micros, News, Output, Problem, Settings, LARGEST};
+use crate::upstream::servers::Servers;
+use liftrouter_cluster::{Input, Members, Micros, News, Output, Problem, Settings, LARGEST};
 use std::cell::RefCell;
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     began: Instant,
     /// Somebody changed when it has to wake.
     changed: Notify,
-    inbox: Rc<Inbox>,
+    events: Rc<EventQueue>,
     via: Option<SocketAddr>,
 }
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// It cannot be opened, or settings that cannot be used.
-    pub async fn open(setup: &Setup, inbox: Rc<Inbox>) -> Result<Rc<Group>, String> {
+    pub async fn open(setup: &Setup, events: Rc<EventQueue>) -> Result<Rc<Group>, String> {
         let mut settings = setup.settings.clone();
         let at = if setup.via.is_some() { ([127, 0, 0, 1], 0).into() } else { settings.address };
         let socket = UdpSocket::bind(at).await;
@@ -90,7 +90,7 @@
             socket,
             began: Instant::now(),
             changed: Notify::new(),
-            inbox,
+            events,
             via: setup.via,
         }))
     }
@@ -155,7 +155,7 @@
             ),
             News::Held(slot, token) => log("members", format_args!("holds slot {slot} by {token}")),
             News::Lost(slot, token) => log("members", format_args!("holds slot {slot} by {token} no more")),
-            News::Told { what, .. } => probing::told(&self.inbox, &what),
+            News::Told { what, .. } => probing::told(&self.events, &what),
             News::Foreign { from, what } => {
                 log("members", format_args!("a datagram from {from} is none of a member's: {what}"));
             }
--- a/crates/daemon/src/group/probing.rs
+++ b/crates/daemon/src/cluster/probing.rs
@@ -1,9 +1,9 @@
 //! The first duty: each node is probed by the limiter that holds its slot, and by no other; what it learns comes to all.
 
 use super::Group;
-use crate::inbox::{Inbox, News};
-use crate::peers::servers::Servers;
-use liftrouter_decision::{LoadReport, Outcome, ServerId};
+use crate::events::{EventQueue, HostEvent};
+use crate::upstream::servers::Servers;
+use liftrouter_decision::{EndpointId, LoadReport, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -29,10 +29,10 @@
 }
 
 impl Told {
-    fn of(server: &ServerId, outcome: Outcome, report: &LoadReport) -> Told {
+    fn of(server: &EndpointId, outcome: Outcome, report: &LoadReport) -> Told {
         let outcome = match outcome {
             Outcome::Ok => Said::Answered,
-            Outcome::Full => Said::TurnedAway,
+            Outcome::Overloaded => Said::TurnedAway,
             Outcome::Timeout => Said::Silent,
             _ => Said::Unreached,
         };
@@ -40,34 +40,41 @@
         Told {
             server: server.to_string(),
             outcome,
-            load: [r.in_flight, r.queue, r.busy, r.latency, r.rate, r.errors],
+            load: [r.in_flight, r.queued, r.utilization, r.latency, r.request_rate, r.error_rate],
         }
     }
 
-    fn news(self) -> News {
+    fn news(self) -> HostEvent {
         let outcome = match self.outcome {
             Said::Answered => Outcome::Ok,
-            Said::TurnedAway => Outcome::Full,
+            Said::TurnedAway => Outcome::Overloaded,
             Said::Silent => Outcome::Timeout,
             Said::Unreached => Outcome::ConnectFailed,
         };
         // What is no number says nothing.
         let [in_flight, queue, busy, latency, rate, errors] = self.load.map(|v| v.filter(|v| v.is_finite()));
-        let report = LoadReport { in_flight, queue, busy, latency, rate, errors };
-        News::Probed(self.server.as_str().into(), outcome, report)
+        let report = LoadReport {
+            in_flight,
+            queued: queue,
+            utilization: busy,
+            latency,
+            request_rate: rate,
+            error_rate: errors,
+        };
+        HostEvent::HealthChecked(self.server.as_str().into(), outcome, report)
     }
 }
 
 /// Takes in what the holder of a node tells; what cannot be read says nothing.
-pub fn told(inbox: &Inbox, what: &[u8]) {
+pub fn told(events: &EventQueue, what: &[u8]) {
     if let Ok(told) = postcard::from_bytes::<Told>(what) {
-        inbox.push(told.news());
+        events.push(told.news());
     }
 }
 
 /// Looks again and again which nodes are held and due.
 pub async fn run(group: Rc<Group>, servers: Rc<Servers>, every: Duration) {
-    let mut last: HashMap<ServerId, Instant> = HashMap::new();
+    let mut last: HashMap<EndpointId, Instant> = HashMap::new();
     let look = (every / 20).max(Duration::from_millis(5));
     loop {
         sleep_until(Instant::now() + look).await;
@@ -81,7 +88,7 @@
             last.insert(id.clone(), Instant::now());
             let (group, servers) = (group.clone(), servers.clone());
             spawn_local(async move {
-                let (outcome, report) = servers.probe(group.inbox.clone(), id.clone()).await;
+                let (outcome, report) = servers.probe(group.events.clone(), id.clone()).await;
                 group.tell(&id, outcome, &report);
             });
         }
@@ -90,14 +97,14 @@
 
 impl Group {
     /// The slot of a node, where it is held here now.
-    fn slot_held(&self, id: &ServerId) -> Option<u16> {
+    fn slot_held(&self, id: &EndpointId) -> Option<u16> {
         let members = self.members.borrow();
         let slot = members.slot_of(id);
         members.holds(self.now(), slot).map(|_| slot)
     }
 
     /// Tells all others, if the node is still held here.
-    fn tell(&self, id: &ServerId, outcome: Outcome, report: &LoadReport) {
+    fn tell(&self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
         let Ok(what) = postcard::to_stdvec(&Told::of(id, outcome, report)) else { return };
         let mut out = Vec::new();
         {
--- a/crates/daemon/src/peers/keeper.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -1,8 +1,8 @@
 //! One keeper of counts (the counter service): adds to a named number and reads it, on a few kept connections.
 
-use super::link::{Failure, Link};
 use crate::count::Count;
 use crate::log;
+use crate::upstream::connection::{Failure, Link};
 use http_body_util::Full;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
@@ -25,7 +25,7 @@
 /// Names are forgotten after this many milliseconds at the latest, and live one at least.
 const LIFE_MS: (f64, f64) = (1.0, 60_000.0);
 
-pub struct Keeper {
+pub struct CounterClient {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
     idle: RefCell<Vec<Link>>,
@@ -45,11 +45,11 @@
     _out: Count<Rc<Cell<usize>>>,
 }
 
-impl Keeper {
+impl CounterClient {
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
         let limit = settings.counter_timeout;
         let limit = if limit > 0.0 && limit.is_finite() { limit } else { TIMEOUT_DEFAULT };
-        Keeper {
+        CounterClient {
             address: Cell::new(address),
             timeout: Duration::from_secs_f64(limit),
             idle: RefCell::default(),
@@ -85,7 +85,7 @@
             return Err(Outcome::ConnectFailed);
         }
         if self.out.get() >= CALLS {
-            return Err(Outcome::Full);
+            return Err(Outcome::Overloaded);
         }
         Ok(Place { address, _out: Count::new(self.out.clone()) })
     }
@@ -167,7 +167,7 @@
                     if status != StatusCode::SERVICE_UNAVAILABLE {
                         self.complain(format_args!("{status} for {target}"));
                     }
-                    (Outcome::Full, 0.0, Some(link))
+                    (Outcome::Overloaded, 0.0, Some(link))
                 }
             };
         }
--- a/crates/daemon/src/peers/keepers.rs
+++ b/crates/daemon/src/counter/pool.rs
@@ -1,19 +1,19 @@
 //! The keepers of counts that this limiter knows: customers' calls go to the one that is believed, at the pace that
 //! it takes, and an answer from one that no longer is belongs to nobody.
 
-use super::keeper::Keeper;
-use crate::inbox::{Inbox, News};
+use super::client::CounterClient;
+use crate::events::{EventQueue, HostEvent};
 use crate::log;
+use liftrouter_counter::{Pacer, Post};
 use liftrouter_decision::Outcome;
-use liftrouter_keeper::{Pacer, Post};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-pub struct Keepers {
-    all: Vec<Rc<Keeper>>,
+pub struct CounterPool {
+    all: Vec<Rc<CounterClient>>,
     post: Cell<Post>,
     pacer: RefCell<Option<Pacer>>,
     began: Instant,
@@ -25,10 +25,10 @@
     strays: Cell<u64>,
 }
 
-impl Keepers {
+impl CounterPool {
     /// The first is called until another is believed.
-    pub fn new(all: Vec<Keeper>, pacer: Option<Pacer>) -> Rc<Self> {
-        Rc::new(Keepers {
+    pub fn new(all: Vec<CounterClient>, pacer: Option<Pacer>) -> Rc<Self> {
+        Rc::new(CounterPool {
             all: all.into_iter().map(Rc::new).collect(),
             post: Cell::default(),
             pacer: RefCell::new(pacer),
@@ -40,7 +40,7 @@
         })
     }
 
-    pub fn all(&self) -> &[Rc<Keeper>] {
+    pub fn all(&self) -> &[Rc<CounterClient>] {
         &self.all
     }
 
@@ -90,7 +90,7 @@
     /// Starts a customer's call, or gives why none can be made; nothing is added then.
     pub fn call(
         self: &Rc<Self>,
-        inbox: &Rc<Inbox>,
+        events: &Rc<EventQueue>,
         name: String,
         add: f64,
         lives: f64,
@@ -100,16 +100,16 @@
         let place = keeper.place()?;
         let now = self.now();
         if self.pacer.borrow_mut().as_mut().is_some_and(|pacer| !pacer.take(now)) {
-            return Err(Outcome::Full);
+            return Err(Outcome::Overloaded);
         }
-        let (keepers, keeper, inbox) = (self.clone(), keeper.clone(), inbox.clone());
+        let (keepers, keeper, events) = (self.clone(), keeper.clone(), events.clone());
         tokio::task::spawn_local(async move {
             let began = Instant::now();
             let (outcome, total, link) = keeper.run(place.address, &name, add, lives).await;
             let address = place.address;
             drop(place);
             let outcome = keepers.belongs(post, outcome);
-            inbox.push(News::Counted { name, outcome, total, took: began.elapsed() });
+            events.push(HostEvent::CounterReply { key: name, outcome, total, elapsed: began.elapsed() });
             keeper.keep(address, link).await;
         });
         Ok(())
--- a/crates/daemon/src/peers/judging.rs
+++ b/crates/daemon/src/counter/validation.rs
@@ -1,11 +1,11 @@
 //! Runs the panel of judges: makes their calls, one at a time to each keeper, and tells which keeper is believed and
 //! what to make of its totals.
 
-use super::keepers::Keepers;
-use crate::inbox::{Inbox, News};
+use super::pool::CounterPool;
+use crate::events::{EventQueue, HostEvent};
 use crate::log;
+use liftrouter_counter::{Answer, Belief, Order, Panel, Quota, Terms, Timing};
 use liftrouter_decision::{Outcome, Settings};
-use liftrouter_keeper::{Answer, Belief, Order, Panel, Quota, Terms, Timing};
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
@@ -32,12 +32,12 @@
 
 /// Judges the keepers for one limiter.
 pub struct Judging {
-    keepers: Rc<Keepers>,
-    inbox: Rc<Inbox>,
+    keepers: Rc<CounterPool>,
+    events: Rc<EventQueue>,
     clock: Clock,
     terms: Terms,
     panel: RefCell<Panel>,
-    /// What the panel knows of [`Keepers::changes`].
+    /// What the panel knows of [`CounterPool::changes`].
     known: Cell<(u32, u32)>,
     /// Plans whose error is stated with each change.
     quotas: Vec<(String, Quota)>,
@@ -47,8 +47,8 @@
 impl Judging {
     /// `seed` differs from limiter to limiter.
     pub fn new(
-        keepers: Rc<Keepers>,
-        inbox: Rc<Inbox>,
+        keepers: Rc<CounterPool>,
+        events: Rc<EventQueue>,
         (terms, order): (Terms, Order),
         settings: &Settings,
         seed: u64,
@@ -56,20 +56,20 @@
         let clock = Clock::start();
         // A process that starts anew with the same seed must not take the canary before it for its own.
         let tag = seed ^ (clock.1 * 1e6) as u64;
-        let limiters = settings.peers.max(1);
-        let terms = Terms { me: settings.me, limiters, tag, ..terms };
+        let limiters = settings.instance_count.max(1);
+        let terms = Terms { me: settings.instance_index, limiters, tag, ..terms };
         // Drawn evenly from the seed: limiters that judge alike act at different moments.
         let part = (seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as f64 / f64::from(1 << 24);
         let panel = Panel::new(&terms, order, keepers.all().len(), part, clock.now());
         let plans = settings.plans.iter().filter(|p| p.rate > 0.0);
         let quotas = plans.map(|p| {
-            let (rate, burst, ceiling) = (p.rate, p.depth, p.hard_rate / p.rate);
-            let quota = Quota { rate, burst, largest: settings.max_units, width: limiters, ceiling };
+            let (rate, burst, ceiling) = (p.rate, p.burst, p.hard_limit_rate / p.rate);
+            let quota = Quota { rate, burst, largest: settings.max_request_units, width: limiters, ceiling };
             (p.name.clone(), quota)
         });
         Rc::new(Judging {
             keepers,
-            inbox,
+            events,
             clock,
             terms,
             panel: RefCell::new(panel),
@@ -140,6 +140,9 @@
             let _ = write!(line, "{before} {name} +{:.0} -{:.0}", bound.over, bound.under);
         }
         log("keeper", line);
-        self.inbox.push(News::KeeperView { share: belief.view.share, wakes: self.known.get().0 });
+        self.events.push(HostEvent::CounterValidity {
+            usable_quota_ratio: belief.view.share,
+            pauses: self.known.get().0,
+        });
     }
 }
--- a/crates/daemon/src/membership/discovery.rs
+++ b/crates/daemon/src/discovery/calls.rs
@@ -3,7 +3,7 @@
 use super::host_list::{HeldList, PushedList};
 use super::session::Session;
 use super::upstream::Upstream;
-use crate::inbox::Inbox;
+use crate::events::EventQueue;
 use liftrouter_catalog::{RegionIndex, RegionLists, Subscription};
 use liftrouter_discovery::Delivery;
 use std::cell::RefCell;
@@ -88,18 +88,18 @@
 
     /// Follows the list for as long as the program runs. It begins with a whole list, whatever was known before:
     /// with nothing changed since that, a watch would say nothing for seconds.
-    pub async fn watch(self: Rc<Self>, inbox: Rc<Inbox>, seed: u64) {
+    pub async fn watch(self: Rc<Self>, events: Rc<EventQueue>, seed: u64) {
         let lists = Rc::new(RefCell::new(RegionLists::new(self.sources.len())));
         let mut sessions = JoinSet::new();
         for (region, Source { upstream, heard }) in self.sources.iter().enumerate() {
             let (upstream, heard) = (upstream.clone(), heard.clone());
             match upstream.delivery() {
                 Delivery::Pushed => {
-                    let list = PushedList::new(inbox.clone());
+                    let list = PushedList::new(events.clone());
                     sessions.spawn_local(Session::new(upstream, list, heard, seed).run());
                 }
                 Delivery::OnRequest | Delivery::Relayed => {
-                    let list = HeldList::new(inbox.clone(), upstream.clone(), lists.clone(), region);
+                    let list = HeldList::new(events.clone(), upstream.clone(), lists.clone(), region);
                     sessions.spawn_local(Session::new(upstream, list, heard, seed).run());
                 }
             }
--- a/crates/daemon/src/membership/file.rs
+++ b/crates/daemon/src/discovery/file.rs
@@ -4,9 +4,9 @@
 //! system, every `poll`; where the system tells of changes, it comes sooner. Reading and parsing run on a thread
 //! beside the runtime's, so that no request waits for a large file.
 
-use crate::inbox::{Inbox, Listed, News};
+use crate::events::{EventQueue, HostEvent, ListedEndpoint};
 use crate::log;
-use liftrouter_decision::{ServerEntry, ServerState};
+use liftrouter_decision::{EndpointEntry, EndpointState};
 use liftrouter_inventory::{
     diff, read, Decision, Fault, Form, Inventory, Node, Policy, Refusal, State, Watch, MOST_BYTES,
 };
@@ -94,7 +94,7 @@
 
 impl Source {
     /// Follows the file for as long as the program runs; `heard` is told when the first version is adopted.
-    pub async fn follow(self, inbox: Rc<Inbox>, heard: Rc<Notify>) {
+    pub async fn follow(self, events: Rc<EventQueue>, heard: Rc<Notify>) {
         let wake: Arc<Notify> = Arc::default();
         let _watcher = changes(&self.path, wake.clone())
             .map_err(|e| log("inventory", format_args!("changes are not told, only looked for: {e}")));
@@ -140,7 +140,11 @@
                         format_args!("version {version} adopted, {} nodes", inventory.nodes.len()),
                     );
                     let servers = inventory.nodes.iter().map(listed).collect();
-                    inbox.push(News::Listed { whole: true, servers, version: Some(version) });
+                    events.push(HostEvent::EndpointUpdate {
+                        whole: true,
+                        endpoints: servers,
+                        version: Some(version),
+                    });
                     heard.notify_one();
                 }
             }
@@ -159,13 +163,13 @@
 }
 
 /// A node as the host knows it. One of weight 0 gets nothing new, as one that drains.
-fn listed(node: &Node) -> Listed {
+fn listed(node: &Node) -> ListedEndpoint {
     let state = match node.state {
-        State::InService if node.weight > 0.0 => ServerState::InService,
-        State::InService | State::Terminating => ServerState::Draining,
-        State::Terminated => ServerState::Gone,
+        State::InService if node.weight > 0.0 => EndpointState::InService,
+        State::InService | State::Terminating => EndpointState::Draining,
+        State::Terminated => EndpointState::Removed,
     };
-    let entry = ServerEntry {
+    let entry = EndpointEntry {
         id: node.id.as_str().into(),
         zone: node.zone.as_str().into(),
         kind: node.kind.as_str().into(),
@@ -174,7 +178,7 @@
         weight: node.weight,
         started: node.started_ms.map(|at| at as f64 / 1e3),
     };
-    Listed { entry, address: node.address }
+    ListedEndpoint { entry, address: node.address }
 }
 
 /// Reads a file named on the command line.
--- a/crates/daemon/src/membership/host_list.rs
+++ b/crates/daemon/src/discovery/host_list.rs
@@ -3,9 +3,9 @@
 use super::sink::{ListSink, SignOfLife};
 use super::update::{listed, listed_as, log_unreadable};
 use super::upstream::Upstream;
-use crate::inbox::{Inbox, Listed, News};
+use crate::events::{EventQueue, HostEvent, ListedEndpoint};
 use liftrouter_catalog::{ApplyError, Change, RegionIndex, RegionLists, Update};
-use liftrouter_decision::ServerState;
+use liftrouter_decision::EndpointState;
 use liftrouter_discovery::Delivery;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 
 /// Where lists are pushed: every message goes on as it comes, and nothing is kept.
 pub struct PushedList {
-    inbox: Rc<Inbox>,
+    events: Rc<EventQueue>,
     revision: Option<u64>,
 }
 
 impl PushedList {
-    pub fn new(inbox: Rc<Inbox>) -> Self {
-        PushedList { inbox, revision: None }
+    pub fn new(events: Rc<EventQueue>) -> Self {
+        PushedList { events, revision: None }
     }
 }
 
@@ -31,7 +31,7 @@
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
         log_unreadable(&update);
         self.revision = Some(update.generation);
-        push(&self.inbox, update.reset, update.instances.iter().map(listed).collect());
+        push(&self.events, update.reset, update.instances.iter().map(listed).collect());
         Ok(())
     }
 
@@ -42,7 +42,7 @@
     fn heartbeat(&mut self, _: SignOfLife) {}
 
     fn disconnected(&mut self) {
-        self.inbox.push(News::ListBroken);
+        self.events.push(HostEvent::WatchFailed);
     }
 
     fn expired(&mut self, _: Duration) {}
@@ -53,7 +53,7 @@
 /// Where lists come from a shared service or from relays: the list is kept, so that it can expire and be compared
 /// with digests. The lists of several regions are one to the host.
 pub struct HeldList {
-    inbox: Rc<Inbox>,
+    events: Rc<EventQueue>,
     upstream: Rc<Upstream>,
     /// The lists of all regions, and which of them this one is.
     lists: Rc<RefCell<RegionLists>>,
@@ -63,16 +63,16 @@
 
 impl HeldList {
     pub fn new(
-        inbox: Rc<Inbox>,
+        events: Rc<EventQueue>,
         upstream: Rc<Upstream>,
         lists: Rc<RefCell<RegionLists>>,
         region: RegionIndex,
     ) -> Self {
-        HeldList { inbox, upstream, lists, region, expired: false }
+        HeldList { events, upstream, lists, region, expired: false }
     }
 
     fn push_whole(&self) {
-        push(&self.inbox, true, self.lists.borrow().instances().map(listed).collect());
+        push(&self.events, true, self.lists.borrow().instances().map(listed).collect());
     }
 
     /// Nothing new may be sent by a list that expired, unless it comes by relays: see [`ListSink::expired`].
@@ -96,7 +96,7 @@
         if whole {
             self.push_whole();
         } else if !changes.is_empty() {
-            push(&self.inbox, false, changes.iter().map(changed).collect());
+            push(&self.events, false, changes.iter().map(changed).collect());
         }
         Ok(())
     }
@@ -108,7 +108,7 @@
     fn heartbeat(&mut self, _: SignOfLife) {}
 
     fn disconnected(&mut self) {
-        self.inbox.push(News::ListBroken);
+        self.events.push(HostEvent::WatchFailed);
     }
 
     /// What comes on request from discovery itself counts as told after a time, whether or not it came: all servers
@@ -121,28 +121,28 @@
             return;
         }
         self.upstream.log(format_args!("the list of servers is out of date, last confirmed {age:.1} s ago"));
-        let draining = |instance| listed_as(instance, ServerState::Draining);
-        self.inbox.push(News::ListExpired);
-        push(&self.inbox, false, self.lists.borrow().instances_of(self.region).map(draining).collect());
+        let draining = |instance| listed_as(instance, EndpointState::Draining);
+        self.events.push(HostEvent::EndpointListExpired);
+        push(&self.events, false, self.lists.borrow().instances_of(self.region).map(draining).collect());
     }
 
     fn confirmed(&mut self) {
         self.upstream.log("the list of servers is confirmed again");
         self.expired = false;
         if self.stops_when_expired() {
-            self.inbox.push(News::ListConfirmed);
+            self.events.push(HostEvent::EndpointListConfirmed);
             self.push_whole();
         }
     }
 }
 
-fn changed(change: &Change) -> Listed {
+fn changed(change: &Change) -> ListedEndpoint {
     match change {
         Change::Listed(instance) => listed(instance),
-        Change::Removed(instance) => listed_as(instance, ServerState::Gone),
+        Change::Removed(instance) => listed_as(instance, EndpointState::Removed),
     }
 }
 
-fn push(inbox: &Inbox, whole: bool, servers: Vec<Listed>) {
-    inbox.push(News::Listed { whole, servers, version: None });
+fn push(events: &EventQueue, whole: bool, servers: Vec<ListedEndpoint>) {
+    events.push(HostEvent::EndpointUpdate { whole, endpoints: servers, version: None });
 }
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Membership: where the list of servers comes from.
 
-pub mod discovery;
+pub mod calls;
 pub mod file;
 mod host_list;
 mod messages;
--- a/crates/daemon/src/membership/update.rs
+++ b/crates/daemon/src/discovery/update.rs
@@ -1,32 +1,32 @@
 //! Servers of discovery as the rest of the limiter knows them.
 
-use crate::inbox::Listed;
+use crate::events::ListedEndpoint;
 use crate::log;
 use liftrouter_catalog::{Instance, Lifecycle, Update};
-use liftrouter_decision::{ServerEntry, ServerState};
+use liftrouter_decision::{EndpointEntry, EndpointState};
 
 /// A server of the list.
-pub fn listed(instance: &Instance) -> Listed {
-    Listed { entry: entry(instance), address: instance.host_port }
+pub fn listed(instance: &Instance) -> ListedEndpoint {
+    ListedEndpoint { entry: entry(instance), address: instance.host_port }
 }
 
 /// The same in another state.
-pub fn listed_as(instance: &Instance, state: ServerState) -> Listed {
+pub fn listed_as(instance: &Instance, state: EndpointState) -> ListedEndpoint {
     let mut listed = listed(instance);
     listed.entry.state = state;
     listed
 }
 
-fn entry(instance: &Instance) -> ServerEntry {
-    ServerEntry {
+fn entry(instance: &Instance) -> EndpointEntry {
+    EndpointEntry {
         id: instance.instance_id.as_str().into(),
         zone: instance.zone.as_str().into(),
         kind: instance.machine_type.as_str().into(),
         cell: instance.cell,
         state: match instance.lifecycle {
-            Lifecycle::InService => ServerState::InService,
-            Lifecycle::Terminating => ServerState::Draining,
-            Lifecycle::Terminated => ServerState::Gone,
+            Lifecycle::InService => EndpointState::InService,
+            Lifecycle::Terminating => EndpointState::Draining,
+            Lifecycle::Terminated => EndpointState::Removed,
         },
         weight: instance.weight.unwrap_or(1.0),
         started: instance.started_at_ms.filter(|at| *at > 0.0).map(|at| at / 1000.0),
--- a/crates/daemon/src/membership/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! One call to discovery, and the watch that it becomes.
 
 use super::messages::{Sign, Splitter};
-use crate::peers::link::Link;
+use crate::upstream::connection::Link;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HOST, RETRY_AFTER};
--- a/crates/daemon/src/inbox.rs
+++ b/crates/daemon/src/events.rs
@@ -1,7 +1,7 @@
-//! The inbox: what every part of the daemon reports, and the host alone takes out.
+//! The event queue: every part of the daemon reports what happened here, and only the host takes events out.
 //!
-//! Fronts, peers and membership hold a handle and push; none of them knows the host. News are taken in the
-//! order in which they were pushed. Everything runs on one thread, so there is no lock.
+//! Listeners, upstream connections and discovery hold a handle and push; none of them knows the host. Events are
+//! taken in the order in which they were pushed. Everything runs on one thread, so there is no lock.
 
 use crate::count::Count;
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Response};
 use liftrouter_authz::Denial;
-use liftrouter_decision::{LoadReport, Outcome, RequestId, ServerEntry, ServerId};
+use liftrouter_decision::{EndpointEntry, EndpointId, LoadReport, Outcome, RequestId};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -23,41 +23,41 @@
     /// A server's answer, whole.
     Served(Response<Bytes>),
     /// Trying again is harmless.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// No promise of its effect.
     Failed,
     /// The client may make its call itself; until it knows, it may still leave.
-    Permitted(Gone),
+    Authorized(DisconnectGuard),
     /// An authoriser denied it; nothing was sent.
     Denied(Denial),
 }
 
-/// A request that is declined before anything was done about it.
-pub struct Refusal {
+/// A rejected request: it was not forwarded, so a retry is harmless.
+pub struct Rejection {
     /// The client should stay away for so many seconds; 0: no advice.
     pub retry_after: f64,
-    pub cause: RefusalCause,
+    pub cause: RejectionCause,
 }
 
-/// What operators and clients are told of the cause of a refusal.
+/// The cause of a rejection, as operators and clients are told.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum RefusalCause {
+pub enum RejectionCause {
     /// The quota, or the servers that have enough to do.
     Limit,
     /// The list of servers could not be confirmed in time.
-    ListExpired,
+    EndpointListExpired,
 }
 
-impl Refusal {
+impl Rejection {
     pub fn limit(retry_after: f64) -> Self {
-        Refusal { retry_after, cause: RefusalCause::Limit }
+        Rejection { retry_after, cause: RejectionCause::Limit }
     }
 
     /// One line for people.
     pub fn text(&self) -> &'static str {
         match self.cause {
-            RefusalCause::Limit => "refused: trying again is harmless\n",
-            RefusalCause::ListExpired => {
+            RejectionCause::Limit => "refused: trying again is harmless\n",
+            RejectionCause::EndpointListExpired => {
                 "refused: the list of servers is out of date; trying again is harmless\n"
             }
         }
@@ -65,29 +65,29 @@
 }
 
 /// What becomes of a request that is granted.
-pub enum Call {
+pub enum RequestKind {
     /// It goes on to a server.
-    Forward(Rc<Forward>),
+    Forward(Rc<ForwardedRequest>),
     /// Its client makes it, and counts as having it out until then at most.
-    Permission {
+    Authorization {
         /// When the call is over at the latest.
-        due: Instant,
+        deadline: Instant,
     },
 }
 
 /// A client's request as the module needs it, and what goes on to a server.
-pub struct Arrival {
+pub struct IncomingRequest {
     pub customer: String,
     pub plan: String,
     pub class: String,
     pub units: f64,
-    pub width: u32,
-    pub repeat: bool,
-    pub call: Call,
+    pub reachable_instances: u32,
+    pub is_retry: bool,
+    pub kind: RequestKind,
 }
 
 /// The part of a client's request that goes on unchanged.
-pub struct Forward {
+pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
     pub correlation_id: HeaderValue,
@@ -96,98 +96,102 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     /// When the answer has to be written.
-    pub due: Instant,
+    pub deadline: Instant,
 }
 
 /// How an attempt ended, as the module is told, and the answer where it was served.
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub units: Option<f64>,
     pub report: LoadReport,
     pub answer: Option<Response<Bytes>>,
 }
 
-impl Ended {
+impl AttemptResult {
     pub fn of(outcome: Outcome) -> Self {
-        Ended { outcome, units: None, report: LoadReport::default(), answer: None }
+        AttemptResult { outcome, units: None, report: LoadReport::default(), answer: None }
     }
 }
 
 /// A server in the list: what the module is to know, and where it listens.
 #[derive(Clone)]
-pub struct Listed {
-    pub entry: ServerEntry,
+pub struct ListedEndpoint {
+    pub entry: EndpointEntry,
     pub address: SocketAddr,
 }
 
 /// What happened.
-pub enum News {
+pub enum HostEvent {
     /// A request whose last byte has come, and where its one answer goes.
-    Asked(RequestId, Arrival, Reply),
+    RequestReceived(RequestId, IncomingRequest, ReplySender),
     /// The client closed its connection before it was answered.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// An attempt has ended, and with it its use of a connection unless that can serve again.
-    AttemptEnded(RequestId, u32, Ended),
+    AttemptEnded(RequestId, u32, AttemptResult),
     /// The answer to a call of the keeper.
-    Counted { name: String, outcome: Outcome, total: f64, took: Duration },
+    CounterReply { key: String, outcome: Outcome, total: f64, elapsed: Duration },
     /// What to make of the keeper's totals from now on: the share of each quota that they may divide, by who knew
     /// that the process had stood still so often.
-    KeeperView { share: f64, wakes: u32 },
+    CounterValidity { usable_quota_ratio: f64, pauses: u32 },
     /// The answer to a probe.
-    Probed(ServerId, Outcome, LoadReport),
+    HealthChecked(EndpointId, Outcome, LoadReport),
     /// The whole list of servers, or what changed in it; with the number of its version, if requests are to
     /// carry that on.
-    Listed { whole: bool, servers: Vec<Listed>, version: Option<u64> },
+    EndpointUpdate { whole: bool, endpoints: Vec<ListedEndpoint>, version: Option<u64> },
     /// The list can no longer be followed.
-    ListBroken,
+    WatchFailed,
     /// The list could not be confirmed in time; nothing new is sent by it until it is.
-    ListExpired,
+    EndpointListExpired,
     /// The list has been confirmed again.
-    ListConfirmed,
+    EndpointListConfirmed,
     /// The process ends before long: what is not answered yet is answered now.
-    LastCall,
+    ShutdownDeadline,
 }
 
 /// Where the one answer to a request goes; until then it is owed.
-pub struct Reply {
+pub struct ReplySender {
     sender: oneshot::Sender<Answer>,
     _owed: Count<Rc<Cell<usize>>>,
 }
 
-impl Reply {
+impl ReplySender {
     /// Its client may have gone.
     pub fn send(self, answer: Answer) {
         let _ = self.sender.send(answer);
     }
 }
 
-/// The inbox, shared by handle.
+/// The queue, shared by handle.
 #[derive(Default)]
-pub struct Inbox {
-    news: RefCell<VecDeque<News>>,
-    some: Notify,
+pub struct EventQueue {
+    events: RefCell<VecDeque<HostEvent>>,
+    pushed: Notify,
     last_id: Cell<RequestId>,
     open: Cell<usize>,
     owed: Rc<Cell<usize>>,
 }
 
-impl Inbox {
+impl EventQueue {
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    pub fn push(&self, news: News) {
-        self.news.borrow_mut().push_back(news);
-        self.some.notify_one();
+    pub fn push(&self, event: HostEvent) {
+        self.events.borrow_mut().push_back(event);
+        self.pushed.notify_one();
     }
 
     /// Puts a request in; the receiver gets its one answer.
-    pub fn ask(&self, arrival: Arrival) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn submit(&self, request: IncomingRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         self.open.set(self.open.get() + 1);
         let (sender, answer) = oneshot::channel();
-        self.push(News::Asked(id, arrival, Reply { sender, _owed: Count::new(self.owed.clone()) }));
+        self.push(HostEvent::RequestReceived(
+            id,
+            request,
+            ReplySender { sender, _owed: Count::new(self.owed.clone()) },
+        ));
         (id, answer)
     }
 
@@ -202,37 +206,37 @@
     }
 
     /// For the host: a request is over.
-    pub fn closed(&self) {
+    pub fn request_closed(&self) {
         self.open.set(self.open.get().saturating_sub(1));
     }
 
-    /// For the host: the oldest news.
-    pub fn take(&self) -> Option<News> {
-        self.news.borrow_mut().pop_front()
+    /// For the host: the oldest event.
+    pub fn pop(&self) -> Option<HostEvent> {
+        self.events.borrow_mut().pop_front()
     }
 
-    /// For the host: waits until there may be news.
-    pub async fn some(&self) {
-        self.some.notified().await;
+    /// For the host: waits until there may be an event.
+    pub async fn wait(&self) {
+        self.pushed.notified().await;
     }
 }
 
-/// Reports that a client left, unless it got its answer.
-pub struct Gone {
-    pub inbox: Rc<Inbox>,
+/// Reports that a client disconnected when it is dropped, unless the client got its answer.
+pub struct DisconnectGuard {
+    pub events: Rc<EventQueue>,
     pub id: Option<RequestId>,
 }
 
-impl Gone {
-    pub fn answered(mut self) {
+impl DisconnectGuard {
+    pub fn disarm(mut self) {
         self.id = None;
     }
 }
 
-impl Drop for Gone {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            self.inbox.push(News::ClientGone(id));
+            self.events.push(HostEvent::ClientDisconnected(id));
         }
     }
 }
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -6,17 +6,18 @@
 
 mod clock;
 
-use crate::inbox::{
-    Answer, Arrival, Call, Ended, Forward, Gone, Inbox, Listed, News, Refusal, RefusalCause, Reply,
+use crate::counter::pool::CounterPool;
+use crate::events::{
+    Answer, AttemptResult, DisconnectGuard, EventQueue, ForwardedRequest, HostEvent, IncomingRequest,
+    ListedEndpoint, Rejection, RejectionCause, ReplySender, RequestKind,
 };
 use crate::log;
-use crate::peers::keepers::Keepers;
-use crate::peers::servers::{Attempt, Limits, Place, Servers};
+use crate::upstream::servers::{Attempt, Limits, Place, Servers};
 use clock::Clock;
+use liftrouter_counter::Wake;
 use liftrouter_decision::{
-    Action, Event, Limiter, Outcome, Request, RequestId, ServerId, ServerState, Settings,
+    Action, EndpointId, EndpointState, Event, Limiter, Outcome, Request, RequestId, Settings,
 };
-use liftrouter_keeper::Wake;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 use std::pin::pin;
@@ -28,11 +29,11 @@
 /// What the host calls to carry actions out.
 pub struct Peers {
     pub servers: Rc<Servers>,
-    pub keepers: Rc<Keepers>,
+    pub keepers: Rc<CounterPool>,
 }
 
 struct Running {
-    server: ServerId,
+    server: EndpointId,
     began: Instant,
     attempt: Rc<Attempt>,
     task: JoinHandle<()>,
@@ -41,8 +42,8 @@
 /// A request in the table: until it is answered and none of its attempts is out.
 struct Open {
     /// None for a permission.
-    forward: Option<Rc<Forward>>,
-    reply: Option<Reply>,
+    forward: Option<Rc<ForwardedRequest>>,
+    reply: Option<ReplySender>,
     attempts: u32,
     /// The attempt that is out, with its number; there is one at most.
     running: Option<(u32, Running)>,
@@ -51,7 +52,7 @@
 pub struct Host {
     limiter: Limiter,
     clock: Clock,
-    inbox: Rc<Inbox>,
+    events: Rc<EventQueue>,
     peers: Peers,
     /// What followed from actions and is still to be told.
     queue: VecDeque<Event>,
@@ -59,7 +60,7 @@
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
     max_attempts: u32,
     /// Why a request is refused now, as far as it is known outside the module.
-    refusal_cause: RefusalCause,
+    refusal_cause: RejectionCause,
     /// The version of the list that servers are chosen from.
     version: Option<u64>,
     /// Watches for pauses of the process, where somebody judges what is old after one.
@@ -71,19 +72,19 @@
 const LONGEST_PAUSE: f64 = 1.0;
 
 impl Host {
-    pub fn new(settings: Settings, seed: u64, inbox: Rc<Inbox>, peers: Peers) -> Self {
+    pub fn new(settings: Settings, seed: u64, events: Rc<EventQueue>, peers: Peers) -> Self {
         let clock = Clock::start();
         let now = clock.seconds(Instant::now());
         Host {
             max_attempts: settings.max_attempts.max(1),
             limiter: Limiter::new(settings, seed, now),
             clock,
-            inbox,
+            events,
             peers,
             queue: VecDeque::new(),
             requests: HashMap::new(),
             timers: BinaryHeap::new(),
-            refusal_cause: RefusalCause::Limit,
+            refusal_cause: RejectionCause::Limit,
             version: None,
             wake: None,
         }
@@ -99,11 +100,11 @@
     pub async fn run(mut self) {
         // With no timer set there is nothing to wake up for but news.
         let far = || Instant::now() + Duration::from_secs(3_600);
-        let inbox = self.inbox.clone();
+        let events = self.events.clone();
         let mut sleep = pin!(sleep_until(far()));
         loop {
             self.look();
-            while let Some(news) = inbox.take() {
+            while let Some(news) = events.pop() {
                 self.hear(news);
             }
             let mut next = self.timers.peek().map_or_else(far, |Reverse((at, _))| *at);
@@ -114,7 +115,7 @@
                 sleep.as_mut().reset(next);
             }
             tokio::select! {
-                () = inbox.some() => {}
+                () = events.wait() => {}
                 () = sleep.as_mut() => {
                     self.look();
                     self.timers_due();
@@ -129,46 +130,50 @@
         if let Some(gap) = self.wake.as_mut().and_then(|wake| wake.look(now)) {
             log("liftrouter", format_args!("stood still for {gap:.1} s: shares of quotas are learned anew"));
             self.peers.keepers.woke();
-            self.feed(Event::KeeperView { share: 0.0 });
+            self.feed(Event::CounterValidity { usable_quota_ratio: 0.0 });
         }
     }
 
     // ----- what happened -----
 
-    fn hear(&mut self, news: News) {
+    fn hear(&mut self, news: HostEvent) {
         match news {
-            News::Asked(id, arrival, reply) => self.asked(id, arrival, reply),
-            News::ClientGone(id) => {
+            HostEvent::RequestReceived(id, arrival, reply) => self.asked(id, arrival, reply),
+            HostEvent::ClientDisconnected(id) => {
                 // A permission is answered and forgotten at once; what its client never got of it the module
                 // still has to hear of.
                 if self.requests.get_mut(&id).is_none_or(|open| open.reply.take().is_some()) {
-                    self.feed(Event::ClientGone { id });
+                    self.feed(Event::ClientDisconnected { id });
                     self.drop_unwritten(id);
                     self.work_off();
                     self.forget(id);
                 }
             }
-            News::AttemptEnded(id, n, ended) => {
+            HostEvent::AttemptEnded(id, n, ended) => {
                 self.attempt_ended(id, n, ended);
                 self.work_off();
             }
-            News::Counted { name, outcome, total, took } => {
-                self.feed(Event::Counted { name, outcome, total, took: took.as_secs_f64() });
+            HostEvent::CounterReply { key: name, outcome, total, elapsed: took } => {
+                self.feed(Event::CounterReply { key: name, outcome, total, elapsed: took.as_secs_f64() });
             }
             // What was judged before a pause was known holds no longer.
-            News::KeeperView { share, wakes } if wakes == self.peers.keepers.changes().0 => {
-                self.feed(Event::KeeperView { share });
+            HostEvent::CounterValidity { usable_quota_ratio: share, pauses: wakes }
+                if wakes == self.peers.keepers.changes().0 =>
+            {
+                self.feed(Event::CounterValidity { usable_quota_ratio: share });
             }
-            News::KeeperView { .. } => {}
-            News::Probed(server, outcome, report) => self.feed(Event::Probed { server, outcome, report }),
-            News::Listed { whole, servers, version } => {
+            HostEvent::CounterValidity { .. } => {}
+            HostEvent::HealthChecked(server, outcome, report) => {
+                self.feed(Event::HealthChecked { endpoint: server, outcome, report })
+            }
+            HostEvent::EndpointUpdate { whole, endpoints: servers, version } => {
                 self.version = version;
                 self.listed(whole, servers);
             }
-            News::ListBroken => self.feed(Event::DiscoveryBroken),
-            News::ListExpired => self.refusal_cause = RefusalCause::ListExpired,
-            News::ListConfirmed => self.refusal_cause = RefusalCause::Limit,
-            News::LastCall => self.last_call(),
+            HostEvent::WatchFailed => self.feed(Event::DiscoveryFailed),
+            HostEvent::EndpointListExpired => self.refusal_cause = RejectionCause::EndpointListExpired,
+            HostEvent::EndpointListConfirmed => self.refusal_cause = RejectionCause::Limit,
+            HostEvent::ShutdownDeadline => self.last_call(),
         }
     }
 
@@ -178,17 +183,17 @@
             self.requests.iter().filter(|(_, o)| o.reply.is_some()).map(|(id, _)| *id).collect();
         for id in owed {
             self.answer(id, Answer::Failed);
-            self.feed(Event::ClientGone { id });
+            self.feed(Event::ClientDisconnected { id });
         }
     }
 
-    fn asked(&mut self, id: RequestId, arrival: Arrival, reply: Reply) {
-        let (forward, due) = match arrival.call {
-            Call::Forward(forward) => {
-                let due = forward.due;
+    fn asked(&mut self, id: RequestId, arrival: IncomingRequest, reply: ReplySender) {
+        let (forward, due) = match arrival.kind {
+            RequestKind::Forward(forward) => {
+                let due = forward.deadline;
                 (Some(forward), due)
             }
-            Call::Permission { due } => (None, due),
+            RequestKind::Authorization { deadline: due } => (None, due),
         };
         let permission = forward.is_none();
         self.requests.insert(id, Open { forward, reply: Some(reply), attempts: 0, running: None });
@@ -198,14 +203,14 @@
             plan: arrival.plan.into(),
             class: arrival.class.into(),
             units: arrival.units,
-            width: arrival.width,
-            repeat: arrival.repeat,
-            due: self.clock.seconds(due),
+            reachable_instances: arrival.reachable_instances,
+            is_retry: arrival.is_retry,
+            deadline: self.clock.seconds(due),
         };
-        self.feed(if permission { Event::Permission(request) } else { Event::Request(request) });
+        self.feed(if permission { Event::Authorization(request) } else { Event::Request(request) });
     }
 
-    fn attempt_ended(&mut self, id: RequestId, n: u32, ended: Ended) {
+    fn attempt_ended(&mut self, id: RequestId, n: u32, ended: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some((_, running)) = open.running.take_if(|(number, _)| *number == n) else { return };
         if let Some(answer) = ended.answer {
@@ -216,29 +221,29 @@
         self.queue.push_back(Event::AttemptEnded {
             id,
             attempt: n,
-            finished: open.reply.is_none(),
+            request_finished: open.reply.is_none(),
             outcome: ended.outcome,
-            took: running.began.elapsed().as_secs_f64(),
+            elapsed: running.began.elapsed().as_secs_f64(),
             units: ended.units,
             report: ended.report,
         });
         self.forget(id);
     }
 
-    /// News of the servers. What is out at one that is gone is ended, and what has not been written yet to
+    /// HostEvent of the servers. What is out at one that is gone is ended, and what has not been written yet to
     /// one that drains: neither may get anything new.
-    fn listed(&mut self, whole: bool, listed: Vec<Listed>) {
-        let (mut gone, mut draining): (HashSet<ServerId>, HashSet<ServerId>) = Default::default();
-        for Listed { entry, address } in &listed {
+    fn listed(&mut self, whole: bool, listed: Vec<ListedEndpoint>) {
+        let (mut gone, mut draining): (HashSet<EndpointId>, HashSet<EndpointId>) = Default::default();
+        for ListedEndpoint { entry, address } in &listed {
             self.peers.servers.place(&entry.id, Place { address: *address, state: entry.state });
             match entry.state {
-                ServerState::InService => {}
-                ServerState::Draining => drop(draining.insert(entry.id.clone())),
-                ServerState::Gone => drop(gone.insert(entry.id.clone())),
+                EndpointState::InService => {}
+                EndpointState::Draining => drop(draining.insert(entry.id.clone())),
+                EndpointState::Removed => drop(gone.insert(entry.id.clone())),
             }
         }
         if whole {
-            let named: HashSet<&ServerId> = listed.iter().map(|l| &l.entry.id).collect();
+            let named: HashSet<&EndpointId> = listed.iter().map(|l| &l.entry.id).collect();
             for id in self.peers.servers.ids().into_iter().filter(|id| !named.contains(id)) {
                 self.peers.servers.remove(&id);
                 gone.insert(id);
@@ -246,7 +251,7 @@
         }
         // The module first: what it hears of the ended attempts it answers with others.
         let entries = listed.into_iter().map(|l| l.entry).collect();
-        self.feed(if whole { Event::ServerList(entries) } else { Event::ServerChanges(entries) });
+        self.feed(if whole { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) });
         let running = self.requests.iter().filter_map(|(id, open)| Some((*id, open.running.as_ref()?)));
         let lost = running.filter(|(_, (_, r))| {
             // One that has ended is past helping: its outcome comes next, and may be that it ran.
@@ -259,7 +264,11 @@
             if !self.stop(id, n) {
                 continue;
             }
-            self.attempt_ended(id, n, Ended::of(if sent { Outcome::Reset } else { Outcome::ConnectFailed }));
+            self.attempt_ended(
+                id,
+                n,
+                AttemptResult::of(if sent { Outcome::Reset } else { Outcome::ConnectFailed }),
+            );
             self.work_off();
         }
     }
@@ -298,39 +307,46 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, begin_by } => self.send(id, server, timeout, begin_by),
-            Action::Permit { id } => {
-                let gone = Gone { inbox: self.inbox.clone(), id: Some(id) };
-                self.answer(id, Answer::Permitted(gone));
+            Action::Send { id, endpoint: server, timeout, send_deadline: begin_by } => {
+                self.send(id, server, timeout, begin_by)
+            }
+            Action::Authorize { id } => {
+                let gone = DisconnectGuard { events: self.events.clone(), id: Some(id) };
+                self.answer(id, Answer::Authorized(gone));
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 let cause = self.refusal_cause;
-                self.answer(id, Answer::Refused(Refusal { retry_after, cause }));
+                self.answer(id, Answer::Rejected(Rejection { retry_after, cause }));
             }
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 if self.stop(id, attempt) {
-                    self.attempt_ended(id, attempt, Ended::of(Outcome::Cancelled));
+                    self.attempt_ended(id, attempt, AttemptResult::of(Outcome::Cancelled));
                 }
             }
-            Action::Count { name, add, lives } => {
-                if let Err(outcome) = self.peers.keepers.call(&self.inbox, name.clone(), add, lives) {
-                    self.queue.push_back(Event::Counted { name, outcome, total: 0.0, took: 0.0 });
+            Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
+                if let Err(outcome) = self.peers.keepers.call(&self.events, name.clone(), add, lives) {
+                    self.queue.push_back(Event::CounterReply {
+                        key: name,
+                        outcome,
+                        total: 0.0,
+                        elapsed: 0.0,
+                    });
                 }
             }
             Action::SetTimer { at, token } => self.timers.push(Reverse((self.clock.instant(at), token))),
-            Action::Probe { server } => {
-                let probe = self.peers.servers.clone().probe(self.inbox.clone(), server);
+            Action::CheckHealth { endpoint: server } => {
+                let probe = self.peers.servers.clone().probe(self.events.clone(), server);
                 tokio::task::spawn_local(async move {
                     let _ = probe.await;
                 });
             }
             // The list is followed all the time.
-            Action::FollowServers => {}
+            Action::WatchEndpoints => {}
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, timeout: f64, begin_by: f64) {
+    fn send(&mut self, id: RequestId, server: EndpointId, timeout: f64, begin_by: f64) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let n = open.attempts;
         open.attempts += 1;
@@ -340,16 +356,16 @@
             open.reply.is_some() && open.running.is_none() && n < self.max_attempts && timeout >= 0.0
         });
         let Some(forward) = forward else {
-            return self.queue.push_back(Event::never_sent(id, n));
+            return self.queue.push_back(Event::attempt_not_sent(id, n));
         };
-        let (began, due) = (Instant::now(), forward.due);
+        let (began, due) = (Instant::now(), forward.deadline);
         let limit =
             if timeout > 0.0 { began + Duration::from_secs_f64(timeout.min(1e6)) } else { due }.min(due);
         // Address and version are those that the choice was made by: a later list must not mix in.
         let address = self.peers.servers.address(&server);
         let attempt = Rc::new(Attempt::new(address, self.version));
         let task = tokio::task::spawn_local(self.peers.servers.clone().attempt(
-            self.inbox.clone(),
+            self.events.clone(),
             (id, n),
             server.clone(),
             (forward, attempt.clone()),
@@ -359,7 +375,7 @@
     }
 
     /// Ends an attempt at once: its connection is closed when this returns, and its task runs no further. False
-    /// where it has ended already: how, the inbox tells.
+    /// where it has ended already: how, the events tells.
     fn stop(&self, id: RequestId, n: u32) -> bool {
         let running = self.requests.get(&id).and_then(|open| open.running.as_ref());
         let Some((_, running)) = running.filter(|(number, r)| *number == n && !r.attempt.is_reported())
@@ -385,7 +401,7 @@
         let running = self.requests.get(&id).and_then(|open| open.running.as_ref());
         if let Some(n) = running.filter(|(_, r)| !r.attempt.sent()).map(|(n, _)| *n) {
             if self.stop(id, n) {
-                self.attempt_ended(id, n, Ended::of(Outcome::Moot));
+                self.attempt_ended(id, n, AttemptResult::of(Outcome::NotSent));
             }
         }
     }
@@ -393,7 +409,7 @@
     fn forget(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| open.reply.is_none() && open.running.is_none()) {
             self.requests.remove(&id);
-            self.inbox.closed();
+            self.events.request_closed();
         }
     }
 }
--- a/crates/daemon/src/fronts/fields.rs
+++ b/crates/daemon/src/listeners/fields.rs
@@ -31,12 +31,12 @@
 
 /// Units above none and up to what one request can count.
 pub fn units(units: f64, settings: &Settings) -> Option<f64> {
-    let most = if settings.max_units > 0.0 { settings.max_units } else { f64::MAX };
+    let most = if settings.max_request_units > 0.0 { settings.max_request_units } else { f64::MAX };
     Some(units).filter(|u| *u > 0.0 && *u <= most)
 }
 
 /// The number of limiters in the customer's set.
 pub fn width(width: f64, settings: &Settings) -> Option<u32> {
-    let peers = settings.peers.max(1);
+    let peers = settings.instance_count.max(1);
     Some(width).filter(|w| w.fract() == 0.0 && (1.0..=f64::from(peers)).contains(w)).map(|w| w as u32)
 }
--- a/crates/daemon/src/fronts/gate.rs
+++ b/crates/daemon/src/listeners/gate.rs
@@ -2,10 +2,10 @@
 //!
 //! It holds what all fronts share: the ids that are open, the bytes that requests take, how many are in work.
 
+use crate::authoriser::{Authorisers, Finding, WhenUnsure};
 use crate::count::Count;
-use crate::inbox::{Answer, Arrival, Call, Gone, Inbox, Refusal};
-use crate::peers::authoriser::{Authorisers, Finding, WhenUnsure};
-use crate::peers::servers::OWN;
+use crate::events::{Answer, DisconnectGuard, EventQueue, IncomingRequest, Rejection, RequestKind};
+use crate::upstream::servers::OWN;
 use hyper::header::HeaderValue;
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
 use liftrouter_authz::{Changes, Verdict};
@@ -20,7 +20,7 @@
 
 pub struct Gate {
     pub settings: Settings,
-    inbox: Rc<Inbox>,
+    events: Rc<EventQueue>,
     /// Bytes that requests' bodies may take in all, and take now.
     body_budget: usize,
     bodies: Cell<usize>,
@@ -45,13 +45,13 @@
 
 impl Gate {
     pub fn new(
-        inbox: Rc<Inbox>,
+        events: Rc<EventQueue>,
         settings: Settings,
         body_budget: usize,
         authorisers: Authorisers,
     ) -> Rc<Self> {
         let (bodies, open_ids, waiting, end) = Default::default();
-        Rc::new(Gate { settings, inbox, body_budget, bodies, open_ids, authorisers, waiting, end })
+        Rc::new(Gate { settings, events, body_budget, bodies, open_ids, authorisers, waiting, end })
     }
 
     /// From now on nothing is taken that cannot be answered before that time.
@@ -75,11 +75,11 @@
 
     /// Whether no more may be in work.
     pub fn is_full(&self) -> bool {
-        let most = match self.settings.max_open {
+        let most = match self.settings.max_in_flight {
             0 => MOST_OPEN,
             most => MOST_OPEN.min(most as usize),
         };
-        self.inbox.open_requests() + self.waiting.get() >= most
+        self.events.open_requests() + self.waiting.get() >= most
     }
 
     /// Marks an id as open; `None` where it is already, over whatever front. Ids are new with every request:
@@ -93,7 +93,7 @@
     ///
     /// With the answer come the changes that an authoriser wants to the headers; to a request that is
     /// forwarded they have been made.
-    pub async fn ask(&self, mut arrival: Arrival, question: &Question<'_>) -> (Answer, Changes) {
+    pub async fn ask(&self, mut arrival: IncomingRequest, question: &Question<'_>) -> (Answer, Changes) {
         let mut changes = Changes::default();
         if let Some(authoriser) = self.authorisers.of(&arrival.class) {
             let asked = {
@@ -107,13 +107,13 @@
                 Finding::Unsure(WhenUnsure::Pass, _) => {}
                 // Nothing has run: trying again is harmless.
                 Finding::Unsure(WhenUnsure::Refuse, wait) => {
-                    return (Answer::Refused(Refusal::limit(wait)), changes)
+                    return (Answer::Rejected(Rejection::limit(wait)), changes)
                 }
             }
             if Instant::now() >= question.due {
-                return (Answer::Refused(Refusal::limit(0.0)), changes);
+                return (Answer::Rejected(Rejection::limit(0.0)), changes);
             }
-            if let Call::Forward(forward) = &mut arrival.call {
+            if let RequestKind::Forward(forward) = &mut arrival.kind {
                 // Nobody else has it yet.
                 if let Some(forward) = Rc::get_mut(forward) {
                     changes.apply(&mut forward.headers, &OWN);
@@ -123,11 +123,11 @@
         (self.put(arrival).await, changes)
     }
 
-    async fn put(&self, arrival: Arrival) -> Answer {
-        let (id, answer) = self.inbox.ask(arrival);
-        let gone = Gone { inbox: self.inbox.clone(), id: Some(id) };
+    async fn put(&self, arrival: IncomingRequest) -> Answer {
+        let (id, answer) = self.events.submit(arrival);
+        let gone = DisconnectGuard { events: self.events.clone(), id: Some(id) };
         let answer = answer.await;
-        gone.answered();
+        gone.disarm();
         answer.unwrap_or(Answer::Failed)
     }
 }
--- a/crates/daemon/src/fronts/grpc/call.rs
+++ b/crates/daemon/src/listeners/grpc/call.rs
@@ -3,12 +3,12 @@
 use super::connection::Call as Open;
 use super::reply::{self, Reply};
 use super::Grpc;
-use crate::fronts::fields;
-use crate::fronts::gate::{Held, Question};
-use crate::inbox::{Answer, Arrival, Call, Gone};
+use crate::authoriser::VIA;
+use crate::events::{Answer, DisconnectGuard, IncomingRequest, RequestKind};
+use crate::listeners::fields;
+use crate::listeners::gate::{Held, Question};
 use crate::number::read_number;
-use crate::peers::authoriser::VIA;
-use crate::peers::servers::OWN;
+use crate::upstream::servers::OWN;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, RETRY_AFTER};
@@ -21,7 +21,7 @@
     denied, frame, permitted, read_timeout, reflect, Asked, Code, Denial, Message, Splitter, Status, Unary,
     WrongFrame, AUTHORIZATION, HEALTH, REFLECTION, SERVICES,
 };
-use liftrouter_decision::{Effect, Settings};
+use liftrouter_decision::{Idempotency, Settings};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -162,7 +162,7 @@
     let id = id.and_then(|id| HeaderValue::from_str(id).ok());
     let id = id.ok_or_else(|| invalid("the id is malformed"))?;
     let key = asked.key.as_ref().filter(|key| key.len() <= fields::MAX_ID);
-    if class.effect == Effect::Keyed && key.is_none() {
+    if class.idempotency == Idempotency::IdempotencyKey && key.is_none() {
         return Err(invalid("the key is missing or malformed"));
     }
     let time_left = match &asked.time_left {
@@ -183,7 +183,7 @@
     headers: &HeaderMap,
     body: Incoming,
     came: Instant,
-) -> Result<(CheckResponse, Option<Gone>), Status> {
+) -> Result<(CheckResponse, Option<DisconnectGuard>), Status> {
     let due = deadline(headers, came)?;
     let (question, _held) = read::<CheckRequest>(grpc, headers, body, due).await?;
     let via = headers.get_all(VIA).iter().filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(','));
@@ -206,21 +206,21 @@
     }
     let ending = || Status::new(Code::Unavailable, "the limiter is ending");
     let due = grpc.gate.due(due).ok_or_else(ending)?;
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         customer,
         plan: asked.plan,
         class: asked.class,
         units,
-        width,
-        repeat: asked.repeat,
-        call: Call::Permission { due: now + held },
+        reachable_instances: width,
+        is_retry: asked.repeat,
+        kind: RequestKind::Authorization { deadline: now + held },
     };
     let make = || question.clone();
     let put = Question { make: &make, via: &via, due };
     match timeout_at(due, grpc.gate.ask(arrival, &put)).await {
-        Ok((Answer::Permitted(gone), changes)) => Ok((permitted(&changes, &OWN, asked.add), Some(gone))),
+        Ok((Answer::Authorized(gone), changes)) => Ok((permitted(&changes, &OWN, asked.add), Some(gone))),
         Ok((Answer::Denied(denial), _)) => Ok((denied(denial), None)),
-        Ok((Answer::Refused(refusal), _)) => Ok((refused(refusal.retry_after), None)),
+        Ok((Answer::Rejected(refusal), _)) => Ok((refused(refusal.retry_after), None)),
         // A permission is never served; the module fails none either.
         Ok((Answer::Failed | Answer::Served(_), _)) => Err(Status::new(Code::Unavailable, "no decision")),
         Err(_) => Err(too_late()),
--- a/crates/daemon/src/fronts/grpc/reply.rs
+++ b/crates/daemon/src/listeners/grpc/reply.rs
@@ -1,7 +1,7 @@
 //! Answers: one message and its status, a status alone, or a stream of messages.
 
 use super::connection::Untaken;
-use crate::inbox::Gone;
+use crate::events::DisconnectGuard;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE};
@@ -22,12 +22,12 @@
     /// While it is not taken, its connection counts it.
     _untaken: Option<Untaken>,
     /// Told if it is dropped before its message was taken.
-    gone: Option<Gone>,
+    gone: Option<DisconnectGuard>,
 }
 
 impl Reply {
     /// The same, but somebody is to know if its client leaves before it takes it.
-    pub fn owed_to(mut self, gone: Option<Gone>) -> Reply {
+    pub fn owed_to(mut self, gone: Option<DisconnectGuard>) -> Reply {
         self.gone = gone;
         self
     }
@@ -106,7 +106,7 @@
                 None => {
                     // hyper asks for more once the peer has opened a window for the message.
                     if let Some(gone) = reply.gone.take() {
-                        gone.answered();
+                        gone.disarm();
                     }
                     trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))
                 }
--- a/crates/daemon/src/fronts/head.rs
+++ b/crates/daemon/src/listeners/head.rs
@@ -5,11 +5,11 @@
 
 use super::fields;
 use crate::number::read_number;
-use crate::peers::servers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
+use crate::upstream::servers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode};
-use liftrouter_decision::{Effect, Settings};
+use liftrouter_decision::{Idempotency, Settings};
 use std::time::Duration;
 
 const METERING: HeaderName = HeaderName::from_static("x-metering");
@@ -65,14 +65,14 @@
     let time_left = time_left.ok_or(bad("X-Time-Left is missing or malformed\n"))?;
     let metering = text(METERING).and_then(|text| read_metering(settings, text));
     let (units, width) = metering.ok_or(bad("X-Metering is missing or malformed\n"))?;
-    let right = if class.effect == Effect::ReadLike { Method::GET } else { Method::POST };
+    let right = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != right {
         return Err(bad("the method does not fit the class\n"));
     }
-    if class.effect == Effect::ReadLike && !body.is_end_stream() {
+    if class.idempotency == Idempotency::Idempotent && !body.is_end_stream() {
         return Err(bad("a GET carries no body\n"));
     }
-    if class.effect == Effect::Keyed && id(IDEMPOTENCY_KEY).is_none() {
+    if class.idempotency == Idempotency::IdempotencyKey && id(IDEMPOTENCY_KEY).is_none() {
         return Err(bad("Idempotency-Key is missing or malformed\n"));
     }
     Ok(Checked {
@@ -112,7 +112,7 @@
             return None;
         }
     }
-    let peers = settings.peers.max(1);
+    let peers = settings.instance_count.max(1);
     first.filter(|first| first.fract() == 0.0 && *first < f64::from(peers))?;
     Some((fields::units(units?, settings)?, fields::width(spread?, settings)?))
 }
--- a/crates/daemon/src/fronts/http.rs
+++ b/crates/daemon/src/listeners/http.rs
@@ -5,9 +5,9 @@
 use super::accept::{accept, ACCEPT_PAUSE};
 use super::gate::{Gate, Question};
 use super::head::{check, Rejected, REPEAT};
-use crate::inbox::{Answer, Arrival, Call, Forward};
-use crate::peers::link::{Socket, Tracked, MAX_BODY};
-use crate::peers::servers::{CORRELATION_ID, IDEMPOTENCY_KEY};
+use crate::events::{Answer, ForwardedRequest, IncomingRequest, RequestKind};
+use crate::upstream::connection::{Socket, Tracked, MAX_BODY};
+use crate::upstream::servers::{CORRELATION_ID, IDEMPOTENCY_KEY};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -342,21 +342,21 @@
             .open(&checked.correlation_id)
             .ok_or(Rejected(StatusCode::CONFLICT, "a request with this id is open\n"))?;
         let header = |name: HeaderName| head.headers.get(name).cloned();
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             customer: checked.customer,
             plan: checked.plan,
             class: checked.class,
             units: checked.units,
-            width: checked.width,
-            repeat: header(REPEAT).is_some_and(|v| v == "1"),
-            call: Call::Forward(Rc::new(Forward {
+            reachable_instances: checked.width,
+            is_retry: header(REPEAT).is_some_and(|v| v == "1"),
+            kind: RequestKind::Forward(Rc::new(ForwardedRequest {
                 method: head.method.clone(),
                 target,
                 correlation_id: checked.correlation_id,
                 idempotency_key: header(IDEMPOTENCY_KEY),
                 headers: header(CONTENT_TYPE).map(|kind| (CONTENT_TYPE, kind)).into_iter().collect(),
                 body,
-                due,
+                deadline: due,
             })),
         };
         let make = || question(&head, size);
@@ -374,7 +374,7 @@
                 changes.apply_to_answer(reply.headers_mut(), &[RETRY_AFTER]);
                 reply
             }
-            Answer::Refused(refusal) => {
+            Answer::Rejected(refusal) => {
                 let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, refusal.text());
                 if refusal.retry_after > 0.0 {
                     if let Ok(advice) = HeaderValue::try_from(format!("{:.3}", refusal.retry_after)) {
@@ -385,7 +385,7 @@
             }
             Answer::Denied(denial) => denied(denial),
             // A request that is forwarded is never permitted.
-            Answer::Failed | Answer::Permitted(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            Answer::Failed | Answer::Authorized(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
         })
     }
 }
--- a/crates/daemon/src/fronts/mod.rs
+++ b/crates/daemon/src/listeners/mod.rs
@@ -1,4 +1,4 @@
-//! Fronts: where clients ask. A front reads and checks, asks through the inbox, and writes the one answer.
+//! Fronts: where clients ask. A front reads and checks, asks through the events, and writes the one answer.
 
 pub mod accept;
 pub mod fields;
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -10,9 +10,9 @@
 #[cfg(test)]
 mod tests;
 
-use crate::group::Setup;
-use crate::membership::file::Source;
-use crate::peers::authoriser::Asked;
+use crate::authoriser::Asked;
+use crate::cluster::Setup;
+use crate::discovery::file::Source;
 pub use grpc::Grpc;
 pub use keeper::Judged;
 use liftrouter_decision::Settings;
--- a/crates/daemon/src/operator/authoriser.rs
+++ b/crates/daemon/src/operator/authoriser.rs
@@ -1,7 +1,7 @@
 //! `[[authoriser]]`: a service that is asked about requests of some classes first.
 
 use super::Place;
-use crate::peers::authoriser::{Asked, WhenUnsure};
+use crate::authoriser::{Asked, WhenUnsure};
 use liftrouter_authz::BreakerPolicy;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/daemon/src/operator/grpc.rs
+++ b/crates/daemon/src/operator/grpc.rs
@@ -1,7 +1,7 @@
 //! `[grpc]`: external authorisation is answered here.
 
 use super::Place;
-use crate::fronts::grpc::Limits;
+use crate::listeners::grpc::Limits;
 use liftrouter_authz::{FrameLimits, Mapping, Rules};
 use liftrouter_decision::Settings;
 use serde::Deserialize;
--- a/crates/daemon/src/operator/inventory.rs
+++ b/crates/daemon/src/operator/inventory.rs
@@ -1,7 +1,7 @@
 //! `[inventory]`: the nodes come from a file, and discovery is not asked.
 
 use super::Place;
-use crate::membership::file::Source;
+use crate::discovery::file::Source;
 use liftrouter_inventory::{Form, Policy};
 use serde::Deserialize;
 use std::path::PathBuf;
--- a/crates/daemon/src/operator/keeper.rs
+++ b/crates/daemon/src/operator/keeper.rs
@@ -1,7 +1,7 @@
 //! `[keeper]`: what the keeper says is judged by calls of the limiter's own.
 
 use super::Place;
-use liftrouter_keeper::{Order, Pace as CallPace, Terms};
+use liftrouter_counter::{Order, Pace as CallPace, Terms};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
--- a/crates/daemon/src/operator/members.rs
+++ b/crates/daemon/src/operator/members.rs
@@ -1,8 +1,8 @@
 //! `[members]`: this limiter and the others know of each other.
 
 use super::Place;
-use crate::group::Setup;
-use liftrouter_members::swim::Pace;
+use crate::cluster::Setup;
+use liftrouter_cluster::swim::Pace;
 use serde::Deserialize;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -43,12 +43,12 @@
         suspicion: Duration::from_millis(ms(m.suspicion_ms, "suspicion_ms", 3 * period)?),
         expected: place.number(m.expected, ("expected", "members"), 1..=4_096, 8)? as u32,
     };
-    let terms = liftrouter_members::lease::Terms {
+    let terms = liftrouter_cluster::lease::Terms {
         term: 1_000 * ms(m.term_ms, "term_ms", 4 * period)?,
         drift: m.drift.map_or(0.01, Spanned::into_inner),
     };
     let probe = m.probe_ms.map(|v| ms(Some(v), "probe_ms", 1)).transpose()?.map(Duration::from_millis);
-    let settings = liftrouter_members::Settings {
+    let settings = liftrouter_cluster::Settings {
         name: m.name,
         address: place.address("listen has", &m.listen)?,
         join: all("join has", &m.join)?,
--- a/crates/daemon/src/relay/children.rs
+++ b/crates/daemon/src/relay/children.rs
@@ -1,7 +1,7 @@
 //! The list as a relay holds it, and the children that follow it.
 
+use crate::discovery::sink::{ListSink, SignOfLife};
 use crate::log;
-use crate::membership::sink::{ListSink, SignOfLife};
 use bytes::Bytes;
 use liftrouter_catalog::{ApplyError, ChangeLog, Subscribers, Subscription, Update};
 use liftrouter_discovery::SILENCE;
--- a/crates/daemon/src/relay/mod.rs
+++ b/crates/daemon/src/relay/mod.rs
@@ -7,9 +7,9 @@
 mod children;
 mod server;
 
+use crate::discovery::session::Session;
+use crate::discovery::upstream::Upstream;
 use crate::log;
-use crate::membership::session::Session;
-use crate::membership::upstream::Upstream;
 use children::{Children, RelayList};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/daemon/src/relay/server.rs
+++ b/crates/daemon/src/relay/server.rs
@@ -1,7 +1,7 @@
 //! The relay's side of discovery's protocol: watches of the list over HTTP/1.1.
 
 use super::children::{ChildId, Children};
-use crate::fronts::accept;
+use crate::listeners::accept;
 use crate::log;
 use bytes::Bytes;
 use http_body_util::{Either, Empty};
--- a/crates/daemon/src/serve/fronts.rs
+++ b/crates/daemon/src/serve/fronts.rs
@@ -1,8 +1,8 @@
 //! The fronts at which clients come: HTTP always, gRPC where the operator has one.
 
-use crate::fronts::gate::Gate;
-use crate::fronts::grpc::{Grpc, Limits};
-use crate::fronts::http::Clients;
+use crate::listeners::gate::Gate;
+use crate::listeners::grpc::{Grpc, Limits};
+use crate::listeners::http::Clients;
 use crate::log::log;
 use crate::operator::Operator;
 use liftrouter_authz::Mapping;
--- a/crates/daemon/src/serve/list.rs
+++ b/crates/daemon/src/serve/list.rs
@@ -1,10 +1,10 @@
 //! The list of servers at the start: where it comes from, and until when the first one is waited for.
 
-use crate::inbox::{Inbox, News};
+use crate::discovery::calls::Discovery;
+use crate::discovery::file::Source;
+use crate::discovery::update::listed;
+use crate::events::{EventQueue, HostEvent};
 use crate::log::log;
-use crate::membership::discovery::Discovery;
-use crate::membership::file::Source;
-use crate::membership::update::listed;
 use crate::operator::Operator;
 use liftrouter_catalog::Update;
 use liftrouter_decision::Settings;
@@ -34,7 +34,7 @@
 impl ServerList {
     /// The list of the operator's file or relays, where there are any, else that of discovery.
     pub fn new(operator: &mut Operator, discovery: SocketAddr, settings: &Settings, seed: u64) -> Self {
-        let delivery = if settings.discovery_on_request { Delivery::OnRequest } else { Delivery::Pushed };
+        let delivery = if settings.polls_discovery { Delivery::OnRequest } else { Delivery::Pushed };
         let discovery = match operator.relays.take() {
             Some(relays) => {
                 let regions = relays.regions.into_iter().map(|region| (region.name, region.addresses));
@@ -53,24 +53,24 @@
 
     /// Follows the list from now on. Where there is a file it alone counts: what discovery knew before, or would
     /// tell now, could contradict it.
-    pub fn follow(&mut self, inbox: &Rc<Inbox>, seed: u64) {
+    pub fn follow(&mut self, events: &Rc<EventQueue>, seed: u64) {
         match self.file.take() {
-            Some(file) => spawn_local(file.follow(inbox.clone(), self.adopted.clone())),
-            None => spawn_local(self.discovery.clone().watch(inbox.clone(), seed)),
+            Some(file) => spawn_local(file.follow(events.clone(), self.adopted.clone())),
+            None => spawn_local(self.discovery.clone().watch(events.clone(), seed)),
         };
     }
 
     /// Waits for the first list, or until it is gone on without it.
-    pub async fn first(&self, inbox: &Inbox, known: Option<Update>) {
+    pub async fn first(&self, events: &EventQueue, known: Option<Update>) {
         if self.from_file {
             self.adopted.notified().await;
         } else if timeout(FIRST_LIST, self.discovery.heard()).await.is_err() {
-            self.go_on_without(inbox, known);
+            self.go_on_without(events, known);
         }
     }
 
     /// Not all lists came in time. Until here no server was known, so whoever came all the same was refused at once.
-    fn go_on_without(&self, inbox: &Inbox, known: Option<Update>) {
+    fn go_on_without(&self, events: &EventQueue, known: Option<Update>) {
         let list = &self.discovery;
         if list.has_list() {
             let missing = list.upstreams().filter(|upstream| upstream.revision().is_none());
@@ -81,7 +81,7 @@
             Some(known) => {
                 log("discovery", "no list came: going by the one in the configuration");
                 let servers = known.instances.iter().map(listed).collect();
-                inbox.push(News::Listed { whole: true, servers, version: None });
+                events.push(HostEvent::EndpointUpdate { whole: true, endpoints: servers, version: None });
             }
             None => log("discovery", "no list came: all is refused until one does"),
         }
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -4,23 +4,23 @@
 mod list;
 mod shutdown;
 
+use crate::authoriser::Authorisers;
+use crate::cluster::{self, Group};
 use crate::config::{read_file, Addresses, Setup};
-use crate::fronts::gate::Gate;
-use crate::fronts::grpc;
-use crate::group::{self, Group};
+use crate::counter::client::{self, CounterClient};
+use crate::counter::pool::CounterPool;
+use crate::counter::validation::Judging;
+use crate::discovery::calls::Discovery;
+use crate::events::EventQueue;
 use crate::host::{Host, Peers};
-use crate::inbox::Inbox;
+use crate::listeners::gate::Gate;
+use crate::listeners::grpc;
 use crate::log::log;
-use crate::membership::discovery::Discovery;
 use crate::operator::{Judged, Operator};
-use crate::peers::authoriser::Authorisers;
-use crate::peers::judging::Judging;
-use crate::peers::keeper::{self, Keeper};
-use crate::peers::keepers::Keepers;
-use crate::peers::servers::Servers;
+use crate::upstream::servers::Servers;
 use fronts::{Fronts, Listeners};
+use liftrouter_counter::Pacer;
 use liftrouter_decision::Settings;
-use liftrouter_keeper::Pacer;
 use list::ServerList;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -61,49 +61,49 @@
     let mut terminated = handle(SignalKind::terminate(), "SIGTERM")?;
     let hangup = handle(SignalKind::hangup(), "SIGHUP")?;
     let listeners = Listeners::bind(listen, &operator, &settings).await?;
-    let inbox = Inbox::new();
+    let events = EventQueue::new();
     let members = match &operator.members {
-        Some(setup) => Some(Membership::open(setup, inbox.clone()).await?),
+        Some(setup) => Some(Membership::open(setup, events.clone()).await?),
         None => None,
     };
 
     let seed = seed_of(&config.seed);
     // Limiters that were given one seed must not retry in step.
-    let retry_seed = seed ^ u64::from(settings.me).wrapping_mul(SEED_STEP);
+    let retry_seed = seed ^ u64::from(settings.instance_index).wrapping_mul(SEED_STEP);
     let sockets = SocketBudget::new(config.limits.sockets, &operator, &listeners);
     let servers = Rc::new(Servers::new(&settings, sockets.servers));
     let keepers = keepers(config.counter, operator.keeper.as_ref(), &settings, seed);
     let mut list = ServerList::new(&mut operator, discovery, &settings, retry_seed);
     let peers = Peers { servers: servers.clone(), keepers: keepers.clone() };
-    let mut host = Host::new(settings.clone(), seed, inbox.clone(), peers);
+    let mut host = Host::new(settings.clone(), seed, events.clone(), peers);
     let name = grpc::instance_name();
     let authorisers = Authorisers::new(operator.authorisers, name.clone());
     if let Some(judged) = operator.keeper {
         let terms = (judged.terms, judged.order);
-        spawn_local(Judging::new(keepers.clone(), inbox.clone(), terms, &settings, seed).run());
+        spawn_local(Judging::new(keepers.clone(), events.clone(), terms, &settings, seed).run());
         host = host.watch_pauses();
     }
     let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
     let memory_mb = config.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(MEMORY_MB_DEFAULT);
     let body_bytes = (memory_mb * BODY_SHARE * 1024.0 * 1024.0) as usize;
-    let gate = Gate::new(inbox.clone(), settings, body_bytes, authorisers);
+    let gate = Gate::new(events.clone(), settings, body_bytes, authorisers);
 
     spawn_local(host.run());
     let group = members.map(|members| members.start(&servers));
     spawn_local(async move { servers.sweep().await });
-    list.follow(&inbox, retry_seed);
+    list.follow(&events, retry_seed);
     spawn_local(reload(hangup, path, list.discovery().clone(), keepers));
     let fronts = Fronts::start(listeners, &gate, sockets.clients, name);
     spawn_local({
-        let (fronts, inbox) = (fronts.clone(), inbox.clone());
+        let (fronts, events) = (fronts.clone(), events.clone());
         async move {
-            list.first(&inbox, config.known).await;
+            list.first(&events, config.known).await;
             fronts.set_ready();
         }
     });
 
     terminated.recv().await;
-    shutdown::shut_down(&fronts, &gate, group.as_deref(), &inbox, longest_deadline).await
+    shutdown::shut_down(&fronts, &gate, group.as_deref(), &events, longest_deadline).await
 }
 
 /// The seed is 16 hex digits; any other text is as good a seed, and none is one too.
@@ -122,7 +122,7 @@
     fn new(sockets: Option<usize>, operator: &Operator, listeners: &Listeners) -> Self {
         let authorisers = operator.authorisers.iter().map(|a| a.connections).sum::<usize>();
         let other_keepers = operator.keeper.as_ref().map_or(0, |k| k.others.len());
-        let keepers = keeper::CALLS * (1 + other_keepers);
+        let keepers = client::CALLS * (1 + other_keepers);
         let taken = RESERVE + keepers + listeners.grpc_sockets() + authorisers;
         // Each request may hold two sockets, one to its client and one to a server.
         let left = sockets.unwrap_or(SOCKETS_DEFAULT).saturating_sub(taken).max(2);
@@ -136,15 +136,15 @@
     judged: Option<&Judged>,
     settings: &Settings,
     seed: u64,
-) -> Rc<Keepers> {
-    let mut all = vec![Keeper::new(counter, settings)];
+) -> Rc<CounterPool> {
+    let mut all = vec![CounterClient::new(counter, settings)];
     let mut pacer = None;
     if let Some(judged) = judged {
-        all.extend(judged.others.iter().map(|at| Keeper::new(Some(*at), settings)));
+        all.extend(judged.others.iter().map(|at| CounterClient::new(Some(*at), settings)));
         let part = (seed >> 11) as f64 / (1u64 << 53) as f64;
-        pacer = judged.pace(settings.peers).map(|pace| Pacer::new(pace, part, 0.0));
+        pacer = judged.pace(settings.instance_count).map(|pace| Pacer::new(pace, part, 0.0));
     }
-    Keepers::new(all, pacer)
+    CounterPool::new(all, pacer)
 }
 
 /// This limiter as a member, before it runs.
@@ -157,9 +157,9 @@
 }
 
 impl Membership {
-    async fn open(setup: &group::Setup, inbox: Rc<Inbox>) -> Result<Self, String> {
-        let asked = setup.ask.as_deref().map(group::listen).transpose()?;
-        Ok(Membership { group: Group::open(setup, inbox).await?, asked, probe: setup.probe })
+    async fn open(setup: &cluster::Setup, events: Rc<EventQueue>) -> Result<Self, String> {
+        let asked = setup.ask.as_deref().map(cluster::listen).transpose()?;
+        Ok(Membership { group: Group::open(setup, events).await?, asked, probe: setup.probe })
     }
 
     fn start(self, servers: &Rc<Servers>) -> Rc<Group> {
@@ -178,7 +178,7 @@
 /// Takes the addresses of discovery and counter from the file anew at each SIGHUP. The environment tells what
 /// held at the start, so the file holds before it here. Signals that come meanwhile are not lost: they count
 /// as one more.
-async fn reload(mut hangup: Signal, path: String, list: Rc<Discovery>, keepers: Rc<Keepers>) {
+async fn reload(mut hangup: Signal, path: String, list: Rc<Discovery>, keepers: Rc<CounterPool>) {
     while hangup.recv().await.is_some() {
         let Addresses { discovery, counter } = match read_file(&path) {
             Ok(addresses) => addresses,
--- a/crates/daemon/src/serve/shutdown.rs
+++ b/crates/daemon/src/serve/shutdown.rs
@@ -1,9 +1,9 @@
 //! The end after SIGTERM: all that was taken is answered, and the process ends before it is killed.
 
 use super::fronts::Fronts;
-use crate::fronts::gate::Gate;
-use crate::group::Group;
-use crate::inbox::{Inbox, News};
+use crate::cluster::Group;
+use crate::events::{EventQueue, HostEvent};
+use crate::listeners::gate::Gate;
 use crate::log::log;
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,29 +30,29 @@
     fronts: &Fronts,
     gate: &Gate,
     group: Option<&Group>,
-    inbox: &Rc<Inbox>,
+    events: &Rc<EventQueue>,
     longest_deadline: f64,
 ) -> Result<(), String> {
     let deadline = Duration::from_secs_f64(longest_deadline.min(LONGEST_DEADLINE));
     let killed = Instant::now() + KILLED_AFTER + deadline;
-    log("liftrouter", format_args!("SIGTERM: finishing {} requests", inbox.owed()));
+    log("liftrouter", format_args!("SIGTERM: finishing {} requests", events.owed()));
     gate.end_at(killed - LAST_CALL);
     fronts.drain();
     if let Some(group) = group {
         group.leave();
     }
     spawn_local({
-        let inbox = inbox.clone();
+        let events = events.clone();
         async move {
             sleep_until(killed - LAST_CALL).await;
-            inbox.push(News::LastCall);
+            events.push(HostEvent::ShutdownDeadline);
         }
     });
     sleep(ACCEPT_ON).await;
     // Connections that are left then carry no request, or one that has not come whole.
     let _ = timeout_at(killed - ENDED, fronts.all_closed()).await;
     fronts.stop_accepting();
-    match inbox.owed() {
+    match events.owed() {
         0 => Ok(()),
         left => Err(format!("{left} requests were left open")),
     }
--- a/crates/daemon/src/peers/servers.rs
+++ b/crates/daemon/src/upstream/servers.rs
@@ -1,13 +1,13 @@
 //! The servers: where each listens, the connections kept to it, and one attempt or probe at a time on each.
 
-use super::link::{Failure, Link, Socket, Written};
-use crate::inbox::{Ended, Forward, Inbox, News};
+use super::connection::{Failure, Link, Socket, Written};
+use crate::events::{AttemptResult, EventQueue, ForwardedRequest, HostEvent};
 use crate::number::read_number;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
 use hyper::{Request, Response, StatusCode, Uri};
-use liftrouter_decision::{LoadReport, Outcome, RequestId, ServerId, ServerState, Settings};
+use liftrouter_decision::{EndpointId, EndpointState, LoadReport, Outcome, RequestId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     HeaderName::from_static("x-metering"),
     HeaderName::from_static("x-contract"),
     HeaderName::from_static("x-repeat"),
-    super::authoriser::VIA,
+    crate::authoriser::VIA,
 ];
 
 /// A kept connection is closed after this share of the time after which the server closes it: a request that
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     pub address: SocketAddr,
-    pub state: ServerState,
+    pub state: EndpointState,
 }
 
 struct Server {
@@ -69,7 +69,7 @@
     address: Option<SocketAddr>,
     version: Option<u64>,
     socket: RefCell<Option<Rc<Socket>>>,
-    /// Its end has been reported: news of it lie in the inbox.
+    /// Its end has been reported: news of it lie in the events.
     reported: Cell<bool>,
 }
 
@@ -109,7 +109,7 @@
 }
 
 pub struct Servers {
-    table: RefCell<HashMap<ServerId, Server>>,
+    table: RefCell<HashMap<EndpointId, Server>>,
     connect: Duration,
     idle: Duration,
     /// Sockets to servers now, and at most.
@@ -125,23 +125,23 @@
         Servers {
             table: RefCell::default(),
             connect: Duration::from_secs_f64(or(settings.connect_timeout, CONNECT_DEFAULT)),
-            idle: Duration::from_secs_f64(IDLE_SHARE * or(settings.idle_close, IDLE_DEFAULT)),
+            idle: Duration::from_secs_f64(IDLE_SHARE * or(settings.idle_timeout, IDLE_DEFAULT)),
             open: Rc::default(),
             budget,
-            max_units: or(settings.max_units, f64::MAX),
+            max_units: or(settings.max_request_units, f64::MAX),
         }
     }
 
     /// Takes in the state and address of a server. What is kept to another address, or to one that takes no
     /// more work, is closed.
-    pub fn place(&self, id: &ServerId, place: Place) {
-        if place.state == ServerState::Gone {
+    pub fn place(&self, id: &EndpointId, place: Place) {
+        if place.state == EndpointState::Removed {
             return self.remove(id);
         }
         let mut table = self.table.borrow_mut();
         match table.get_mut(id) {
             Some(server) => {
-                if server.place.address != place.address || place.state != ServerState::InService {
+                if server.place.address != place.address || place.state != EndpointState::InService {
                     server.idle.clear();
                 }
                 server.place = place;
@@ -153,36 +153,36 @@
     }
 
     /// Forgets a server and closes what is kept to it.
-    pub fn remove(&self, id: &ServerId) {
+    pub fn remove(&self, id: &EndpointId) {
         self.table.borrow_mut().remove(id);
     }
 
     /// All servers that are known, with where each listens and whether it takes work.
-    pub fn places(&self) -> Vec<(ServerId, Place)> {
+    pub fn places(&self) -> Vec<(EndpointId, Place)> {
         self.table.borrow().iter().map(|(id, server)| (id.clone(), server.place)).collect()
     }
 
-    pub fn ids(&self) -> Vec<ServerId> {
+    pub fn ids(&self) -> Vec<EndpointId> {
         self.table.borrow().keys().cloned().collect()
     }
 
     /// Where a server takes new work now.
-    pub fn address(&self, id: &ServerId) -> Option<SocketAddr> {
+    pub fn address(&self, id: &EndpointId) -> Option<SocketAddr> {
         let table = self.table.borrow();
-        table.get(id).filter(|s| s.place.state == ServerState::InService).map(|s| s.place.address)
+        table.get(id).filter(|s| s.place.state == EndpointState::InService).map(|s| s.place.address)
     }
 
     /// The kept connection that was used last and has rested, past those that are no longer good.
-    fn reuse(&self, id: &ServerId) -> Option<Link> {
+    fn reuse(&self, id: &EndpointId) -> Option<Link> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.get_mut(id)?.idle;
         let rested = || idle.iter().rposition(Link::rested).map(|n| idle.remove(n));
         std::iter::from_fn(rested).find(|link| link.usable() && link.used.elapsed() < self.idle)
     }
 
-    fn keep(&self, id: &ServerId, address: SocketAddr, link: Link) {
+    fn keep(&self, id: &EndpointId, address: SocketAddr, link: Link) {
         if let Some(server) = self.table.borrow_mut().get_mut(id) {
-            if server.place.address == address && server.place.state == ServerState::InService {
+            if server.place.address == address && server.place.state == EndpointState::InService {
                 server.idle.push(link);
             }
         }
@@ -215,10 +215,10 @@
     /// Runs one attempt and reports its end; a connection that can serve again is kept.
     pub async fn attempt(
         self: Rc<Self>,
-        inbox: Rc<Inbox>,
+        events: Rc<EventQueue>,
         (id, n): (RequestId, u32),
-        server: ServerId,
-        (forward, attempt): (Rc<Forward>, Rc<Attempt>),
+        server: EndpointId,
+        (forward, attempt): (Rc<ForwardedRequest>, Rc<Attempt>),
         Limits { give_up, write_by }: Limits,
     ) {
         let (ended, kept) = {
@@ -230,15 +230,17 @@
             match result {
                 Ok(ended) => ended,
                 // Not written whole by then, it never ran. Too late for its key, that says nothing of the server.
-                Err(_) if !attempt.sent() && write_by < give_up => (Ended::of(Outcome::Moot), None),
-                Err(_) if !attempt.sent() => (Ended::of(Outcome::ConnectFailed), None),
-                Err(_) => (Ended::of(Outcome::Timeout), None),
+                Err(_) if !attempt.sent() && write_by < give_up => {
+                    (AttemptResult::of(Outcome::NotSent), None)
+                }
+                Err(_) if !attempt.sent() => (AttemptResult::of(Outcome::ConnectFailed), None),
+                Err(_) => (AttemptResult::of(Outcome::Timeout), None),
             }
         };
         // With this the socket of a failed attempt is closed: the next attempt may start.
         attempt.release();
         attempt.reported.set(true);
-        inbox.push(News::AttemptEnded(id, n, ended));
+        events.push(HostEvent::AttemptEnded(id, n, ended));
         if let Some((address, mut link)) = kept {
             if link.settle().await {
                 self.keep(&server, address, link);
@@ -248,19 +250,19 @@
 
     async fn send(
         &self,
-        id: &ServerId,
-        forward: &Forward,
+        id: &EndpointId,
+        forward: &ForwardedRequest,
         attempt: &Attempt,
         give_up: Instant,
-    ) -> (Ended, Option<(SocketAddr, Link)>) {
-        let failed = |outcome| (Ended::of(outcome), None);
+    ) -> (AttemptResult, Option<(SocketAddr, Link)>) {
+        let failed = |outcome| (AttemptResult::of(outcome), None);
         loop {
             let Some(address) = attempt.address.filter(|a| self.address(id) == Some(*a)) else {
                 return failed(Outcome::ConnectFailed);
             };
             let (mut link, kept) = match self.reuse(id) {
                 Some(link) => (link, true),
-                None if !self.room() => return failed(Outcome::Moot),
+                None if !self.room() => return failed(Outcome::NotSent),
                 None => match self.connect(address).await {
                     Some(link) => (link, false),
                     None => return failed(Outcome::ConnectFailed),
@@ -287,8 +289,8 @@
         }
     }
 
-    /// Asks a server for its load; the inbox gets it, and whoever waits.
-    pub async fn probe(self: Rc<Self>, inbox: Rc<Inbox>, id: ServerId) -> (Outcome, LoadReport) {
+    /// Asks a server for its load; the events gets it, and whoever waits.
+    pub async fn probe(self: Rc<Self>, events: Rc<EventQueue>, id: EndpointId) -> (Outcome, LoadReport) {
         let probe = async {
             let address = self.address(&id)?;
             let mut link = match self.reuse(&id) {
@@ -303,7 +305,8 @@
         };
         let (outcome, report, kept) = match timeout(PROBE_TIMEOUT, probe).await {
             Ok(Some((answer, address, link))) => {
-                let outcome = if answer.status() == StatusCode::OK { Outcome::Ok } else { Outcome::Full };
+                let outcome =
+                    if answer.status() == StatusCode::OK { Outcome::Ok } else { Outcome::Overloaded };
                 let mut report = load_report(answer.headers());
                 if let Ok(text) = std::str::from_utf8(answer.body()) {
                     read_load(text.trim(), &mut report);
@@ -313,7 +316,7 @@
             Ok(None) => (Outcome::ConnectFailed, LoadReport::default(), None),
             Err(_) => (Outcome::Timeout, LoadReport::default(), None),
         };
-        inbox.push(News::Probed(id.clone(), outcome, report));
+        events.push(HostEvent::HealthChecked(id.clone(), outcome, report));
         if let Some((address, mut link)) = kept {
             if link.settle().await {
                 self.keep(&id, address, link);
@@ -325,7 +328,7 @@
 
 /// A request as a server gets it.
 fn message(
-    forward: &Forward,
+    forward: &ForwardedRequest,
     address: SocketAddr,
     version: Option<u64>,
     give_up: Instant,
@@ -346,19 +349,19 @@
 }
 
 /// What a whole answer means.
-fn judge(answer: Response<Bytes>, max_units: f64) -> Ended {
+fn judge(answer: Response<Bytes>, max_units: f64) -> AttemptResult {
     let headers = answer.headers();
     let unprocessed = headers.get(UNPROCESSED).is_some_and(|v| v == "1");
     let outcome = match answer.status() {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Overloaded,
         _ => Outcome::Error,
     };
     // More than a request can count is no figure: taken from a bucket, it would stop a customer for good.
     let units = headers.get(SETTLED).and_then(|v| read_number(v.to_str().ok()?.trim()));
     let units = units.filter(|u| *u > 0.0 && *u <= max_units);
     let report = load_report(headers);
-    Ended { outcome, units, report, answer: (outcome == Outcome::Ok).then_some(answer) }
+    AttemptResult { outcome, units, report, answer: (outcome == Outcome::Ok).then_some(answer) }
 }
 
 fn load_report(headers: &HeaderMap) -> LoadReport {
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -156,7 +156,7 @@
 
     fn ask_at(&self, n: usize) -> PathBuf {
         std::env::temp_dir().join(format!(
-            "liftrouter-members-{}-{}-{n}",
+            "liftrouter-cluster-{}-{}-{n}",
             std::process::id(),
             self.rig.address.port()
         ))
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -7,23 +7,23 @@
 /// Number of a client request, unique at its limiter.
 pub type RequestId = u64;
 /// Address of a server.
-pub type ServerId = Arc<str>;
+pub type EndpointId = Arc<str>;
 
-/// How far a request of a class may be repeated.
+/// Whether a request of a class may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to run any number of times.
     #[default]
-    ReadLike,
-    /// Carries a key; the servers of one [`Scope`] drop repeats for a time.
-    Keyed,
+    Idempotent,
+    /// Carries a key; the servers of one [`DeduplicationScope`] drop repeats for a time.
+    IdempotencyKey,
     /// Must never run twice.
     NonIdempotent,
 }
 
 /// The servers that together drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All servers.
     #[default]
     All,
@@ -38,20 +38,20 @@
 pub struct Class {
     /// Name, as requests give it.
     pub name: String,
-    /// An answer within this time earns the full worth.
-    pub aim: f64,
+    /// An answer within this time earns the full weight (latency objective).
+    pub latency_objective: f64,
     /// The client gives up after this time, over all its tries.
     pub deadline: f64,
-    /// Worth of a request.
-    pub worth: f64,
-    /// Share of the worth earned after the aim.
-    pub late_share: f64,
+    /// Weight of a served request in the operators' score.
+    pub priority_weight: f64,
+    /// Fraction of the weight earned after the latency objective.
+    pub late_weight_ratio: f64,
     /// How far a request may be repeated.
-    pub effect: Effect,
-    /// Who drops repeats, for [`Effect::Keyed`].
-    pub scope: Scope,
+    pub idempotency: Idempotency,
+    /// Who drops repeats, for [`Idempotency::IdempotencyKey`].
+    pub deduplication_scope: DeduplicationScope,
     /// How long repeats are dropped, from the first send that may have run.
-    pub window: f64,
+    pub deduplication_window: f64,
     /// The answer is a stream.
     pub streaming: bool,
 }
@@ -64,40 +64,40 @@
     /// Quota in units a second; 0: none.
     pub rate: f64,
     /// Units that may be used at once.
-    pub depth: f64,
-    /// Attempts that may be out at once; 0: no cap.
-    pub open: f64,
-    /// Units a second of the hard ceiling; 0: none.
-    pub hard_rate: f64,
-    /// Units the ceiling's store holds.
-    pub hard_burst: f64,
-    /// Units by which the ceiling's store may be overdrawn.
-    pub hard_slack: f64,
-    /// Multiplier on the worth.
-    pub price: f64,
-    /// Share of the worth earned beyond the quota.
-    pub extra_worth: f64,
-    /// Share of the worth lost for what is sent beyond the quota.
-    pub excess_cost: f64,
+    pub burst: f64,
+    /// Attempts that may be in flight at once; 0: no limit.
+    pub concurrency_limit: f64,
+    /// Units a second of the hard limit; 0: none.
+    pub hard_limit_rate: f64,
+    /// Burst of the hard limit, in units.
+    pub hard_limit_burst: f64,
+    /// Units by which the hard limit may be overdrawn.
+    pub hard_limit_overdraft: f64,
+    /// Multiplier on the class's weight.
+    pub weight_multiplier: f64,
+    /// Fraction of the weight earned beyond the quota.
+    pub excess_weight_ratio: f64,
+    /// Fraction of the weight lost for what is forwarded beyond the quota.
+    pub excess_penalty_ratio: f64,
 }
 
 /// All that a limiter is told at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Index of this limiter, from 0.
-    pub me: u32,
+    pub instance_index: u32,
     /// Number of limiters.
-    pub peers: u32,
+    pub instance_count: u32,
     /// Zone of this limiter.
     pub zone: String,
     /// Least time between two rounds of events.
-    pub tick: f64,
+    pub tick_interval: f64,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Plans.
     pub plans: Vec<Plan>,
     /// The most units one request can count.
-    pub max_units: f64,
+    pub max_request_units: f64,
     /// A request's units are a guess, settled with the answer.
     pub post_paid: bool,
     /// The counter service may be used.
@@ -105,54 +105,54 @@
     /// A counter call is given up after this time.
     pub counter_timeout: f64,
     /// The list of servers comes only when asked for.
-    pub discovery_on_request: bool,
+    pub polls_discovery: bool,
     /// Without asking for this long, a limiter counts as told.
-    pub must_ask_in: f64,
+    pub max_poll_interval: f64,
     /// A new server has at least this share of its capacity.
-    pub start_capacity: f64,
+    pub slow_start_capacity: f64,
     /// A new server is warm after this time.
-    pub ramp_time: f64,
+    pub slow_start_duration: f64,
     /// A cold server falls over at this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... kept up for this time.
-    pub overload_for: f64,
+    pub overload_window: f64,
     /// The most attempts for a request.
     pub max_attempts: u32,
     /// Attempts may be called off.
     pub may_cancel: bool,
     /// Servers may be probed.
-    pub may_probe: bool,
+    pub may_health_check: bool,
     /// A request may have two attempts out together.
-    pub second_copies: bool,
+    pub may_hedge: bool,
     /// Refused clients can be told when to come back.
-    pub may_advise: bool,
+    pub may_send_retry_after: bool,
     /// The longest such advice.
-    pub max_advice: f64,
+    pub max_retry_after: f64,
     /// A connection to a server is given up after this time. For the host; the module has no connections.
     pub connect_timeout: f64,
     /// Servers close a connection that has stood idle for this time.
-    pub idle_close: f64,
+    pub idle_timeout: f64,
     /// The most requests that may be open at once; 0: not told.
-    pub max_open: u32,
+    pub max_in_flight: u32,
 }
 
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerState {
+pub enum EndpointState {
     /// Takes work.
     InService,
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Withdrawn.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the list of servers.
 #[derive(Clone, Debug)]
-pub struct ServerEntry {
+pub struct EndpointEntry {
     /// Address.
-    pub id: ServerId,
+    pub id: EndpointId,
     /// Zone.
     pub zone: Arc<str>,
     /// Machine kind.
@@ -160,7 +160,7 @@
     /// Cell within the zone.
     pub cell: i64,
     /// State.
-    pub state: ServerState,
+    pub state: EndpointState,
     /// Size relative to other servers.
     pub weight: f64,
     /// Time of its latest start; `None`: long ago.
@@ -175,7 +175,7 @@
     /// Error answer; may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; may have run.
     Timeout,
     /// No connection.
@@ -185,7 +185,7 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// A server's report of its load; values it did not give are `None`.
@@ -194,15 +194,15 @@
     /// Requests in hand.
     pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of its cores in use.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Recent service time in seconds.
     pub latency: Option<f64>,
     /// Requests a second.
-    pub rate: Option<f64>,
+    pub request_rate: Option<f64>,
     /// Errors a second.
-    pub errors: Option<f64>,
+    pub error_rate: Option<f64>,
 }
 
 /// A client's request.
@@ -219,27 +219,27 @@
     /// Units, or the guess of them.
     pub units: f64,
     /// Number of limiters the customer can come through.
-    pub width: u32,
+    pub reachable_instances: u32,
     /// Marked by the client as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The client gives up then.
-    pub due: f64,
+    pub deadline: f64,
 }
 
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The whole list of servers; what is not in it is gone.
-    ServerList(Vec<ServerEntry>),
+    EndpointList(Vec<EndpointEntry>),
     /// Changed entries only.
-    ServerChanges(Vec<ServerEntry>),
+    EndpointChanges(Vec<EndpointEntry>),
     /// A call to discovery failed or the subscription broke.
-    DiscoveryBroken,
+    DiscoveryFailed,
     /// A client's request.
     Request(Request),
     /// A question whether a client may call the servers by itself, until the request's `due`. It draws what
-    /// the request would draw and is answered at once, by [`Action::Permit`] or [`Action::Refuse`].
-    Permission(Request),
+    /// the request would draw and is answered at once, by [`Action::Authorize`] or [`Action::Reject`].
+    Authorization(Request),
     /// A streamed answer has started.
     StreamStarted {
         /// The request.
@@ -252,42 +252,42 @@
         /// Number of the attempt, from 0.
         attempt: u32,
         /// The request is finished; no answer is owed any more.
-        finished: bool,
+        request_finished: bool,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: f64,
+        elapsed: f64,
         /// The true units, once, where they are settled afterwards.
         units: Option<f64>,
         /// The server's report.
         report: LoadReport,
     },
     /// The client left; no answer is owed. Of a permission: it never got it, and will not call.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// The answer to one [`Action::Count`].
-    Counted {
+    /// The answer to one [`Action::IncrementCounter`].
+    CounterReply {
         /// The name.
-        name: String,
+        key: String,
         /// [`Outcome::Ok`], [`Outcome::Timeout`] (may have been added), or another (not added).
         outcome: Outcome,
         /// The number after the call, with [`Outcome::Ok`].
         total: f64,
         /// Time since the call.
-        took: f64,
+        elapsed: f64,
     },
     /// What to make of the counter's totals from now on; before the first of these, they are believed.
-    KeeperView {
+    CounterValidity {
         /// Share of each quota that the limiters with this view of the counts may divide by their demand, from
         /// 0 (totals are not believed, each limiter keeps its fallback) to 1.
-        share: f64,
+        usable_quota_ratio: f64,
     },
-    /// The answer to one [`Action::Probe`].
-    Probed {
+    /// The answer to one [`Action::CheckHealth`].
+    HealthChecked {
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// How it went.
         outcome: Outcome,
         /// The server's report.
@@ -302,13 +302,13 @@
 
 impl Event {
     /// How an attempt ended that a host did not start, since the rules forbid it: it never ran.
-    pub fn never_sent(id: RequestId, attempt: u32) -> Event {
+    pub fn attempt_not_sent(id: RequestId, attempt: u32) -> Event {
         Event::AttemptEnded {
             id,
             attempt,
-            finished: false,
-            outcome: Outcome::Moot,
-            took: 0.0,
+            request_finished: false,
+            outcome: Outcome::NotSent,
+            elapsed: 0.0,
             units: None,
             report: LoadReport::default(),
         }
@@ -323,19 +323,19 @@
         /// The request.
         id: RequestId,
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// Give up after this time; 0: when the client does.
         timeout: f64,
         /// Not to be written whole after this time: by then its key may be forgotten. Infinite where any will do.
-        begin_by: f64,
+        send_deadline: f64,
     },
     /// Final answer to a permission's question: the client may call.
-    Permit {
+    Authorize {
         /// The question.
         id: RequestId,
     },
     /// Final answer: declined, safe to try again.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// The client should stay away for this time; 0: no advice.
@@ -354,13 +354,13 @@
         attempt: u32,
     },
     /// Add to a number on the counter service and read it.
-    Count {
+    IncrementCounter {
         /// The name.
-        name: String,
+        key: String,
         /// What to add; 0 only reads.
-        add: f64,
+        increment: f64,
         /// A new name is forgotten after this time.
-        lives: f64,
+        ttl: f64,
     },
     /// Wake up at a time.
     SetTimer {
@@ -370,10 +370,10 @@
         token: u64,
     },
     /// Examine a server.
-    Probe {
+    CheckHealth {
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
     },
     /// Follow the list of servers.
-    FollowServers,
+    WatchEndpoints,
 }
--- a/crates/decision/src/policy/fleet.rs
+++ b/crates/decision/src/policy/fleet.rs
@@ -56,7 +56,7 @@
     zone: Arc<str>,
     cell: i64,
     weight: f64,
-    state: ServerState,
+    state: EndpointState,
     started: Option<f64>,
     slow: f64,
     slow_at: f64,
@@ -79,7 +79,7 @@
 }
 
 impl Server {
-    fn new(e: &ServerEntry, peers: u32, now: f64) -> Self {
+    fn new(e: &EndpointEntry, peers: u32, now: f64) -> Self {
         Server {
             zone: e.zone.clone(),
             cell: e.cell,
@@ -99,17 +99,17 @@
 
     /// Share of its full capacity that a server has at least, by its age.
     fn warmth(&self, set: &Settings, now: f64) -> f64 {
-        let age = self.started.map_or(1.0, |at| (now - at).max(0.0) / set.ramp_time.max(1e-9));
-        set.start_capacity + (1.0 - set.start_capacity) * age.min(1.0)
+        let age = self.started.map_or(1.0, |at| (now - at).max(0.0) / set.slow_start_duration.max(1e-9));
+        set.slow_start_capacity + (1.0 - set.slow_start_capacity) * age.min(1.0)
     }
 }
 
 /// What is kept over all servers together.
 #[derive(Default)]
 pub struct Fleet {
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
     /// Servers in the order of their hashes, the same at every limiter but for where it starts.
-    ring: Vec<ServerId>,
+    ring: Vec<EndpointId>,
     /// Servers this limiter uses, and limiters that use one.
     subset: f64,
     cover: f64,
@@ -136,7 +136,7 @@
 
 /// The tightest aim of all classes, which times of the fleet are measured by.
 fn aim(set: &Settings) -> f64 {
-    set.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min).min(10.0)
+    set.classes.iter().map(|c| c.latency_objective).fold(f64::MAX, f64::min).min(10.0)
 }
 
 /// How little each of so many limiters gets: nothing where its even part of a server's least window is a
@@ -154,17 +154,17 @@
 pub struct Wanted<'a> {
     pub class: usize,
     /// The server that may have run a keyed request: only those that share its memory may get it again.
-    pub bound: Option<(Scope, &'a Arc<str>, i64)>,
+    pub bound: Option<(DeduplicationScope, &'a Arc<str>, i64)>,
     /// Servers tried before.
-    pub tried: Vec<&'a ServerId>,
+    pub tried: Vec<&'a EndpointId>,
 }
 
 impl Wanted<'_> {
     fn allows(&self, s: &Server) -> bool {
         self.bound.is_none_or(|(scope, zone, cell)| match scope {
-            Scope::All => true,
-            Scope::Zone => *zone == s.zone,
-            Scope::Cell => *zone == s.zone && cell == s.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => *zone == s.zone,
+            DeduplicationScope::Cell => *zone == s.zone && cell == s.cell,
         })
     }
 }
@@ -177,28 +177,31 @@
     }
 
     /// Takes in the list of servers, whole or changes alone.
-    pub fn listed(&mut self, view: View, entries: &[ServerEntry], whole: bool) {
+    pub fn listed(&mut self, view: View, entries: &[EndpointEntry], whole: bool) {
         let set = view.set;
-        let named: HashSet<&ServerId> = entries.iter().filter(|_| whole).map(|e| &e.id).collect();
+        let named: HashSet<&EndpointId> = entries.iter().filter(|_| whole).map(|e| &e.id).collect();
         for (_, s) in self.servers.iter_mut().filter(|(id, _)| whole && !named.contains(id)) {
-            s.state = ServerState::Gone;
+            s.state = EndpointState::Removed;
         }
         for e in entries {
-            let s = self.servers.entry(e.id.clone()).or_insert_with(|| Server::new(e, set.peers, view.now));
+            let s = self
+                .servers
+                .entry(e.id.clone())
+                .or_insert_with(|| Server::new(e, set.instance_count, view.now));
             if s.started != e.started && e.started.is_some() {
                 // A restarted process has nothing of its former self but what is still out. Where only its
                 // start was corrected, it has what it got: no budget is given twice.
                 let (out, sent) = (s.out, std::mem::take(&mut s.sent));
-                *s = Server { out, sent, ..Server::new(e, set.peers, view.now) };
+                *s = Server { out, sent, ..Server::new(e, set.instance_count, view.now) };
             }
             s.state = e.state;
             s.weight = if e.weight > 0.0 { e.weight } else { 1.0 };
         }
-        self.servers.retain(|_, s| s.state != ServerState::Gone || s.out > 0);
+        self.servers.retain(|_, s| s.state != EndpointState::Removed || s.out > 0);
         self.ring = self.servers.keys().cloned().collect();
         self.ring.sort_by_cached_key(|id| hash(id));
         // The servers in this limiter's order: the limiters start evenly spread over the ring.
-        let start = (f64::from(set.me) * GOLDEN).fract() * self.ring.len() as f64;
+        let start = (f64::from(set.instance_index) * GOLDEN).fract() * self.ring.len() as f64;
         let start = (start as usize).min(self.ring.len());
         self.ring.rotate_left(start);
         self.survey(view);
@@ -206,33 +209,33 @@
 
     /// Looks over the servers once a tick, so that no request has to.
     pub fn survey(&mut self, View { set, now }: View) {
-        let peers = f64::from(set.peers.max(1));
+        let peers = f64::from(set.instance_count.max(1));
         let (mut count, mut ejected, mut room) = (0.0f64, 0.0, 0.0);
-        for s in self.servers.values().filter(|s| s.state == ServerState::InService) {
+        for s in self.servers.values().filter(|s| s.state == EndpointState::InService) {
             let serves = f64::from(u8::from(s.ejected_until <= now));
             (count, ejected, room) = (count + 1.0, ejected + 1.0 - serves, room + serves * s.window);
         }
         (self.spare, self.room) = (count * EJECT.3 - ejected, room);
         let aim = aim(set);
         let open = |class| {
-            let serving = self.servers.values().filter(|s| s.state == ServerState::InService);
+            let serving = self.servers.values().filter(|s| s.state == EndpointState::InService);
             serving.filter(|s| !s.bars(class, aim, now)).count() as f64
         };
         self.wider = (0..set.classes.len()).map(|n| (count / open(n).max(1.0)).clamp(1.0, BAR.2)).collect();
         self.subset = (count * COVER / peers).ceil().clamp(SUBSET.min(count), count);
-        self.few = few(set.peers);
+        self.few = few(set.instance_count);
         // As many serve in place of those that are ejected: each server that is left gets more limiters.
         let serving = (count - ejected).max(1.0);
         self.cover = (peers * self.subset.min(serving) / serving).max(1.0);
         let used = self.ring.iter().map(|id| &self.servers[id]);
-        let used = used.filter(|s| s.state == ServerState::InService && s.ejected_until <= now);
+        let used = used.filter(|s| s.state == EndpointState::InService && s.ejected_until <= now);
         let warm = used.take(self.subset as usize).filter(|s| s.warmth(set, now) >= 1.0);
         self.warm = warm.map(|s| s.weight).sum();
-        self.served.retain(|t| now - t <= set.overload_for);
+        self.served.retain(|t| now - t <= set.overload_window);
     }
 
     /// A failure shown by a server: too many in a row eject it for a while.
-    pub fn strike(&mut self, View { set, now }: View, id: &ServerId) {
+    pub fn strike(&mut self, View { set, now }: View, id: &EndpointId) {
         let aim = aim(set);
         if let Some(s) = self.servers.get_mut(id) {
             s.fails += 1;
@@ -250,7 +253,7 @@
     pub fn slowness(
         &mut self,
         View { set, now }: View,
-        id: &ServerId,
+        id: &EndpointId,
         class: usize,
         (ratio, late): (f64, bool),
     ) {
@@ -271,7 +274,7 @@
     /// is full, as far as anyone can tell. Again, with no good answer of that class between, it may be the
     /// class that it cannot serve now: that says nothing of the others, and closes no window. True the first
     /// time.
-    pub fn turned_away(&mut self, view: View, id: &ServerId, class: usize) -> bool {
+    pub fn turned_away(&mut self, view: View, id: &EndpointId, class: usize) -> bool {
         let before = self.servers.get(id).and_then(|s| s.away.get(class)).map_or(0, |(n, _)| *n);
         if before == 0 {
             self.slowness(view, id, class, (FULL_SLOW, false));
@@ -284,8 +287,8 @@
     }
 
     /// Bounds what may be out at a server by what it shows it can take.
-    pub fn pace(&mut self, View { set, now }: View, id: &ServerId, (took, aim): (f64, f64), failed: bool) {
-        let (peers, f) = (f64::from(set.peers.max(1)), self);
+    pub fn pace(&mut self, View { set, now }: View, id: &EndpointId, (took, aim): (f64, f64), failed: bool) {
+        let (peers, f) = (f64::from(set.instance_count.max(1)), self);
         let Some(s) = f.servers.get_mut(id) else { return };
         if !failed {
             // Answers alone tell how busy the fleet is: what stays unanswered may be lost, not waiting. Its
@@ -320,20 +323,20 @@
     /// and the windows of each limiter begin at another moment: over all of them no moment is better than
     /// others, so any stretch of a window's length gets what one window may, once the first one has begun.
     /// After a restart that forgot what was sent, the budget of whole sends grows from none.
-    fn cold_room(&self, View { set, now }: View, id: &ServerId, s: &Server) -> bool {
+    fn cold_room(&self, View { set, now }: View, id: &EndpointId, s: &Server) -> bool {
         let warmth = s.warmth(set, now);
         if warmth >= 1.0 {
             return true;
         }
         let served = self.served.len() as f64;
         let like_warm = if self.warm > 0.0 { served / self.warm * s.weight * warmth } else { 0.0 };
-        let most = (like_warm * set.fall_multiple * COLD_SHARE).max(COLD_LEAST / self.cover);
-        let span = set.overload_for.max(set.tick);
+        let most = (like_warm * set.overload_multiple * COLD_SHARE).max(COLD_LEAST / self.cover);
+        let span = set.overload_window.max(set.tick_interval);
         let recent = s.sent.iter().filter(|t| now - **t <= span).count() as f64;
         if recent + 1.0 <= most * ((now - self.born) / span).min(1.0) {
             return true;
         }
-        let own = hash(id) ^ u64::from(set.me) << 32;
+        let own = hash(id) ^ u64::from(set.instance_index) << 32;
         let phase = fastrand::Rng::with_seed(own).f64();
         let turn = (now / span + phase).floor();
         let begun = (turn - phase) * span >= s.seen;
@@ -341,16 +344,16 @@
     }
 
     /// The best server for a request, or none where every one that may take it has enough.
-    pub fn choose(&self, view: View, wanted: &Wanted, draw: f64) -> Option<ServerId> {
+    pub fn choose(&self, view: View, wanted: &Wanted, draw: f64) -> Option<EndpointId> {
         let View { set, now } = view;
         let aim = aim(set);
         let forget = SLOW_FORGET * aim;
         let pooled = self.pooled();
-        let (mut best, mut last) = (None::<(f64, &ServerId)>, None::<(f64, &ServerId)>);
-        let (mut looked, mut open, mut barred) = (0.0, 0, None::<(f64, &ServerId)>);
+        let (mut best, mut last) = (None::<(f64, &EndpointId)>, None::<(f64, &EndpointId)>);
+        let (mut looked, mut open, mut barred) = (0.0, 0, None::<(f64, &EndpointId)>);
         let wider = self.wider.get(wanted.class).copied().unwrap_or(1.0);
         let named = self.ring.iter().map(|id| (id, &self.servers[id]));
-        for (id, s) in named.filter(|(_, s)| s.state == ServerState::InService && wanted.allows(s)) {
+        for (id, s) in named.filter(|(_, s)| s.state == EndpointState::InService && wanted.allows(s)) {
             if s.ejected_until > now {
                 let sooner = s.out == 0 && last.is_none_or(|(t, _)| s.ejected_until < t);
                 last = if sooner { Some((s.ejected_until, id)) } else { last };
@@ -407,19 +410,19 @@
     }
 
     /// An attempt goes out to a server; gives its zone and cell, or none for a server that is not known.
-    pub fn sent(&mut self, View { set, now }: View, id: &ServerId) -> Option<(Arc<str>, i64)> {
+    pub fn sent(&mut self, View { set, now }: View, id: &EndpointId) -> Option<(Arc<str>, i64)> {
         let s = self.servers.get_mut(id)?;
         s.out += 1;
         self.out += 1;
         if s.warmth(set, now) < 1.0 {
-            s.sent.retain(|t| now - t <= set.overload_for);
+            s.sent.retain(|t| now - t <= set.overload_window);
             s.sent.push(now);
         }
         Some((s.zone.clone(), s.cell))
     }
 
     /// An attempt no longer counts in its server's window.
-    pub fn returned(&mut self, id: &ServerId) {
+    pub fn returned(&mut self, id: &EndpointId) {
         self.out = self.out.saturating_sub(1);
         if let Some(s) = self.servers.get_mut(id) {
             s.out = s.out.saturating_sub(1);
@@ -427,7 +430,7 @@
     }
 
     /// A good answer: nothing is held against the server any more.
-    pub fn answered(&mut self, View { set, now }: View, id: &ServerId) {
+    pub fn answered(&mut self, View { set, now }: View, id: &EndpointId) {
         if let Some(s) = self.servers.get_mut(id) {
             (s.heard, s.fails, s.ejections) = (now, 0, 0);
             if s.warmth(set, now) >= 1.0 {
@@ -437,12 +440,12 @@
     }
 
     /// Whether a server has given no good answer since a time.
-    pub fn silent_since(&self, id: &ServerId, since: f64) -> bool {
+    pub fn silent_since(&self, id: &EndpointId, since: f64) -> bool {
         self.servers.get(id).is_some_and(|s| s.heard < since)
     }
 
     /// Whether what a server does not answer is more likely lost than late.
-    pub fn seems_lost(&self, id: &ServerId, class: usize) -> bool {
+    pub fn seems_lost(&self, id: &EndpointId, class: usize) -> bool {
         self.servers.get(id).is_some_and(|s| s.fails.max(s.late[class].0) >= EJECT.4)
     }
 }
--- a/crates/decision/src/policy/life.rs
+++ b/crates/decision/src/policy/life.rs
@@ -23,7 +23,7 @@
 const SHED: f64 = 4.0;
 
 struct Attempt {
-    server: ServerId,
+    server: EndpointId,
     zone: Arc<str>,
     cell: i64,
     sent: f64,
@@ -53,10 +53,11 @@
     /// What it asks of its next server.
     fn wanted(&self, set: &Settings) -> Wanted<'_> {
         let class = &set.classes[self.class];
-        let first = self.attempts.iter().find(|a| a.may_have_run && class.effect == Effect::Keyed);
+        let first =
+            self.attempts.iter().find(|a| a.may_have_run && class.idempotency == Idempotency::IdempotencyKey);
         Wanted {
             class: self.class,
-            bound: first.map(|a| (class.scope, &a.zone, a.cell)),
+            bound: first.map(|a| (class.deduplication_scope, &a.zone, a.cell)),
             tried: self.attempts.iter().map(|a| &a.server).collect(),
         }
     }
@@ -66,8 +67,11 @@
     /// Until when a further attempt may be written: a keyed one while the first one's key is remembered.
     fn begin_by(&self, set: &Settings) -> f64 {
         let class = &set.classes[self.class];
-        let first = self.attempts.iter().find(|a| a.may_have_run && class.effect == Effect::Keyed);
-        first.map_or(f64::INFINITY, |a| a.sent + class.window * KEYED_SHARE - set.tick * 2.0)
+        let first =
+            self.attempts.iter().find(|a| a.may_have_run && class.idempotency == Idempotency::IdempotencyKey);
+        first.map_or(f64::INFINITY, |a| {
+            a.sent + class.deduplication_window * KEYED_SHARE - set.tick_interval * 2.0
+        })
     }
 }
 
@@ -88,9 +92,9 @@
     pub fn new(set: &Settings, seed: u64, now: f64) -> Self {
         Life {
             quota: Quota::new(now),
-            fleet: Fleet::new(set.peers, now),
+            fleet: Fleet::new(set.instance_count, now),
             rng: fastrand::Rng::with_seed(seed),
-            means: set.classes.iter().map(|c| c.aim * FIRST_MEAN).collect(),
+            means: set.classes.iter().map(|c| c.latency_objective * FIRST_MEAN).collect(),
             retry_saved: RETRY.1,
             requests: BTreeMap::new(),
             permits: BTreeMap::new(),
@@ -115,19 +119,19 @@
         let (Some(class), Some(plan)) = (class, plan) else { return self.refuse(view, r.id, 0.0, out) };
         let (units, key) = (r.units.max(0.0), &r.customer);
         self.retry_saved = (self.retry_saved + RETRY.0).min(RETRY.1);
-        self.quota.open(view, key, plan, r.width, units);
+        self.quota.open(view, key, plan, r.reachable_instances, units);
         if let Err(wait) = self.quota.grant(view, &mut self.rng, key, units) {
-            if !r.repeat {
+            if !r.is_retry {
                 // Refused again is the same demand, already counted where it first came.
                 self.quota.tell(view, &mut self.rng, (key, units, false), out);
             }
             return self.refuse(view, r.id, wait, out);
         }
-        let open = Open { customer: key.clone(), class, units, due: r.due, ..Open::default() };
+        let open = Open { customer: key.clone(), class, units, due: r.deadline, ..Open::default() };
         let draw = self.rng.f64();
         // Where the fleet is full, what is worth least for its work gives way. The quota has decided before.
         let press = self.fleet.press();
-        let value = |n: usize| set.classes[n].worth / self.means[n].max(1e-6);
+        let value = |n: usize| set.classes[n].priority_weight / self.means[n].max(1e-6);
         let best = (0..self.means.len()).map(value).fold(0.0, f64::max);
         let yields = SHED * press * (1.0 - value(class) / best.max(1e-9)) > self.rng.f64();
         let over = permission && self.permits.len() >= MOST_PERMITS;
@@ -140,11 +144,11 @@
             // The call is the client's own and nobody tells of its end: until it is due, it counts as out.
             self.quota.attempt_out(key);
             self.permits.insert(r.id, key.clone());
-            out.push(Action::SetTimer { at: r.due, token: r.id * 4 + T_PERMIT });
-            return out.push(Action::Permit { id: r.id });
+            out.push(Action::SetTimer { at: r.deadline, token: r.id * 4 + T_PERMIT });
+            return out.push(Action::Authorize { id: r.id });
         }
         self.requests.insert(r.id, open);
-        out.push(Action::SetTimer { at: r.due - 2.0 * set.tick, token: r.id * 4 + T_DUE });
+        out.push(Action::SetTimer { at: r.deadline - 2.0 * set.tick_interval, token: r.id * 4 + T_DUE });
         self.send(view, r.id, server, out);
     }
 
@@ -155,7 +159,7 @@
         }
     }
 
-    fn send(&mut self, View { set, now }: View, id: RequestId, server: ServerId, out: &mut Vec<Action>) {
+    fn send(&mut self, View { set, now }: View, id: RequestId, server: EndpointId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some((zone, cell)) = self.fleet.sent(View { set, now }, &server) else { return };
         let begin_by = r.begin_by(set);
@@ -171,11 +175,11 @@
         self.quota.attempt_out(&r.customer);
         let class = &set.classes[r.class];
         let usual = PATIENCE.0 * self.means[r.class] * r.units.max(1.0);
-        let wait = usual.clamp(PATIENCE.1 * class.aim, PATIENCE.2 * class.aim);
+        let wait = usual.clamp(PATIENCE.1 * class.latency_objective, PATIENCE.2 * class.latency_objective);
         if now + wait < r.due {
             out.push(Action::SetTimer { at: now + wait, token: id * 4 + T_PATIENCE });
         }
-        out.push(Action::Send { id, server, timeout: 0.0, begin_by });
+        out.push(Action::Send { id, endpoint: server, timeout: 0.0, send_deadline: begin_by });
     }
 
     /// Whether the rules let a request go out once more.
@@ -185,10 +189,10 @@
         if r.done || r.streaming || r.attempts.len() as u32 >= set.max_attempts || !time_left {
             return false;
         }
-        match class.effect {
-            Effect::ReadLike => true,
-            Effect::NonIdempotent => !r.may_have_run(),
-            Effect::Keyed => now < r.begin_by(set),
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => !r.may_have_run(),
+            Idempotency::IdempotencyKey => now < r.begin_by(set),
         }
     }
 
@@ -209,15 +213,15 @@
         let View { set, now } = view;
         let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.streaming) else { return };
         let Some(a) = r.attempts.last().filter(|a| a.live) else { return };
-        let (class, aim, server) = (r.class, set.classes[r.class].aim, a.server.clone());
+        let (class, aim, server) = (r.class, set.classes[r.class].latency_objective, a.server.clone());
         let (n, late) = (r.attempts.len() as u32 - 1, now - a.sent);
         let again = self.may_repeat(view, r) && self.retry_saved >= 1.0;
         let usual = self.means[class] * r.units.max(1.0);
-        let own_fault = now <= stalled + set.tick && a.sent < stalled;
+        let own_fault = now <= stalled + set.tick_interval && a.sent < stalled;
         if late < PATIENCE.1 * aim {
             return;
         }
-        let next = if own_fault { now + PERIOD / 10.0 } else { a.sent + aim + set.tick };
+        let next = if own_fault { now + PERIOD / 10.0 } else { a.sent + aim + set.tick_interval };
         if late >= aim {
             return self.write_off(id, n);
         }
@@ -261,10 +265,10 @@
         let Some(a) = r.attempts.get_mut(n as usize).filter(|a| a.live) else { return };
         a.live = false;
         let server = a.server.clone();
-        a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        a.may_have_run = !matches!(outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent);
         let was_done = r.done;
         self.write_off(id, n);
-        let aim = set.classes[class].aim;
+        let aim = set.classes[class].latency_objective;
         let settled = outcome == Outcome::Ok && actual > 0.0 && set.post_paid;
         self.quota.attempt_back(view, &key, if settled { actual - guess } else { 0.0 });
         match outcome {
@@ -278,7 +282,7 @@
                 self.fleet.pace(view, &server, (took, aim), false);
                 self.fleet.answered(view, &server);
             }
-            Outcome::Full => {
+            Outcome::Overloaded => {
                 let first = self.fleet.turned_away(view, &server, class);
                 if first {
                     self.fleet.pace(view, &server, (took, aim), true);
@@ -299,8 +303,9 @@
     fn give_up(&mut self, view: View, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return };
         let class = &view.set.classes[r.class];
-        let shared = class.effect == Effect::Keyed && class.scope == Scope::All;
-        if class.effect == Effect::ReadLike || shared || !r.may_have_run() {
+        let shared = class.idempotency == Idempotency::IdempotencyKey
+            && class.deduplication_scope == DeduplicationScope::All;
+        if class.idempotency == Idempotency::Idempotent || shared || !r.may_have_run() {
             return self.refuse(view, id, 0.0, out);
         }
         out.push(Action::Fail { id });
@@ -314,8 +319,9 @@
 
     fn refuse(&mut self, view: View, id: RequestId, wait: f64, out: &mut Vec<Action>) {
         let set = view.set;
-        let advice = if set.may_advise { wait.clamp(0.0, set.max_advice.max(0.0)) } else { 0.0 };
-        out.push(Action::Refuse { id, retry_after: advice });
+        let advice =
+            if set.may_send_retry_after { wait.clamp(0.0, set.max_retry_after.max(0.0)) } else { 0.0 };
+        out.push(Action::Reject { id, retry_after: advice });
         self.finish(view, id, out);
     }
 
--- a/crates/decision/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -56,7 +56,7 @@
             ticked: now,
             stalled: now,
             life: Life::new(&set, seed, now),
-            follow: set.discovery_on_request,
+            follow: set.polls_discovery,
             lost_list: false,
             set,
         }
@@ -71,27 +71,35 @@
             out.push(Action::SetTimer { at: now + PERIOD / 10.0, token: T_TICK });
         }
         if std::mem::take(&mut self.follow) {
-            out.push(Action::FollowServers);
+            out.push(Action::WatchEndpoints);
         }
         match event {
-            Event::ServerList(entries) => life.fleet.listed(view, &entries, true),
-            Event::ServerChanges(entries) => life.fleet.listed(view, &entries, false),
-            Event::DiscoveryBroken => self.lost_list = true,
+            Event::EndpointList(entries) => life.fleet.listed(view, &entries, true),
+            Event::EndpointChanges(entries) => life.fleet.listed(view, &entries, false),
+            Event::DiscoveryFailed => self.lost_list = true,
             Event::Request(r) => life.admit(view, r, false, out),
-            Event::Permission(r) => life.admit(view, r, true, out),
+            Event::Authorization(r) => life.admit(view, r, true, out),
             Event::StreamStarted { id } => life.streaming(id),
-            Event::AttemptEnded { id, attempt, finished, outcome, took, units, .. } => {
+            Event::AttemptEnded {
+                id,
+                attempt,
+                request_finished: finished,
+                outcome,
+                elapsed: took,
+                units,
+                ..
+            } => {
                 life.ended(view, id, attempt, (finished, outcome, took, units.unwrap_or(0.0)), out);
             }
-            Event::ClientGone { id } => {
+            Event::ClientDisconnected { id } => {
                 life.permit_over(view, id);
                 life.finish(view, id, out);
             }
-            Event::Counted { name, outcome, total, took } => {
+            Event::CounterReply { key: name, outcome, total, elapsed: took } => {
                 life.quota.counted(view, &name, outcome, total, took);
             }
-            Event::KeeperView { share } => life.quota.view = share.clamp(0.0, 1.0),
-            Event::Probed { .. } => {}
+            Event::CounterValidity { usable_quota_ratio: share } => life.quota.view = share.clamp(0.0, 1.0),
+            Event::HealthChecked { .. } => {}
             Event::Timer { token } => match (token % 4, token / 4) {
                 (T_TICK, _) => {
                     // Woken late, with all that came meanwhile: what looks late now is no server's fault.
--- a/crates/decision/src/policy/quota.rs
+++ b/crates/decision/src/policy/quota.rs
@@ -100,14 +100,14 @@
 
     /// Whether this limiter's even share of the plan's burst is less than a unit.
     fn thin(&self, plan: &Plan) -> bool {
-        plan.depth < self.width
+        plan.burst < self.width
     }
 
     /// The share of the tries that goes through where each limiter sees few of them: the quota by all demand,
     /// and what the joint store has over or under what it is steered to. That is the design's limit, on the
     /// mean. A bucket of one request loses what it can't hold, and passes on what others have used up.
     fn part(&self, plan: &Plan, share: f64, t: Totals) -> f64 {
-        (plan.rate * share + (self.store - plan.depth) / STEER) * t.read / t.all.max(1e-6)
+        (plan.rate * share + (self.store - plan.burst) / STEER) * t.read / t.all.max(1e-6)
     }
 
     /// Takes in what all drew since the reading before, or since the name began, which may be later: evenly,
@@ -116,25 +116,25 @@
         // What was drawn under the last name after its reading is not known; it was as it had been.
         let used = self.totals.map_or(rate, |t| t.used / t.read.max(1e-6));
         let unseen = (rate - used) * (start - before).max(0.0);
-        let left = (self.store + unseen).min(plan.depth) + rate * (now - before.max(start)) - drew;
-        self.store = left.clamp(-plan.depth, plan.depth);
+        let left = (self.store + unseen).min(plan.burst) + rate * (now - before.max(start)) - drew;
+        self.store = left.clamp(-plan.burst, plan.burst);
     }
 
     /// Refills the bucket and the ceiling's share; gives the limit and what the bucket may borrow.
     /// Tokens above a lowered depth are kept.
     fn refill(&mut self, plan: &Plan, units: f64, share: f64, known: Option<Totals>, now: f64) -> (f64, f64) {
         let limit = limit(plan.rate, share, self.width, units, known);
-        let burst = limit * plan.depth / plan.rate.max(1e-9);
+        let burst = limit * plan.burst / plan.rate.max(1e-9);
         let filled = self.tokens + limit * (now - self.filled);
         self.tokens = filled.min(burst.max(units).max(self.tokens));
-        let (rate, most) = (plan.hard_rate / self.width, plan.hard_burst / self.width);
+        let (rate, most) = (plan.hard_limit_rate / self.width, plan.hard_limit_burst / self.width);
         self.ceiling = (self.ceiling + rate * (now - self.filled)).min(most);
         self.filled = now;
         // A bucket of less than one request refuses most however idle the quota (the third objection). Others
         // lag behind load that moves here, a restart and lost calls. Harms where many limiters lend the same
         // idle units within a period: that goes beyond the quota.
         let idle = known.map_or(0.0, |t| (share - t.used / plan.rate.max(1e-9)).max(0.0));
-        let most = if burst < units { LOAN.0 * plan.depth } else { LOAN.1 * burst };
+        let most = if burst < units { LOAN.0 * plan.burst } else { LOAN.1 * burst };
         (limit, most * idle)
     }
 }
@@ -173,16 +173,16 @@
     pub fn open(&mut self, View { set, now }: View, key: &Arc<str>, plan: usize, width: u32, units: f64) {
         let born = self.born;
         let p = &set.plans[plan];
-        let width = f64::from(width.clamp(1, set.peers.max(1)));
+        let width = f64::from(width.clamp(1, set.instance_count.max(1)));
         let c = self.customers.entry(key.clone()).or_insert_with(|| Customer {
             plan,
-            tokens: (p.depth / width).max(units),
+            tokens: (p.burst / width).max(units),
             filled: now,
             // A restart must not draw the ceiling's burst anew: the share starts empty with the instance.
-            ceiling: (p.hard_rate / width * (now - born)).min(p.hard_burst / width),
+            ceiling: (p.hard_limit_rate / width * (now - born)).min(p.hard_limit_burst / width),
             next_call: now,
             called: born,
-            store: p.depth,
+            store: p.burst,
             gap: PERIOD,
             base: (i64::MIN, 0.0, 0.0),
             ..Customer::default()
@@ -217,7 +217,7 @@
 
     /// Units one step of the packed number stands for: room for three times the quota in a name's time.
     fn grain(plan: &Plan) -> f64 {
-        ((NAME_TIME * plan.rate * 3.0 + plan.depth) / PACK).max(1.0)
+        ((NAME_TIME * plan.rate * 3.0 + plan.burst) / PACK).max(1.0)
     }
 
     /// Tells the counter of a try, off the request path. A share of the tries calls and stands for all, so
@@ -262,7 +262,11 @@
         c.next_call = now + PERIOD * (0.9 + 0.2 * draw);
         let name = format!("{:016x}.{epoch}", hash(key));
         self.calls.insert(name.clone(), (key.clone(), epoch, used, refused));
-        out.push(Action::Count { name, add: used + refused * PACK, lives: (NAME_TIME * 2.0).min(60.0) });
+        out.push(Action::IncrementCounter {
+            key: name,
+            increment: used + refused * PACK,
+            ttl: (NAME_TIME * 2.0).min(60.0),
+        });
     }
 
     pub fn counted(&mut self, View { set, now }: View, name: &str, outcome: Outcome, total: f64, took: f64) {
@@ -270,7 +274,7 @@
         let quick = ok && took <= CALLS_STEP.2 * set.counter_timeout;
         self.call_share = if quick { self.call_share + CALLS_STEP.0 } else { self.call_share * CALLS_STEP.1 };
         self.call_share = self.call_share.clamp(CALLS.1, 1.0);
-        if outcome != Outcome::Full {
+        if outcome != Outcome::Overloaded {
             self.counter_misses = if ok { 0 } else { self.counter_misses.saturating_add(1) };
         }
         let Some((key, epoch, own_used, own_refused)) = self.calls.remove(name) else { return };
@@ -327,9 +331,10 @@
     pub fn age_out(&mut self, View { set, now }: View) {
         self.customers.retain(|_, c| {
             let (plan, unseen) = (&set.plans[c.plan], now - c.filled);
-            let missing = (plan.depth / c.width).max(set.max_units) - c.tokens;
-            let full = unseen * plan.rate / c.width >= missing && unseen * plan.hard_rate >= plan.hard_burst;
-            c.calling || c.out > 0 || unseen < AGE_OUT || (plan.rate.max(plan.hard_rate) > 0.0 && !full)
+            let missing = (plan.burst / c.width).max(set.max_request_units) - c.tokens;
+            let full = unseen * plan.rate / c.width >= missing
+                && unseen * plan.hard_limit_rate >= plan.hard_limit_burst;
+            c.calling || c.out > 0 || unseen < AGE_OUT || (plan.rate.max(plan.hard_limit_rate) > 0.0 && !full)
         });
     }
 
@@ -354,7 +359,7 @@
         }
         if let Some(t) = known.filter(|_| plan.rate > 0.0 && c.thin(plan)) {
             if rng.f64() >= c.part(plan, share, t) {
-                let missing = units + plan.depth - c.store;
+                let missing = units + plan.burst - c.store;
                 return Err((missing / (plan.rate * share)).max(PERIOD));
             }
             // The joint store covers it: the bucket, which serves while totals are missing, owes nothing.
@@ -365,8 +370,8 @@
             let most = if loan > 0.0 { (c.next_call - now).max(0.0) } else { wait };
             return Err(if c.known().is_none() { 0.0 } else { wait.min(most) });
         }
-        if plan.hard_rate > 0.0 && c.ceiling < units {
-            return Err((units - c.ceiling) / (plan.hard_rate / c.width));
+        if plan.hard_limit_rate > 0.0 && c.ceiling < units {
+            return Err((units - c.ceiling) / (plan.hard_limit_rate / c.width));
         }
         Ok(())
     }
@@ -374,7 +379,7 @@
     /// Whether a customer has its share of the plan's cap out from here, one attempt at least.
     pub fn capped(&self, set: &Settings, key: &Arc<str>) -> bool {
         let Some(c) = self.customers.get(key) else { return true };
-        let (fair, open) = (1.0 / c.width, set.plans[c.plan].open);
+        let (fair, open) = (1.0 / c.width, set.plans[c.plan].concurrency_limit);
         // Own demand is known from this limiter's start, all demand from the name's: the first may be larger.
         let weight = c.known().filter(|t| t.all > 0.0).map_or(fair, |t| (t.own / t.all).min(1.0));
         open > 0.0 && f64::from(c.out) >= (open * weight.max(fair)).round().max(1.0)
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings and load reports as the deployment words them, for every host of the module. Keys not
 //! listed are skipped, missing ones take the type's zero.
 
-use crate::interface::{Class, Effect, LoadReport, Plan, Scope, Settings};
+use crate::interface::{Class, DeduplicationScope, Idempotency, LoadReport, Plan, Settings};
 use serde::{Deserialize, Deserializer};
 
 impl<'de> Deserialize<'de> for Settings {
@@ -16,11 +16,11 @@
         let value = Some(value);
         match name {
             "rif" | "inflight" => self.in_flight = value,
-            "q" | "queue" => self.queue = value,
-            "busy" | "util" => self.busy = value,
+            "q" | "queue" => self.queued = value,
+            "busy" | "util" => self.utilization = value,
             "lat_ms" | "latency_ms" => self.latency = value.map(|v| v / 1000.0),
-            "rate" | "qps" => self.rate = value,
-            "fail_rate" | "eps" => self.errors = value,
+            "rate" | "qps" => self.request_rate = value,
+            "fail_rate" | "eps" => self.error_rate = value,
             _ => {}
         }
     }
@@ -107,61 +107,61 @@
     fn settings(self) -> Settings {
         let class = |c: WireClass| Class {
             name: c.name,
-            aim: c.aim_s,
+            latency_objective: c.aim_s,
             deadline: c.deadline_s,
-            worth: c.worth,
-            late_share: c.late_share,
-            effect: match c.effect.as_str() {
-                "read_like" => Effect::ReadLike,
-                "idempotency_key" => Effect::Keyed,
-                _ => Effect::NonIdempotent,
+            priority_weight: c.worth,
+            late_weight_ratio: c.late_share,
+            idempotency: match c.effect.as_str() {
+                "read_like" => Idempotency::Idempotent,
+                "idempotency_key" => Idempotency::IdempotencyKey,
+                _ => Idempotency::NonIdempotent,
             },
-            scope: match c.group.as_str() {
-                "all" => Scope::All,
-                "zone" => Scope::Zone,
-                _ => Scope::Cell,
+            deduplication_scope: match c.group.as_str() {
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                _ => DeduplicationScope::Cell,
             },
-            window: c.window_s,
+            deduplication_window: c.window_s,
             streaming: c.streaming,
         };
         let plan = |p: WirePlan| Plan {
             name: p.name,
             rate: p.rate,
-            depth: p.depth,
-            open: p.open,
-            hard_rate: p.hard_rate,
-            hard_burst: p.hard_burst,
-            hard_slack: p.cap_slack,
-            price: p.pays,
-            extra_worth: p.extra_worth,
-            excess_cost: p.excess_cost,
+            burst: p.depth,
+            concurrency_limit: p.open,
+            hard_limit_rate: p.hard_rate,
+            hard_limit_burst: p.hard_burst,
+            hard_limit_overdraft: p.cap_slack,
+            weight_multiplier: p.pays,
+            excess_weight_ratio: p.extra_worth,
+            excess_penalty_ratio: p.excess_cost,
         };
         Settings {
-            me: self.me,
-            peers: self.peers_total,
+            instance_index: self.me,
+            instance_count: self.peers_total,
             zone: self.zone,
-            tick: self.period_s,
+            tick_interval: self.period_s,
             classes: self.classes.into_iter().map(class).collect(),
             plans: self.tariffs.into_iter().map(plan).collect(),
-            max_units: self.family_info.max_units,
+            max_request_units: self.family_info.max_units,
             post_paid: self.family_info.post_paid,
             has_counter: self.family_info.has_counter,
             counter_timeout: self.family_info.count_limit_s,
-            discovery_on_request: self.discovery == "on_request",
-            must_ask_in: self.invariants.must_ask_in_s,
-            start_capacity: self.invariants.start_capacity,
-            ramp_time: self.invariants.ramp_time_s,
-            fall_multiple: self.invariants.fall_multiple,
-            overload_for: self.invariants.overload_for_s,
+            polls_discovery: self.discovery == "on_request",
+            max_poll_interval: self.invariants.must_ask_in_s,
+            slow_start_capacity: self.invariants.start_capacity,
+            slow_start_duration: self.invariants.ramp_time_s,
+            overload_multiple: self.invariants.fall_multiple,
+            overload_window: self.invariants.overload_for_s,
             max_attempts: self.limits.max_attempts,
             may_cancel: self.limits.cancel,
-            may_probe: self.limits.may_probe,
-            second_copies: self.limits.second_copies,
-            may_advise: self.limits.retry_after,
-            max_advice: self.limits.max_retry_after_s,
+            may_health_check: self.limits.may_probe,
+            may_hedge: self.limits.second_copies,
+            may_send_retry_after: self.limits.retry_after,
+            max_retry_after: self.limits.max_retry_after_s,
             connect_timeout: self.limits.connect_timeout_s,
-            idle_close: self.limits.idle_close_s,
-            max_open: self.limits.max_open,
+            idle_timeout: self.limits.idle_close_s,
+            max_in_flight: self.limits.max_open,
         }
     }
 }
--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -28,24 +28,29 @@
 /// Limiters on one clock, each with requests of its own.
 struct All {
     limiters: Vec<Host>,
-    list: Vec<ServerEntry>,
+    list: Vec<EndpointEntry>,
     now: f64,
     /// Sends by server.
-    sends: BTreeMap<ServerId, Vec<f64>>,
+    sends: BTreeMap<EndpointId, Vec<f64>>,
     next: u64,
 }
 
 impl All {
-    fn new(peers: u32, list: Vec<ServerEntry>) -> All {
+    fn new(peers: u32, list: Vec<EndpointEntry>) -> All {
         let mut all = All { limiters: Vec::new(), list, now: 100.0, sends: BTreeMap::new(), next: 0 };
         all.limiters = (0..peers).map(|me| all.start(me, peers)).collect();
         all
     }
 
     fn start(&self, me: u32, peers: u32) -> Host {
-        let mut host = Host::new(Settings { peers, me, overload_for: SPAN, ..settings() });
+        let mut host = Host::new(Settings {
+            instance_count: peers,
+            instance_index: me,
+            overload_window: SPAN,
+            ..settings()
+        });
         host.now = self.now;
-        host.event(Event::ServerList(self.list.clone()));
+        host.event(Event::EndpointList(self.list.clone()));
         host
     }
 
@@ -54,11 +59,11 @@
         self.limiters[me] = self.start(me as u32, self.limiters.len() as u32);
     }
 
-    fn tell(&mut self, list: Vec<ServerEntry>) {
+    fn tell(&mut self, list: Vec<EndpointEntry>) {
         self.list = list;
         for host in &mut self.limiters {
             host.now = self.now;
-            host.event(Event::ServerList(self.list.clone()));
+            host.event(Event::EndpointList(self.list.clone()));
         }
     }
 
@@ -88,8 +93,8 @@
     }
 }
 
-fn cold_at(started: f64) -> ServerEntry {
-    server(COLD, "east", ServerState::InService, Some(started))
+fn cold_at(started: f64) -> EndpointEntry {
+    server(COLD, "east", EndpointState::InService, Some(started))
 }
 
 /// The same cases in each run.
@@ -108,10 +113,10 @@
     /// A start that all learn of at once, while every limiter has requests that no warm server takes.
     #[test]
     fn a_start_that_all_learn_of_at_once_is_no_moment_to_rush(peers in 1u32..31, at in 0.0f64..SPAN) {
-        let up = ServerState::InService;
+        let up = EndpointState::InService;
         let warm = vec![server(A, "east", up, None), server(B, "east", up, None)];
         let mut all = All::new(peers, warm.clone());
-        let turned = |server: &str| if server == COLD { Outcome::Ok } else { Outcome::Full };
+        let turned = |server: &str| if server == COLD { Outcome::Ok } else { Outcome::Overloaded };
         let (start, mut told) = (104.0 + at, false);
         // What a warm server is sent, as long as they take their work.
         let each = 40;
@@ -183,7 +188,7 @@
         let mut sent = 0;
         for case in 0..CASES {
             let cold = format!("10.9.0.{case}:1");
-            let mut all = All::new(30, vec![server(&cold, "east", ServerState::InService, Some(100.0))]);
+            let mut all = All::new(30, vec![server(&cold, "east", EndpointState::InService, Some(100.0))]);
             all.now = 104.0 + f64::from(tenth) * 0.1 - 0.05;
             for _ in 0..10 {
                 (0..30).for_each(|me| all.ask(me, |_| Outcome::Ok));
@@ -200,7 +205,7 @@
 /// limiters than were meant to use them.
 #[test]
 fn limiters_that_crowd_on_what_is_left_keep_the_budget() {
-    let up = ServerState::InService;
+    let up = EndpointState::InService;
     let bad = (0..36).map(|n| server(&format!("10.1.0.{n}:1"), "east", up, None));
     let cold = (0..24).map(|n| server(&format!("10.2.0.{n}:1"), "east", up, Some(100.0)));
     let mut all = All::new(120, bad.chain(cold).collect());
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -11,48 +11,55 @@
 pub fn settings() -> Settings {
     let class = |name: &str, effect, scope| Class {
         name: name.into(),
-        aim: 1.0,
+        latency_objective: 1.0,
         deadline: 4.0,
-        worth: 1.0,
-        effect,
-        scope,
-        window: 2.0,
+        priority_weight: 1.0,
+        idempotency: effect,
+        deduplication_scope: scope,
+        deduplication_window: 2.0,
         ..Class::default()
     };
-    let plan = Plan { name: "plain".into(), rate: 10.0, depth: 20.0, price: 1.0, ..Plan::default() };
+    let plan =
+        Plan { name: "plain".into(), rate: 10.0, burst: 20.0, weight_multiplier: 1.0, ..Plan::default() };
     Settings {
-        peers: 2,
+        instance_count: 2,
         zone: "east".into(),
-        tick: 0.002,
+        tick_interval: 0.002,
         classes: vec![
-            class("read", Effect::ReadLike, Scope::All),
-            class("keyed-all", Effect::Keyed, Scope::All),
-            class("keyed-zone", Effect::Keyed, Scope::Zone),
-            class("unsafe", Effect::NonIdempotent, Scope::All),
+            class("read", Idempotency::Idempotent, DeduplicationScope::All),
+            class("keyed-all", Idempotency::IdempotencyKey, DeduplicationScope::All),
+            class("keyed-zone", Idempotency::IdempotencyKey, DeduplicationScope::Zone),
+            class("unsafe", Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         plans: vec![
             plan.clone(),
-            Plan { name: "capped".into(), open: 2.0, ..plan.clone() },
-            Plan { name: "hard".into(), hard_rate: 4.0, hard_burst: 8.0, hard_slack: 1.0, ..plan.clone() },
-            Plan { name: "free".into(), rate: 0.0, depth: 0.0, ..plan },
+            Plan { name: "capped".into(), concurrency_limit: 2.0, ..plan.clone() },
+            Plan {
+                name: "hard".into(),
+                hard_limit_rate: 4.0,
+                hard_limit_burst: 8.0,
+                hard_limit_overdraft: 1.0,
+                ..plan.clone()
+            },
+            Plan { name: "free".into(), rate: 0.0, burst: 0.0, ..plan },
         ],
-        max_units: 4.0,
+        max_request_units: 4.0,
         has_counter: true,
         counter_timeout: 0.05,
-        start_capacity: 0.2,
-        ramp_time: 20.0,
-        fall_multiple: 3.0,
-        overload_for: 2.0,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 20.0,
+        overload_multiple: 3.0,
+        overload_window: 2.0,
         max_attempts: 4,
         may_cancel: true,
-        may_advise: true,
-        max_advice: 2.0,
+        may_send_retry_after: true,
+        max_retry_after: 2.0,
         ..Settings::default()
     }
 }
 
-pub fn server(id: &str, zone: &str, state: ServerState, started: Option<f64>) -> ServerEntry {
-    ServerEntry {
+pub fn server(id: &str, zone: &str, state: EndpointState, started: Option<f64>) -> EndpointEntry {
+    EndpointEntry {
         id: id.into(),
         zone: zone.into(),
         kind: "std".into(),
@@ -78,12 +85,12 @@
 impl Host {
     /// Two servers in the east, one in the west, all warm.
     pub fn new(settings: Settings) -> Self {
-        let up = ServerState::InService;
+        let up = EndpointState::InService;
         let list =
             vec![server(A, "east", up, None), server(B, "east", up, None), server(C, "west", up, None)];
         let limiter = Limiter::new(settings, 7, 100.0);
         let mut host = Host { limiter, now: 100.0, calls: Vec::new(), width: 2, next: 0 };
-        host.event(Event::ServerList(list));
+        host.event(Event::EndpointList(list));
         host
     }
 
@@ -91,7 +98,7 @@
         let mut out = Vec::new();
         self.limiter.handle(self.now, event, &mut out);
         for action in &out {
-            if let Action::Count { name, add, .. } = action {
+            if let Action::IncrementCounter { key: name, increment: add, .. } = action {
                 self.calls.push((name.clone(), *add));
             }
         }
@@ -106,9 +113,9 @@
             plan: plan.into(),
             class: class.into(),
             units,
-            width: self.width,
-            repeat: false,
-            due: self.now + 4.0,
+            reachable_instances: self.width,
+            is_retry: false,
+            deadline: self.now + 4.0,
         };
         (self.next, self.event(Event::Request(request)))
     }
@@ -116,7 +123,15 @@
     pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, units: Option<f64>) -> Vec<Action> {
         let finished = outcome == Outcome::Ok;
         let report = LoadReport::default();
-        self.event(Event::AttemptEnded { id, attempt, finished, outcome, took: 0.05, units, report })
+        self.event(Event::AttemptEnded {
+            id,
+            attempt,
+            request_finished: finished,
+            outcome,
+            elapsed: 0.05,
+            units,
+            report,
+        })
     }
 
     /// Admits and serves at once; true if it was sent.
@@ -139,7 +154,7 @@
         let calls = std::mem::take(&mut self.calls);
         for (name, add) in &calls {
             let (outcome, total) = answer(*add);
-            self.event(Event::Counted { name: name.clone(), outcome, total, took: 0.001 });
+            self.event(Event::CounterReply { key: name.clone(), outcome, total, elapsed: 0.001 });
         }
         calls.len()
     }
@@ -157,13 +172,13 @@
 
 pub fn sent_to(out: &[Action]) -> Option<Arc<str>> {
     out.iter().find_map(|a| match a {
-        Action::Send { server, .. } => Some(server.clone()),
+        Action::Send { endpoint: server, .. } => Some(server.clone()),
         _ => None,
     })
 }
 
 pub fn refused(out: &[Action]) -> usize {
-    out.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    out.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
 pub fn failed(out: &[Action]) -> usize {
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -7,12 +7,12 @@
 #[test]
 fn drained_and_missing_servers_get_nothing_new() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerChanges(vec![server(A, "east", ServerState::Draining, None)]));
+    h.event(Event::EndpointChanges(vec![server(A, "east", EndpointState::Draining, None)]));
     // All are left open, so that an idle server would be chosen.
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.len() > 1 && sent.iter().all(|s| &**s != A), "{sent:?}");
-    h.event(Event::ServerList(vec![server(C, "west", ServerState::InService, None)]));
+    h.event(Event::EndpointList(vec![server(C, "west", EndpointState::InService, None)]));
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.iter().all(|s| &**s == C), "{sent:?}");
@@ -21,8 +21,8 @@
 #[test]
 fn a_cold_server_gets_a_budget_in_any_window() {
     let mut h = Host::new(settings());
-    let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, Some(100.0))]));
+    let up = EndpointState::InService;
+    h.event(Event::EndpointList(vec![server(A, "east", up, None), server(B, "east", up, Some(100.0))]));
     let mut sends = Vec::new();
     let mut out_now = std::collections::VecDeque::new();
     for n in 0..2000 {
@@ -85,8 +85,8 @@
 #[test]
 fn an_attempt_that_hangs_fills_its_window_for_an_aim_at_most() {
     // Guards against hung attempts (incident ief87c6): each would close a small window until its client left.
-    let mut h = Host::new(Settings { peers: 4, ..settings() });
-    h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
+    let mut h = Host::new(Settings { instance_count: 4, ..settings() });
+    h.event(Event::EndpointList(vec![server(A, "east", EndpointState::InService, None)]));
     let (id, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
     assert!(!h.served("d", "plain", 1.0), "the window of one is full");
@@ -108,8 +108,8 @@
     for peers in [2u32, 300] {
         let mut sent = 0;
         for me in 0..peers {
-            let mut h = Host::new(Settings { peers, me, ..settings() });
-            h.event(Event::ServerList(vec![server(B, "east", ServerState::InService, Some(100.0))]));
+            let mut h = Host::new(Settings { instance_count: peers, instance_index: me, ..settings() });
+            h.event(Event::EndpointList(vec![server(B, "east", EndpointState::InService, Some(100.0))]));
             for n in 0..200 {
                 h.now += 0.02;
                 sent += usize::from(h.served(&format!("c{n}"), "plain", 1.0));
@@ -124,8 +124,8 @@
 fn one_class_unanswered_moves_that_class_alone() {
     // Guards against a server that leaves one class unanswered: heard on the others, it counts as alive.
     let mut h = Host::new(settings());
-    let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, None)]));
+    let up = EndpointState::InService;
+    h.event(Event::EndpointList(vec![server(A, "east", up, None), server(B, "east", up, None)]));
     let mut unsafe_at_a = 0;
     for n in 0..60 {
         for class in ["unsafe", "read"] {
@@ -136,7 +136,7 @@
                 unsafe_at_a += u32::from(n >= 20);
                 h.now += 0.7;
                 h.event(Event::Timer { token: id * 4 + 2 });
-                h.event(Event::ClientGone { id });
+                h.event(Event::ClientDisconnected { id });
                 h.end(id, 0, Outcome::Timeout, None);
             } else {
                 h.end(id, 0, Outcome::Ok, None);
@@ -144,7 +144,7 @@
         }
     }
     assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 of the unanswered class");
-    h.event(Event::ServerChanges(vec![server(B, "east", ServerState::Draining, None)]));
+    h.event(Event::EndpointChanges(vec![server(B, "east", EndpointState::Draining, None)]));
     assert_eq!(sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(), Some(A), "it serves the others");
 }
 
@@ -159,14 +159,14 @@
             let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
             sent.push(sent_to(&out));
             let busy = if reports { Some(f64::from(n % 10) / 10.0) } else { None };
-            let report = LoadReport { busy, ..LoadReport::default() };
+            let report = LoadReport { utilization: busy, ..LoadReport::default() };
             let outcome = Outcome::Ok;
             let ended = Event::AttemptEnded {
                 id,
                 attempt: 0,
-                finished: true,
+                request_finished: true,
                 outcome,
-                took: 0.05,
+                elapsed: 0.05,
                 units: None,
                 report,
             };
@@ -182,13 +182,19 @@
     let odd = [
         Settings::default(),
         Settings { classes: vec![Class { name: "read".into(), ..Class::default() }], ..settings() },
-        Settings { ramp_time: 0.0, overload_for: 0.0, fall_multiple: -1.0, peers: 0, ..settings() },
+        Settings {
+            slow_start_duration: 0.0,
+            overload_window: 0.0,
+            overload_multiple: -1.0,
+            instance_count: 0,
+            ..settings()
+        },
         Settings {
             plans: vec![Plan {
                 name: "plain".into(),
                 rate: -1.0,
-                depth: -2.0,
-                hard_rate: -1.0,
+                burst: -2.0,
+                hard_limit_rate: -1.0,
                 ..Plan::default()
             }],
             ..settings()
@@ -198,10 +204,10 @@
         for empty in [true, false] {
             let mut h = Host::new(set.clone());
             if empty {
-                h.event(Event::ServerList(Vec::new()));
+                h.event(Event::EndpointList(Vec::new()));
             } else {
-                let cold = server(B, "east", ServerState::InService, Some(100.0));
-                h.event(Event::ServerList(vec![cold]));
+                let cold = server(B, "east", EndpointState::InService, Some(100.0));
+                h.event(Event::EndpointList(vec![cold]));
             }
             for n in 0..50 {
                 h.now += if n == 25 { 90.0 } else { 0.3 };
@@ -221,7 +227,7 @@
 fn the_ticks_begin_with_the_first_event_however_late_it_comes() {
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut out = Vec::new();
-    limiter.handle(100.2, Event::ServerList(Vec::new()), &mut out);
+    limiter.handle(100.2, Event::EndpointList(Vec::new()), &mut out);
     let ticks = out.iter().filter(|a| matches!(a, Action::SetTimer { at, .. } if *at > 100.2)).count();
     assert_eq!(ticks, 1, "{out:?}");
 }
@@ -229,9 +235,9 @@
 /// Server A is near, the two others far: what can go to A does.
 fn one_near() -> Host {
     let mut h = Host::new(settings());
-    let up = ServerState::InService;
+    let up = EndpointState::InService;
     let far = [C, "10.0.0.4:1"].map(|id| server(id, "west", up, None));
-    h.event(Event::ServerList(far.into_iter().chain([server(A, "east", up, None)]).collect()));
+    h.event(Event::EndpointList(far.into_iter().chain([server(A, "east", up, None)]).collect()));
     h
 }
 
@@ -255,7 +261,7 @@
     let (mut reads, mut others) = (0, 0);
     for n in 0..100 {
         h.now += 0.2;
-        reads += u32::from(asked_at_a(&mut h, n, "read", Outcome::Full));
+        reads += u32::from(asked_at_a(&mut h, n, "read", Outcome::Overloaded));
         // Several at once: each server is needed.
         let asked: Vec<_> = (0..6).map(|c| h.ask(&format!("c{c}"), "plain", "unsafe", 1.0)).collect();
         others += asked.iter().filter(|(_, out)| sent_to(out).as_deref() == Some(A)).count();
@@ -275,7 +281,7 @@
     let mut h = one_near();
     for n in 0..2 {
         h.now += 60.0;
-        assert!(asked_at_a(&mut h, n, "read", Outcome::Full));
+        assert!(asked_at_a(&mut h, n, "read", Outcome::Overloaded));
     }
     h.event(Event::Timer { token: 0 });
     let sent = (0..20).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1));
@@ -290,7 +296,7 @@
         h.now += 0.1;
         let (id, out) = h.ask(&format!("c{n}"), "plain", "unsafe", 1.0);
         let sent = sent_to(&out).is_some();
-        (0..4).for_each(|attempt| drop(h.end(id, attempt, Outcome::Full, None)));
+        (0..4).for_each(|attempt| drop(h.end(id, attempt, Outcome::Overloaded, None)));
         sent
     });
     assert!(sent.count() > 30);
@@ -298,10 +304,10 @@
 
 #[test]
 fn one_of_hundreds_may_have_its_own_peaks_out_while_servers_idle() {
-    let up = ServerState::InService;
+    let up = EndpointState::InService;
     let room = |peers, servers, late: u32| {
-        let mut h = Host::new(Settings { peers, ..settings() });
-        h.event(Event::ServerList(
+        let mut h = Host::new(Settings { instance_count: peers, ..settings() });
+        h.event(Event::EndpointList(
             (0..servers).map(|n| server(&format!("s{n}"), "east", up, None)).collect(),
         ));
         // Some quick answers, then some that waited: only those tell what servers are like.
@@ -309,7 +315,15 @@
             let (id, _) = h.ask("c", "free", "read", 1.0);
             let (took, report) = (if n < 4 { 0.05 } else { 0.9 }, LoadReport::default());
             let (outcome, units) = (Outcome::Ok, None);
-            h.event(Event::AttemptEnded { id, attempt: 0, finished: true, outcome, took, units, report });
+            h.event(Event::AttemptEnded {
+                id,
+                attempt: 0,
+                request_finished: true,
+                outcome,
+                elapsed: took,
+                units,
+                report,
+            });
         }
         (0..60).filter(|n| sent_to(&h.ask(&format!("c{n}"), "free", "read", 1.0).1).is_some()).count()
     };
@@ -324,10 +338,10 @@
 #[test]
 fn one_of_hundreds_opens_and_closes_its_window_within_some_answers() {
     let after = |peers: u32, servers: u32, quick: u32, late: u32| {
-        let mut h = Host::new(Settings { peers, ..settings() });
-        let up = ServerState::InService;
+        let mut h = Host::new(Settings { instance_count: peers, ..settings() });
+        let up = EndpointState::InService;
         let list = (0..servers).map(|n| server(&format!("s{n}"), "east", up, None)).collect();
-        h.event(Event::ServerList(list));
+        h.event(Event::EndpointList(list));
         let mut out = VecDeque::new();
         for n in 0..quick + late {
             // As much is out as may be; then the oldest is answered.
@@ -339,7 +353,15 @@
             }
             let (id, took) = (out.pop_front().expect("one is out"), if n < quick { 0.05 } else { 0.9 });
             let (outcome, units, report) = (Outcome::Ok, None, LoadReport::default());
-            h.event(Event::AttemptEnded { id, attempt: 0, finished: true, outcome, took, units, report });
+            h.event(Event::AttemptEnded {
+                id,
+                attempt: 0,
+                request_finished: true,
+                outcome,
+                elapsed: took,
+                units,
+                report,
+            });
         }
         out.len()
     };
--- a/crates/decision/tests/life.rs
+++ b/crates/decision/tests/life.rs
@@ -13,7 +13,7 @@
 #[test]
 fn nothing_to_send_to_is_refused_once() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerList(Vec::new()));
+    h.event(Event::EndpointList(Vec::new()));
     let (_, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert_eq!((refused(&out), failed(&out), sent_to(&out)), (1, 0, None));
 }
@@ -44,7 +44,7 @@
 fn client_gone_ends_all_duty() {
     let mut h = Host::new(settings());
     let (id, _) = h.ask("c", "plain", "read", 1.0);
-    let out = h.event(Event::ClientGone { id });
+    let out = h.event(Event::ClientDisconnected { id });
     assert_eq!((failed(&out), refused(&out)), (0, 0));
     let out = h.end(id, 0, Outcome::ConnectFailed, None);
     assert_eq!((failed(&out), refused(&out), sent_to(&out)), (0, 0, None));
@@ -52,7 +52,7 @@
 
 #[test]
 fn unsafe_work_goes_out_again_only_if_it_never_ran() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Overloaded, Outcome::ConnectFailed] {
         let mut h = Host::new(settings());
         let (id, _) = h.ask("c", "plain", "unsafe", 1.0);
         assert!(sent_to(&h.end(id, 0, outcome, None)).is_some(), "{outcome:?}");
@@ -67,7 +67,7 @@
 
 #[test]
 fn reads_go_out_again_after_any_failure_until_attempts_run_out() {
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Full] {
+    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Overloaded] {
         let mut h = Host::new(settings());
         let (id, out) = h.ask("c", "plain", "read", 1.0);
         let first = sent_to(&out);
@@ -87,9 +87,9 @@
     let first = sent_to(&out).expect("sent");
     let other = if &*first == A { B } else { A };
     // The only server left of the group drains: it may have run, so no other zone and no refusal.
-    h.event(Event::ServerChanges(vec![
-        server(other, "east", ServerState::Draining, None),
-        server(&first, "east", ServerState::Draining, None),
+    h.event(Event::EndpointChanges(vec![
+        server(other, "east", EndpointState::Draining, None),
+        server(&first, "east", EndpointState::Draining, None),
     ]));
     let out = h.end(id, 0, Outcome::Reset, None);
     assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1));
@@ -119,7 +119,7 @@
 fn what_is_full_or_at_its_cap_asks_back_in_one_answers_time() {
     let advice = |out: &[Action]| {
         out.iter().find_map(|a| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     };
@@ -136,7 +136,7 @@
     let capped = advice(&h.ask("c", "capped", "read", 1.0).1).expect("refused");
     assert!((0.05..0.19).contains(&capped), "{capped}");
     // Not where clients take no advice.
-    let mut h = Host::new(Settings { may_advise: false, ..settings() });
+    let mut h = Host::new(Settings { may_send_retry_after: false, ..settings() });
     h.ask("c", "capped", "read", 1.0);
     assert_eq!(advice(&h.ask("c", "capped", "read", 1.0).1), Some(0.0));
 }
@@ -161,7 +161,7 @@
     };
     for answered in [true, false] {
         let mut h = Host::new(settings());
-        h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
+        h.event(Event::EndpointList(vec![server(A, "east", EndpointState::InService, None)]));
         let (id, out) = h.ask("c", "plain", "read", 1.0);
         assert!(!late(&mut h, id, &out), "one late answer");
         if answered {
@@ -178,7 +178,7 @@
     let run = |stalled: bool| {
         let mut h = Host::new(settings());
         h.event(Event::Timer { token: 0 });
-        h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
+        h.event(Event::EndpointList(vec![server(A, "east", EndpointState::InService, None)]));
         let mut cancels = 0;
         for n in 0..2 {
             let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
--- a/crates/decision/tests/permission.rs
+++ b/crates/decision/tests/permission.rs
@@ -10,19 +10,19 @@
         plan: plan.into(),
         class: "read".into(),
         units,
-        width: h.width,
-        repeat: false,
-        due: h.now + 4.0,
+        reachable_instances: h.width,
+        is_retry: false,
+        deadline: h.now + 4.0,
     }
 }
 
 /// Asks for a permission; whether it was granted. There must be one answer, and nothing may be sent.
 fn permitted(h: &mut Host, id: u64, plan: &str, units: f64) -> bool {
     let question = request(h, id, plan, units);
-    let out = h.event(Event::Permission(question));
+    let out = h.event(Event::Authorization(question));
     assert!(!out.iter().any(|a| matches!(a, Action::Send { .. } | Action::Fail { .. })), "{out:?}");
-    let yes = out.iter().filter(|a| **a == Action::Permit { id }).count();
-    let no = out.iter().filter(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id)).count();
+    let yes = out.iter().filter(|a| **a == Action::Authorize { id }).count();
+    let no = out.iter().filter(|a| matches!(a, Action::Reject { id: i, .. } if *i == id)).count();
     assert_eq!(yes + no, 1, "{out:?}");
     yes == 1
 }
@@ -54,7 +54,7 @@
     assert!(permitted(&mut h, 10, "plain", 1.0));
     assert!(!permitted(&mut h, 11, "plain", 1.0));
     let r = request(&h, 12, "plain", 1.0);
-    assert!(matches!(h.event(Event::Request(r)).last(), Some(Action::Refuse { .. })));
+    assert!(matches!(h.event(Event::Request(r)).last(), Some(Action::Reject { .. })));
 }
 
 #[test]
@@ -93,8 +93,8 @@
     let mut h = Host::new(settings());
     // The cap is 2 over two limiters: one from here.
     let question = request(&h, 1, "capped", 1.0);
-    let out = h.event(Event::Permission(question));
-    assert!(out.contains(&Action::Permit { id: 1 }));
+    let out = h.event(Event::Authorization(question));
+    assert!(out.contains(&Action::Authorize { id: 1 }));
     let tokens: Vec<u64> = timers(&out).into_iter().filter(|t| *t != 0).collect();
     assert_eq!(tokens.len(), 1);
     assert!(!permitted(&mut h, 2, "capped", 1.0));
@@ -104,7 +104,7 @@
     assert!(permitted(&mut h, 4, "capped", 1.0));
     // Over twice is over once: no place is won by it.
     pass(&mut h, 0.0, &tokens);
-    h.event(Event::ClientGone { id: 1 });
+    h.event(Event::ClientDisconnected { id: 1 });
     assert!(!permitted(&mut h, 5, "capped", 1.0));
 }
 
@@ -113,11 +113,11 @@
     let mut h = Host::new(settings());
     assert!(permitted(&mut h, 1, "capped", 4.0));
     assert!(!permitted(&mut h, 2, "capped", 1.0));
-    assert!(h.event(Event::ClientGone { id: 1 }).is_empty());
+    assert!(h.event(Event::ClientDisconnected { id: 1 }).is_empty());
     // 10 held, 4 drawn: the place is free, six units are left.
     for id in 3..=8 {
         assert!(permitted(&mut h, id, "capped", 1.0), "{id}");
-        h.event(Event::ClientGone { id });
+        h.event(Event::ClientDisconnected { id });
     }
     assert!(!permitted(&mut h, 9, "capped", 1.0));
 }
@@ -125,10 +125,10 @@
 #[test]
 fn where_no_server_takes_work_nothing_is_permitted() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerList(vec![server(A, "east", ServerState::Draining, None)]));
+    h.event(Event::EndpointList(vec![server(A, "east", EndpointState::Draining, None)]));
     assert!(!permitted(&mut h, 1, "plain", 1.0));
     // And nothing was drawn for it.
-    h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
+    h.event(Event::EndpointList(vec![server(A, "east", EndpointState::InService, None)]));
     assert!((2..=11).all(|id| permitted(&mut h, id, "plain", 1.0)));
 }
 
@@ -143,6 +143,6 @@
     // Requests go on, and so do permissions once one is over.
     let r = request(&h, 100_002, "free", 1.0);
     assert!(h.event(Event::Request(r)).iter().any(|a| matches!(a, Action::Send { .. })));
-    h.event(Event::ClientGone { id: 7 });
+    h.event(Event::ClientDisconnected { id: 7 });
     assert!(permitted(&mut h, 100_003, "free", 1.0));
 }
