--- a/crates/decision/tests/quota.rs
+++ b/crates/decision/tests/quota.rs
@@ -20,7 +20,7 @@
             total_used += own_used + others_used;
             total_refused += own_refused + own * (all - 1.0) - others_used;
             let total = total_refused.round() * PACK + total_used.round();
-            h.event(Event::Counted { name, outcome: Outcome::Ok, total, took: 0.001 });
+            h.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: 0.001 });
         }
     }
     total_refused.round() * PACK + total_used.round()
@@ -98,7 +98,7 @@
 
 #[test]
 fn an_unanswered_call_is_not_added_again_and_a_rejected_one_is() {
-    for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Full, 1.0)] {
+    for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Overloaded, 1.0)] {
         let mut h = Host::new(settings()).warm();
         h.served("c", "plain", 1.0);
         assert_eq!(h.count(|_| (outcome, 0.0)), 1);
@@ -149,7 +149,7 @@
             h.served(&format!("c{n}"), "plain", 1.0);
             for (name, total) in std::mem::take(&mut h.calls) {
                 made += 1;
-                h.event(Event::Counted { name, outcome: Outcome::Ok, total, took });
+                h.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: took });
             }
         }
         made
@@ -168,7 +168,7 @@
     // Three hundred limiters' worth of one customer's calls, each with mass retries: no step of the refused
     // may show as used, nor the sum pass its seven digits.
     let width = 300;
-    let mut h = Host::new(Settings { peers: width, ..settings() }).warm();
+    let mut h = Host::new(Settings { instance_count: width, ..settings() }).warm();
     h.width = width;
     let (mut used, mut refused, mut name_now) = (0.0, 0.0, String::new());
     for _ in 0..3000 {
@@ -184,7 +184,7 @@
             refused += (add / PACK).floor() * f64::from(width);
             assert!(used < PACK && refused + 1.0 < 10_000_000.0 / PACK, "{used} used, {refused} refused");
             let total = used + refused * PACK;
-            h.event(Event::Counted { name, outcome: Outcome::Ok, total, took: 0.001 });
+            h.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: 0.001 });
         }
     }
 }
@@ -192,7 +192,7 @@
 #[test]
 fn an_idle_customer_is_forgotten_only_when_its_bucket_would_be_full() {
     // A request in two minutes is the fallback here: forgetting it sooner would give a full bucket anew.
-    let mut h = Host::new(Settings { peers: 1200, ..settings() });
+    let mut h = Host::new(Settings { instance_count: 1200, ..settings() });
     h.width = 1200;
     assert!(h.served("c", "plain", 1.0));
     assert!(!h.served("c", "plain", 1.0));
@@ -211,13 +211,13 @@
 #[test]
 fn an_idle_quota_lends_to_a_bucket_of_under_one_request() {
     // The third objection: the bucket holds a tenth of a request, and the quota is known to be idle.
-    let mut h = Host::new(Settings { peers: 200, ..settings() }).warm();
+    let mut h = Host::new(Settings { instance_count: 200, ..settings() }).warm();
     h.width = 200;
     assert!(h.served("c", "plain", 2.0));
     h.count(|add| (Outcome::Ok, add));
     h.now += 1.0;
     assert!(h.served("c", "plain", 2.0), "idle: lent");
-    let mut h = Host::new(Settings { peers: 200, ..settings() }).warm();
+    let mut h = Host::new(Settings { instance_count: 200, ..settings() }).warm();
     h.width = 200;
     h.now = 210.0;
     assert!(h.served("c", "plain", 2.0));
@@ -230,8 +230,15 @@
 fn totals_of_an_unknown_customer_are_ignored() {
     let mut h = Host::new(settings());
     let name = "0123456789abcdef.10".to_string();
-    assert!(h.event(Event::Counted { name, outcome: Outcome::Ok, total: 5.0, took: 0.001 }).is_empty());
-    h.event(Event::Counted { name: "no such form".into(), outcome: Outcome::Ok, total: 5.0, took: 0.001 });
+    assert!(h
+        .event(Event::CounterReply { key: name, outcome: Outcome::Ok, total: 5.0, elapsed: 0.001 })
+        .is_empty());
+    h.event(Event::CounterReply {
+        key: "no such form".into(),
+        outcome: Outcome::Ok,
+        total: 5.0,
+        elapsed: 0.001,
+    });
 }
 
 #[test]
@@ -246,8 +253,8 @@
             hosts[0] = Host::new(settings());
             hosts[0].now = now;
             hosts[0].limiter = Limiter::new(settings(), 8, now);
-            let up = ServerState::InService;
-            hosts[0].event(Event::ServerList(vec![server(A, "east", up, None)]));
+            let up = EndpointState::InService;
+            hosts[0].event(Event::EndpointList(vec![server(A, "east", up, None)]));
         }
         for h in &mut hosts {
             h.now = now;
@@ -276,9 +283,9 @@
         plan: "plain".into(),
         class: "read".into(),
         units: 9.0,
-        width: 50,
-        repeat: false,
-        due: h.now + 1.0,
+        reachable_instances: 50,
+        is_retry: false,
+        deadline: h.now + 1.0,
     };
     assert!(sent_to(&h.event(Event::Request(request))).is_some(), "a bucket of 10, not of 20 / 50");
     assert!(!h.served("c", "plain", 2.0));
@@ -304,7 +311,7 @@
         let mut h = Host::new(settings()).warm();
         settle(&mut h, "c", 1.25, 1.0);
         if let Some(share) = share {
-            h.event(Event::KeeperView { share });
+            h.event(Event::CounterValidity { usable_quota_ratio: share });
         }
         rate(&mut h, "c")
     };
@@ -337,7 +344,7 @@
                 7 => 4.0 * add,
                 _ => total + 4.0 * add,
             };
-            h.event(Event::Counted { name, outcome: Outcome::Ok, total, took: 0.001 });
+            h.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: 0.001 });
         }
     }
     let limit = rate(&mut h, "c");
@@ -348,11 +355,11 @@
 fn a_limiter_that_starts_well_into_a_name_lets_no_more_out_at_once_than_the_cap() {
     // Found by the judge on trial: own demand since the start against all demand since the name began made the share
     // of the cap many times the whole.
-    let mut fresh = Host::new(Settings { peers: 1, ..settings() });
+    let mut fresh = Host::new(Settings { instance_count: 1, ..settings() });
     (fresh.width, fresh.now) = (1, 119.0);
-    fresh.limiter = Limiter::new(Settings { peers: 1, ..settings() }, 7, fresh.now);
-    let up = ServerState::InService;
-    fresh.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, None)]));
+    fresh.limiter = Limiter::new(Settings { instance_count: 1, ..settings() }, 7, fresh.now);
+    let up = EndpointState::InService;
+    fresh.event(Event::EndpointList(vec![server(A, "east", up, None), server(B, "east", up, None)]));
     let mut out = 0;
     for n in 0..40 {
         fresh.now += 0.02;
@@ -373,7 +380,7 @@
 
 /// One of many limiters, of whose customer's demand it sees a part in a thousand.
 fn one_of_many() -> Host {
-    let mut h = Host::new(Settings { peers: 250, ..settings() }).warm();
+    let mut h = Host::new(Settings { instance_count: 250, ..settings() }).warm();
     h.width = 250;
     // To the beginning of a name, so that what is told of it is known from its start.
     h.now = (h.now / 20.0).ceil() * 20.0 + 0.01;
@@ -396,7 +403,7 @@
 #[test]
 fn tries_of_customers_seen_once_are_told_for_all_that_do_not_call() {
     // At first one try in two calls and stands for two: of four units each, eight to be told by one call.
-    let mut h = Host::new(Settings { peers: 250, ..settings() });
+    let mut h = Host::new(Settings { instance_count: 250, ..settings() });
     h.width = 250;
     let mut told = 0.0;
     for n in 0..2000 {
--- a/crates/inventory/tests/routing.rs
+++ b/crates/inventory/tests/routing.rs
@@ -1,48 +1,48 @@
 //! The same twelve nodes in both forms give the same decisions.
 use liftrouter_decision::{
-    Action, Event, Limiter, LoadReport, Outcome, Request, ServerEntry, ServerState, Settings,
+    Action, EndpointEntry, EndpointState, Event, Limiter, LoadReport, Outcome, Request, Settings,
 };
 use liftrouter_inventory::{read, Form, Inventory, State};
 
 fn settings() -> Settings {
     let class = liftrouter_decision::Class {
         name: "quote".into(),
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        worth: 1.0,
+        priority_weight: 1.0,
         ..Default::default()
     };
     let plan = liftrouter_decision::Plan {
         name: "plan".into(),
         rate: 1e6,
-        depth: 1e6,
-        price: 1.0,
+        burst: 1e6,
+        weight_multiplier: 1.0,
         ..Default::default()
     };
     Settings {
-        peers: 2,
+        instance_count: 2,
         zone: "room-a".into(),
-        tick: 0.002,
+        tick_interval: 0.002,
         classes: vec![class],
         plans: vec![plan],
-        max_units: 4.0,
+        max_request_units: 4.0,
         max_attempts: 5,
         may_cancel: true,
-        start_capacity: 0.2,
-        ramp_time: 18.0,
-        fall_multiple: 3.0,
-        overload_for: 2.0,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 18.0,
+        overload_multiple: 3.0,
+        overload_window: 2.0,
         ..Settings::default()
     }
 }
 
-fn entries(inventory: &Inventory) -> Vec<ServerEntry> {
-    let entry = |n: &liftrouter_inventory::Node| ServerEntry {
+fn entries(inventory: &Inventory) -> Vec<EndpointEntry> {
+    let entry = |n: &liftrouter_inventory::Node| EndpointEntry {
         id: n.id.as_str().into(),
         zone: n.zone.as_str().into(),
         kind: n.kind.as_str().into(),
         cell: n.cell.unwrap_or(0),
-        state: if n.state == State::InService { ServerState::InService } else { ServerState::Draining },
+        state: if n.state == State::InService { EndpointState::InService } else { EndpointState::Draining },
         weight: n.weight,
         started: n.started_ms.map(|at| at as f64 / 1e3),
     };
@@ -55,7 +55,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut limiter = Limiter::new(settings(), seed, start);
     let (mut now, mut all, mut out) = (start, Vec::new(), Vec::new());
-    limiter.handle(now, Event::ServerList(entries(inventory)), &mut out);
+    limiter.handle(now, Event::EndpointList(entries(inventory)), &mut out);
     for id in 1..3_000u64 {
         now += 0.004 * rng.f64();
         let request = Request {
@@ -64,9 +64,9 @@
             plan: "plan".into(),
             class: "quote".into(),
             units: 1.0,
-            width: 2,
-            repeat: false,
-            due: now + 2.0,
+            reachable_instances: 2,
+            is_retry: false,
+            deadline: now + 2.0,
         };
         limiter.handle(now, Event::Request(request), &mut out);
         let mut attempt = 0;
@@ -76,8 +76,15 @@
             let breaks = attempt == 0 && rng.f64() < 0.05;
             let outcome = if breaks { Outcome::Reset } else { Outcome::Ok };
             let (took, report) = (0.01 + 0.1 * rng.f64(), LoadReport::default());
-            let ended =
-                Event::AttemptEnded { id, attempt, finished: !breaks, outcome, took, units: None, report };
+            let ended = Event::AttemptEnded {
+                id,
+                attempt,
+                request_finished: !breaks,
+                outcome,
+                elapsed: took,
+                units: None,
+                report,
+            };
             limiter.handle(now, ended, &mut out);
             attempt += 1;
         }
--- a/crates/model/src/counts.rs
+++ b/crates/model/src/counts.rs
@@ -77,7 +77,7 @@
             return Err(Outcome::ConnectFailed);
         }
         if gate.keeper.calls_out >= CALLS {
-            return Err(Outcome::Full);
+            return Err(Outcome::Overloaded);
         }
         gate.keeper.calls_out += 1;
         let life = gate.life();
@@ -142,7 +142,7 @@
             Some((turn, _)) => self.queue.at(turn, What::CallTurn(key)),
             None => {
                 self.call_noted(key, false);
-                self.call_back(key, Outcome::Full, 0.0);
+                self.call_back(key, Outcome::Overloaded, 0.0);
             }
         }
     }
@@ -192,7 +192,7 @@
         let gate = &mut self.gates[usize::from(limiter)];
         gate.keeper.calls_out = gate.keeper.calls_out.saturating_sub(1);
         match outcome {
-            Outcome::Ok | Outcome::Full => {
+            Outcome::Ok | Outcome::Overloaded => {
                 (gate.keeper.kept_until, gate.keeper.failed) = (now + IDLE, 0);
             }
             // Its connection goes with it.
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::links::End;
 use crate::list::{Line, ListEffect, ListEvent, Watcher};
 use crate::world::{What, World};
-use liftrouter_decision::ServerEntry;
+use liftrouter_decision::EndpointEntry;
 use liftrouter_stage::history::Event;
 use liftrouter_stage::schedule::Micros;
 
@@ -72,7 +72,7 @@
     }
 
     /// A line as the decision module knows it.
-    pub(crate) fn entry(&self, line: &Line) -> ServerEntry {
+    pub(crate) fn entry(&self, line: &Line) -> EndpointEntry {
         line.server_entry(self.nodes[usize::from(line.node)].id.clone(), &self.s.rooms)
     }
 }
--- a/crates/model/src/limiters/actions.rs
+++ b/crates/model/src/limiters/actions.rs
@@ -21,9 +21,9 @@
     /// Carries out an action; events that follow at once are added to those that the module is told of.
     pub(super) fn carry_out(&mut self, l: u16, action: Action, events: &mut VecDeque<Event>) {
         match action {
-            Action::Send { id, server, timeout, .. } => self.send(l, id, &server, timeout, events),
-            Action::Permit { id } => self.answer(l, id, 200, 0.0),
-            Action::Refuse { id, retry_after } => self.answer(l, id, 429, retry_after),
+            Action::Send { id, endpoint: server, timeout, .. } => self.send(l, id, &server, timeout, events),
+            Action::Authorize { id } => self.answer(l, id, 200, 0.0),
+            Action::Reject { id, retry_after } => self.answer(l, id, 429, retry_after),
             Action::Fail { id } => self.answer(l, id, 502, 0.0),
             Action::Cancel { id, attempt } => {
                 let running = self.gate(l).running(id);
@@ -31,9 +31,9 @@
                     self.attempt_ended(l, key, AttemptEnd::failed(Outcome::Cancelled), events);
                 }
             }
-            Action::Count { name, add, lives } => {
+            Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
                 if let Err(outcome) = self.call(l, &name, add, lives) {
-                    events.push_back(Event::Counted { name, outcome, total: 0.0, took: 0.0 });
+                    events.push_back(Event::CounterReply { key: name, outcome, total: 0.0, elapsed: 0.0 });
                 }
             }
             Action::SetTimer { at, token } => {
@@ -41,8 +41,8 @@
                 let at = micros(at - EPOCH - gate.skew);
                 self.queue.at(at, What::News(l, gate.life(), In::Timer(token)));
             }
-            Action::Probe { server } => self.probe(l, &server),
-            Action::FollowServers => {}
+            Action::CheckHealth { endpoint: server } => self.probe(l, &server),
+            Action::WatchEndpoints => {}
         }
     }
 
@@ -70,7 +70,7 @@
         let (n, may) = (asked.attempts, asked.may_send(timeout));
         asked.attempts += 1;
         let Some(node) = node_of(server).filter(|_| may) else {
-            return events.push_back(Event::never_sent(id, n));
+            return events.push_back(Event::attempt_not_sent(id, n));
         };
         let limit = if timeout > 0.0 { asked.due.min(now + micros(timeout.min(1e6))) } else { asked.due };
         asked.running = Some(key);
--- a/crates/model/src/limiters/attempts.rs
+++ b/crates/model/src/limiters/attempts.rs
@@ -109,9 +109,9 @@
         events.push_back(Event::AttemptEnded {
             id: request,
             attempt: n,
-            finished,
+            request_finished: finished,
             outcome: end.outcome,
-            took,
+            elapsed: took,
             units: end.units.map(f64::from),
             report: report(end.busy),
         });
--- a/crates/model/src/limiters/events.rs
+++ b/crates/model/src/limiters/events.rs
@@ -32,11 +32,11 @@
             In::Probed { node, stamp, outcome, busy } => {
                 if self.gate(l).servers.end_probe(node, stamp) {
                     let server = self.nodes[usize::from(node)].id.clone();
-                    self.feed(l, Event::Probed { server, outcome, report: report(busy) });
+                    self.feed(l, Event::HealthChecked { endpoint: server, outcome, report: report(busy) });
                 }
             }
             In::Listed(lines) => self.listed(l, false, lines),
-            In::Broken => self.feed(l, Event::DiscoveryBroken),
+            In::Broken => self.feed(l, Event::DiscoveryFailed),
             In::Timer(token) => self.feed(l, Event::Timer { token }),
         }
     }
@@ -57,7 +57,7 @@
         let number = gate.requests.open(id, permission, due);
         let due = gate.clock(due.max(now));
         let request = self.request(number, arrival, due);
-        self.feed(l, if permission { Event::Permission(request) } else { Event::Request(request) });
+        self.feed(l, if permission { Event::Authorization(request) } else { Event::Request(request) });
     }
 
     /// A request as the module knows it.
@@ -69,15 +69,15 @@
             plan: self.s.plans[customer.plan].name.as_str().into(),
             class: self.s.classes[arrival.class].name.as_str().into(),
             units: f64::from(arrival.guess),
-            width: customer.spread as u32,
-            repeat: false,
-            due,
+            reachable_instances: customer.spread as u32,
+            is_retry: false,
+            deadline: due,
         }
     }
 
     fn client_gone(&mut self, l: u16, id: TryId) {
         if let Some(request) = self.gate(l).requests.client_gone(id) {
-            self.feed(l, Event::ClientGone { id: request });
+            self.feed(l, Event::ClientDisconnected { id: request });
             self.gate(l).requests.forget(request);
         }
     }
@@ -90,7 +90,7 @@
 
     fn counted(&mut self, l: u16, call: usize, outcome: Outcome, total: f64) {
         if let Some((name, took)) = self.call_over(call, outcome) {
-            self.feed(l, Event::Counted { name, outcome, total, took });
+            self.feed(l, Event::CounterReply { key: name, outcome, total, elapsed: took });
         }
     }
 
@@ -100,7 +100,7 @@
         let entries: Vec<_> = lines.iter().map(|line| self.entry(line)).collect();
         let removed = self.gate(l).servers.apply(whole, &lines);
         // The module first: what it hears of the ended attempts it answers with others.
-        self.feed(l, if whole { Event::ServerList(entries) } else { Event::ServerChanges(entries) });
+        self.feed(l, if whole { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) });
         for key in self.gate(l).requests.running() {
             let (node, sent) = (self.attempts[key].node, self.attempts[key].sent);
             if removed.gone.contains(&node) || (removed.draining.contains(&node) && !sent) {
--- a/crates/model/src/limiters/servers.rs
+++ b/crates/model/src/limiters/servers.rs
@@ -1,7 +1,7 @@
 //! The servers that a limiter knows, its idle connections to them, and its probes.
 
 use crate::list::Line;
-use liftrouter_decision::ServerState;
+use liftrouter_decision::EndpointState;
 use liftrouter_stage::schedule::Micros;
 use liftrouter_stage::trouble::{Born, Effect};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -12,7 +12,7 @@
 /// A server as a limiter knows it.
 struct Server {
     life: u32,
-    state: ServerState,
+    state: EndpointState,
 }
 
 /// An idle connection.
@@ -53,7 +53,7 @@
 impl Servers {
     /// The life of a server that is in service.
     pub fn in_service(&self, node: u16) -> Option<u32> {
-        self.known.get(&node).filter(|s| s.state == ServerState::InService).map(|s| s.life)
+        self.known.get(&node).filter(|s| s.state == EndpointState::InService).map(|s| s.life)
     }
 
     /// Takes in changes of the list, or all of it.
@@ -77,14 +77,14 @@
     fn apply_line(&mut self, line: &Line, removed: &mut Removed) {
         let (node, state) = (line.node, line.server_state());
         let before = self.known.get(&node).map(|server| server.life);
-        if state != ServerState::InService || before != Some(line.life) {
+        if state != EndpointState::InService || before != Some(line.life) {
             self.idle.remove(&node);
         }
         self.known.insert(node, Server { life: line.life, state });
         match state {
-            ServerState::InService => {}
-            ServerState::Draining => drop(removed.draining.insert(node)),
-            ServerState::Gone => {
+            EndpointState::InService => {}
+            EndpointState::Draining => drop(removed.draining.insert(node)),
+            EndpointState::Removed => {
                 removed.gone.insert(node);
                 self.known.remove(&node);
             }
--- a/crates/model/src/list.rs
+++ b/crates/model/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of servers: takes what happens and the time, and gives what the world is to carry out.
 
-use liftrouter_decision::{ServerEntry, ServerId, ServerState};
+use liftrouter_decision::{EndpointEntry, EndpointId, EndpointState};
 use liftrouter_stage::history::Listed;
 use liftrouter_stage::node::cell;
 use liftrouter_stage::schedule::{micros, Micros};
@@ -23,9 +23,9 @@
 
 impl Line {
     /// As the decision module knows it, by the node's name and the scenario's rooms.
-    pub fn server_entry(&self, id: ServerId, rooms: &[String]) -> ServerEntry {
+    pub fn server_entry(&self, id: EndpointId, rooms: &[String]) -> EndpointEntry {
         let index = usize::from(self.node);
-        ServerEntry {
+        EndpointEntry {
             id,
             zone: rooms[index % rooms.len()].as_str().into(),
             kind: "std".into(),
@@ -37,11 +37,11 @@
     }
 
     /// Its state as the decision module knows it.
-    pub fn server_state(&self) -> ServerState {
+    pub fn server_state(&self) -> EndpointState {
         match self.state {
-            Listed::InService => ServerState::InService,
-            Listed::Draining => ServerState::Draining,
-            Listed::Gone => ServerState::Gone,
+            Listed::InService => EndpointState::InService,
+            Listed::Draining => EndpointState::Draining,
+            Listed::Gone => EndpointState::Removed,
         }
     }
 }
--- a/crates/model/src/nodes.rs
+++ b/crates/model/src/nodes.rs
@@ -5,7 +5,7 @@
 use crate::links::End;
 use crate::list::Line;
 use crate::world::{Reply, What, World, EPOCH};
-use liftrouter_decision::{Outcome, ServerId};
+use liftrouter_decision::{EndpointId, Outcome};
 use liftrouter_stage::history::{Event, Listed, NodeNews, Over};
 use liftrouter_stage::ledger::cold_rule;
 use liftrouter_stage::ledger::stores::ColdBudget;
@@ -72,7 +72,7 @@
 }
 
 pub(crate) struct Node {
-    pub id: ServerId,
+    pub id: EndpointId,
     cores: usize,
     speed: f64,
     pub life: Option<Life>,
@@ -290,7 +290,7 @@
             return;
         }
         if draining || life.cores.jobs() >= room {
-            let reply = Reply { how: Over::Turned, outcome: Outcome::Full, units: None, keeps: true };
+            let reply = Reply { how: Over::Turned, outcome: Outcome::Overloaded, units: None, keeps: true };
             return self.reply_over(key, reply);
         }
         let keyed = self.s.classes[arrival.class].effect != Effect::Safe;
--- a/crates/scale/src/capacity/needs/mod.rs
+++ b/crates/scale/src/capacity/needs/mod.rs
@@ -14,7 +14,7 @@
 const SURVEYS_PER_SECOND: f64 = 20.0;
 /// The longest message of discovery that the program takes, `LONGEST` in `crates/daemon/src/membership/watch.rs`.
 const LONGEST_MESSAGE: f64 = (4 << 20) as f64;
-/// The most members that one knows, `MOST_MEMBERS` in `crates/members/src/swim.rs`.
+/// The most members that one knows, `MOST_MEMBERS` in `crates/cluster/src/swim.rs`.
 const MOST_MEMBERS: f64 = 4_096.0;
 /// The fewest servers that a limiter uses, and limiters that share one: `SUBSET` and `COVER` in
 /// `crates/decision/src/policy/fleet.rs`.
@@ -136,7 +136,7 @@
 const BY_SERVICE: &str =
     "subscriptions by service through relays, with deltas and digests (`crates/catalog`)";
 const COUNTER: &str = "calls of the counter by share of the tries (`Quota` in `crates/decision`)";
-const GOSSIP: &str = "SWIM gossip among all limiters (`crates/members`)";
+const GOSSIP: &str = "SWIM gossip among all limiters (`crates/cluster`)";
 const SETTINGS: &str = "settings read once at start (`Settings` in `crates/decision`)";
 
 /// All needs, in the order of the roles.
--- a/crates/scale/src/run/hollow/limiter.rs
+++ b/crates/scale/src/run/hollow/limiter.rs
@@ -6,14 +6,14 @@
 use crate::run::messages::LimiterStatus;
 use crate::run::settings::settings;
 use crate::run::standin::{list_digest, service_name, ListedServer};
-use liftrouter::inbox::Inbox;
-use liftrouter::membership::discovery::Discovery;
-use liftrouter::membership::upstream::Upstream;
-use liftrouter::peers::keeper::Keeper;
-use liftrouter::peers::keepers::Keepers;
-use liftrouter::peers::servers::Servers;
+use liftrouter::counter::client::CounterClient;
+use liftrouter::counter::pool::CounterPool;
+use liftrouter::discovery::calls::Discovery;
+use liftrouter::discovery::upstream::Upstream;
+use liftrouter::events::EventQueue;
+use liftrouter::upstream::servers::Servers;
 use liftrouter_catalog::Subscription;
-use liftrouter_decision::ServerState;
+use liftrouter_decision::EndpointState;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     ) -> Result<Self, RunError> {
         let settings = settings(number, arguments.peers, arguments.delivery)?;
         let seed = arguments.seed ^ u64::from(number + 1).wrapping_mul(SEED_STEP) ^ u64::from(restarts);
-        let inbox = Inbox::new();
+        let events = EventQueue::new();
         let (discovery, service) = match upstream {
             ListUpstream::Relays(relays) => {
                 let service = number as usize % arguments.services.max(1);
@@ -69,24 +69,24 @@
         };
         let discovery = Rc::new(discovery);
         let upstream = discovery.upstream(ONLY_REGION).clone();
-        let keeper = Keeper::new(Some(arguments.counter), &settings);
-        let keepers = Keepers::new(vec![keeper], None);
+        let keeper = CounterClient::new(Some(arguments.counter), &settings);
+        let keepers = CounterPool::new(vec![keeper], None);
         // No request comes, so no connection to a server is opened.
         let servers = Rc::new(Servers::new(&settings, 0));
         let observed = Rc::new(Observed::new(lags));
         let keeper = ListKeeper::new(
             settings,
             seed,
-            inbox.clone(),
+            events.clone(),
             keepers.clone(),
             servers.clone(),
             observed.clone(),
         );
         let mut tasks = JoinSet::new();
-        tasks.spawn_local(discovery.watch(inbox.clone(), seed));
+        tasks.spawn_local(discovery.watch(events.clone(), seed));
         tasks.spawn_local(keeper.run());
         if let Some(period) = period(arguments.counter_calls_per_second) {
-            tasks.spawn_local(call_counter(inbox, keepers, number, period, seed));
+            tasks.spawn_local(call_counter(events, keepers, number, period, seed));
         }
         Ok(HollowLimiter { number, service, restarts, upstream, servers, observed, _tasks: tasks })
     }
@@ -109,7 +109,7 @@
         let digest = list_digest(places.iter().map(|(id, place)| ListedServer {
             id,
             address: place.address,
-            in_service: place.state == ServerState::InService,
+            in_service: place.state == EndpointState::InService,
         }));
         LimiterStatus {
             number: self.number,
@@ -129,13 +129,19 @@
 }
 
 /// Calls the counter at an even pace, from a random moment on.
-async fn call_counter(inbox: Rc<Inbox>, keepers: Rc<Keepers>, number: u32, period: Duration, seed: u64) {
+async fn call_counter(
+    events: Rc<EventQueue>,
+    keepers: Rc<CounterPool>,
+    number: u32,
+    period: Duration,
+    seed: u64,
+) {
     let offset = period.mul_f64(fastrand::Rng::with_seed(seed).f64());
     let mut ticks = interval_at(Instant::now() + offset, period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         // Where no call can be made now, the next one will be.
-        let _ = keepers.call(&inbox, format!("hollow-{number}"), 1.0, NAME_LIVES_SECONDS);
+        let _ = keepers.call(&events, format!("hollow-{number}"), 1.0, NAME_LIVES_SECONDS);
     }
 }
--- a/crates/scale/src/run/hollow/list_keeper.rs
+++ b/crates/scale/src/run/hollow/list_keeper.rs
@@ -4,10 +4,10 @@
 use super::LagLog;
 use crate::run::messages::LimiterStatus;
 use crate::run::standin::wall_clock_ms;
-use liftrouter::inbox::{Inbox, Listed, News};
-use liftrouter::peers::keepers::Keepers;
-use liftrouter::peers::servers::{Place, Servers};
-use liftrouter_decision::{Action, Event, Limiter, Outcome, ServerState, Settings};
+use liftrouter::counter::pool::CounterPool;
+use liftrouter::events::{EventQueue, HostEvent, ListedEndpoint};
+use liftrouter::upstream::servers::{Place, Servers};
+use liftrouter_decision::{Action, EndpointState, Event, Limiter, Outcome, Settings};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -117,8 +117,8 @@
 /// Tells the decisions of the servers.
 pub struct ListKeeper {
     limiter: Limiter,
-    inbox: Rc<Inbox>,
-    keepers: Rc<Keepers>,
+    events: Rc<EventQueue>,
+    keepers: Rc<CounterPool>,
     servers: Rc<Servers>,
     observed: Rc<Observed>,
     started: Instant,
@@ -131,15 +131,15 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        inbox: Rc<Inbox>,
-        keepers: Rc<Keepers>,
+        events: Rc<EventQueue>,
+        keepers: Rc<CounterPool>,
         servers: Rc<Servers>,
         observed: Rc<Observed>,
     ) -> Self {
         let started_unix_ms = wall_clock_ms();
         ListKeeper {
             limiter: Limiter::new(settings, seed, started_unix_ms as f64 / 1_000.0),
-            inbox,
+            events,
             keepers,
             servers,
             observed,
@@ -152,48 +152,48 @@
     /// Runs for as long as it is polled.
     pub async fn run(mut self) {
         loop {
-            while let Some(news) = self.inbox.take() {
+            while let Some(news) = self.events.pop() {
                 self.hear(news);
             }
             let next = self.timers.peek().map_or_else(|| Instant::now() + FAR, |Reverse((at, _))| *at);
-            let inbox = self.inbox.clone();
+            let events = self.events.clone();
             tokio::select! {
-                () = inbox.some() => {}
+                () = events.wait() => {}
                 () = sleep_until(next) => self.timers_due(),
             }
         }
     }
 
-    fn hear(&mut self, news: News) {
+    fn hear(&mut self, news: HostEvent) {
         match news {
-            News::Listed { whole, servers, .. } => self.listed(whole, servers),
-            News::ListBroken => {
+            HostEvent::EndpointUpdate { whole, endpoints: servers, .. } => self.listed(whole, servers),
+            HostEvent::WatchFailed => {
                 self.observed.list_broken();
-                self.feed(Event::DiscoveryBroken);
+                self.feed(Event::DiscoveryFailed);
             }
-            News::ListExpired => self.observed.list_expired(),
-            News::ListConfirmed => self.observed.list_confirmed(),
-            News::Counted { name, outcome, total, took } => {
+            HostEvent::EndpointListExpired => self.observed.list_expired(),
+            HostEvent::EndpointListConfirmed => self.observed.list_confirmed(),
+            HostEvent::CounterReply { key: name, outcome, total, elapsed: took } => {
                 self.observed.counted(outcome);
-                self.feed(Event::Counted { name, outcome, total, took: took.as_secs_f64() });
+                self.feed(Event::CounterReply { key: name, outcome, total, elapsed: took.as_secs_f64() });
             }
             // There are no requests, attempts or probes.
             _ => {}
         }
     }
 
-    fn listed(&mut self, whole: bool, servers: Vec<Listed>) {
+    fn listed(&mut self, whole: bool, servers: Vec<ListedEndpoint>) {
         if whole {
             let named: std::collections::HashSet<_> = servers.iter().map(|listed| &listed.entry.id).collect();
             let held = self.servers.ids();
             held.iter().filter(|id| !named.contains(id)).for_each(|id| self.servers.remove(id));
         }
-        for Listed { entry, address } in &servers {
+        for ListedEndpoint { entry, address } in &servers {
             self.servers.place(&entry.id, Place { address: *address, state: entry.state });
         }
         let changed_at_ms: Vec<u64> = servers.iter().map(changed_at_ms).collect();
         let entries = servers.into_iter().map(|listed| listed.entry).collect();
-        self.feed(if whole { Event::ServerList(entries) } else { Event::ServerChanges(entries) });
+        self.feed(if whole { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) });
         self.observed.in_force(whole, &changed_at_ms);
     }
 
@@ -218,10 +218,15 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::SetTimer { at, token } => self.timers.push(Reverse((self.instant(at), token))),
-            Action::Count { name, add, lives } => {
-                if let Err(outcome) = self.keepers.call(&self.inbox, name.clone(), add, lives) {
+            Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
+                if let Err(outcome) = self.keepers.call(&self.events, name.clone(), add, lives) {
                     let took = Duration::ZERO;
-                    self.inbox.push(News::Counted { name, outcome, total: 0.0, took });
+                    self.events.push(HostEvent::CounterReply {
+                        key: name,
+                        outcome,
+                        total: 0.0,
+                        elapsed: took,
+                    });
                 }
             }
             // There are no requests, and probes are not allowed.
@@ -242,9 +247,9 @@
 
 /// When a server changed at the source, which its start tells; 0 where that is not known. What is told of one that
 /// is gone has its former start.
-fn changed_at_ms(listed: &Listed) -> u64 {
+fn changed_at_ms(listed: &ListedEndpoint) -> u64 {
     match listed.entry.state {
-        ServerState::Gone => 0,
+        EndpointState::Removed => 0,
         _ => listed.entry.started.map_or(0, |seconds| (seconds * 1_000.0).round() as u64),
     }
 }
--- a/crates/scale/src/slopes/decision.rs
+++ b/crates/scale/src/slopes/decision.rs
@@ -2,7 +2,7 @@
 
 use super::process::{cpu_time, mean_cpu_us, MeasureError, Reading};
 use super::workload::{self, Driver};
-use liftrouter_decision::{Event, ServerEntry, ServerState};
+use liftrouter_decision::{EndpointEntry, EndpointState, Event};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 pub fn measure(servers: usize, limiters: u32, seed: u64) -> Result<Vec<Reading>, MeasureError> {
     let entries = workload::servers(servers, seed);
     let mut driver = Driver::new(workload::settings(limiters), limiters, seed);
-    driver.event(Event::ServerList(entries.clone()));
+    driver.event(Event::EndpointList(entries.clone()));
     let decision = decision_us(&mut driver)?;
     let survey = mean_cpu_us(|| driver.tick());
     Ok(vec![
@@ -52,20 +52,20 @@
 }
 
 /// Processor time of a message that names one server.
-fn change_us(driver: &mut Driver, entries: &[ServerEntry]) -> f64 {
+fn change_us(driver: &mut Driver, entries: &[EndpointEntry]) -> f64 {
     let mut entry = entries[entries.len() / 2].clone();
     mean_event_us(driver, || {
         entry.state = match entry.state {
-            ServerState::InService => ServerState::Draining,
-            _ => ServerState::InService,
+            EndpointState::InService => EndpointState::Draining,
+            _ => EndpointState::InService,
         };
-        Event::ServerChanges(vec![entry.clone()])
+        Event::EndpointChanges(vec![entry.clone()])
     })
 }
 
 /// Processor time of a message that names all servers.
-fn whole_list_us(driver: &mut Driver, entries: &[ServerEntry]) -> f64 {
-    mean_event_us(driver, || Event::ServerList(entries.to_vec()))
+fn whole_list_us(driver: &mut Driver, entries: &[EndpointEntry]) -> f64 {
+    mean_event_us(driver, || Event::EndpointList(entries.to_vec()))
 }
 
 /// Mean processor time of taking in an event, without that of making it.
--- a/crates/scale/src/slopes/gossip.rs
+++ b/crates/scale/src/slopes/gossip.rs
@@ -1,9 +1,9 @@
 //! Traffic and state of gossip between members, in simulated time. No duties: there are no voters.
 
 use super::process::{cpu_time, resident, MeasureError, Reading};
-use liftrouter_members::lease::Terms;
-use liftrouter_members::swim::Pace;
-use liftrouter_members::{Input, Members, Micros, Output, Settings};
+use liftrouter_cluster::lease::Terms;
+use liftrouter_cluster::swim::Pace;
+use liftrouter_cluster::{Input, Members, Micros, Output, Settings};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
--- a/crates/scale/src/slopes/list_memory.rs
+++ b/crates/scale/src/slopes/list_memory.rs
@@ -2,7 +2,7 @@
 
 use super::process::{resident, MeasureError, Reading};
 use super::workload::{self, Driver};
-use liftrouter::membership::update::listed;
+use liftrouter::discovery::update::listed;
 use liftrouter_catalog::{Replica, Update};
 use liftrouter_decision::Event;
 use std::hint::black_box;
@@ -14,7 +14,7 @@
 pub fn limiter(servers: usize, seed: u64) -> Result<Vec<Reading>, MeasureError> {
     let mut driver = Driver::new(workload::settings(workload::LIMITERS), 1, seed);
     let before = resident()?;
-    driver.event(Event::ServerList(workload::servers(servers, seed)));
+    driver.event(Event::EndpointList(workload::servers(servers, seed)));
     let after = resident()?;
     black_box(&driver.limiter);
     Ok(vec![Reading::new("limiter.resident_kb", after.now_kb - before.now_kb)])
@@ -56,7 +56,7 @@
     let mut replica = Replica::new();
     read_into(&mut replica, &text)?;
     let entries = replica.instances().map(|instance| listed(instance).entry).collect();
-    driver.event(Event::ServerList(entries));
+    driver.event(Event::EndpointList(entries));
     let after = resident()?;
     black_box((&driver.limiter, &replica, &text));
     Ok(vec![Reading::new("intake.peak_kb", after.peak_kb - before.now_kb)])
--- a/crates/scale/src/slopes/quota.rs
+++ b/crates/scale/src/slopes/quota.rs
@@ -27,7 +27,7 @@
     play.warm_up();
     play.run();
     let plan = &quota_settings(limiters as u32).plans[0];
-    let allowed = TENANTS as f64 * (plan.rate * PLAYED + plan.depth);
+    let allowed = TENANTS as f64 * (plan.rate * PLAYED + plan.burst);
     vec![
         Reading::new("quota.admitted_ratio", play.sent as f64 / allowed),
         Reading::new("quota.calls_per_request", play.calls as f64 / play.asked as f64),
@@ -50,7 +50,7 @@
         let width = limiters as u32;
         let driver = |index: usize| {
             let mut driver = Driver::new(quota_settings(width), width, seed ^ index as u64);
-            driver.event(Event::ServerList(workload::servers(SERVERS, seed)));
+            driver.event(Event::EndpointList(workload::servers(SERVERS, seed)));
             driver
         };
         Play {
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -74,7 +74,7 @@
         settings.plans.insert(place, liftrouter_decision::Plan { name: other("plan"), ..plan.clone() });
     }
     let mut driver = Driver::new(settings, 1, seed);
-    driver.event(Event::ServerList(workload::servers(SERVERS, seed)));
+    driver.event(Event::EndpointList(workload::servers(SERVERS, seed)));
     Ok(vec![
         Reading::new("start.cpu_us", start),
         Reading::new("settings.bytes", text.len() as f64),
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -19,7 +19,8 @@
 
 /// Settings with one plan that has a quota: twice what the mean tenant asks for (4.2 requests a second).
 pub fn quota_settings(limiters: u32) -> Settings {
-    let plan = Plan { name: "quota".into(), rate: 8.4, depth: 30.0, price: 1.0, ..Plan::default() };
+    let plan =
+        Plan { name: "quota".into(), rate: 8.4, burst: 30.0, weight_multiplier: 1.0, ..Plan::default() };
     Settings { plans: vec![plan], has_counter: true, ..workload::settings(limiters) }
 }
 
@@ -47,7 +48,7 @@
 /// Memory cannot be read.
 pub fn memory(tenants: usize, width: u32, seed: u64) -> Result<Vec<Reading>, MeasureError> {
     let mut driver = Driver::new(quota_settings(workload::LIMITERS), width, seed);
-    driver.event(Event::ServerList(workload::servers(SERVERS, seed)));
+    driver.event(Event::EndpointList(workload::servers(SERVERS, seed)));
     let (plan, class): (Arc<str>, Arc<str>) = ("quota".into(), "read".into());
     let before = resident()?;
     for index in 0..tenants {
@@ -102,7 +103,7 @@
 impl Play {
     fn new(tenants: usize, width: u32, seed: u64) -> Self {
         let mut driver = Driver::new(quota_settings(workload::LIMITERS), width, seed);
-        driver.event(Event::ServerList(workload::servers(SERVERS, seed)));
+        driver.event(Event::EndpointList(workload::servers(SERVERS, seed)));
         Play {
             next_survey: driver.now,
             driver,
--- a/crates/scale/src/slopes/workload.rs
+++ b/crates/scale/src/slopes/workload.rs
@@ -1,8 +1,8 @@
 //! Synthetic settings, lists of servers and requests, the same for the same seed.
 
 use liftrouter_decision::{
-    Action, Class, Effect, Event, Limiter, LoadReport, Outcome, Plan, Request, Scope, ServerEntry,
-    ServerState, Settings,
+    Action, Class, DeduplicationScope, EndpointEntry, EndpointState, Event, Idempotency, Limiter, LoadReport,
+    Outcome, Plan, Request, Settings,
 };
 use serde_json::{json, Value};
 use std::sync::Arc;
@@ -26,30 +26,30 @@
 pub fn settings(limiters: u32) -> Settings {
     let class = Class {
         name: "read".into(),
-        aim: 1.0,
+        latency_objective: 1.0,
         deadline: 4.0,
-        worth: 1.0,
-        effect: Effect::ReadLike,
-        scope: Scope::All,
-        window: 2.0,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 2.0,
         ..Class::default()
     };
     Settings {
-        peers: limiters,
+        instance_count: limiters,
         zone: ZONES[0].into(),
-        tick: 0.002,
+        tick_interval: 0.002,
         classes: vec![class],
-        plans: vec![Plan { name: "open".into(), price: 1.0, ..Plan::default() }],
-        max_units: 4.0,
+        plans: vec![Plan { name: "open".into(), weight_multiplier: 1.0, ..Plan::default() }],
+        max_request_units: 4.0,
         counter_timeout: 0.05,
-        start_capacity: 0.2,
-        ramp_time: 20.0,
-        fall_multiple: 3.0,
-        overload_for: 2.0,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 20.0,
+        overload_multiple: 3.0,
+        overload_window: 2.0,
         max_attempts: 4,
         may_cancel: true,
-        may_advise: true,
-        max_advice: 2.0,
+        may_send_retry_after: true,
+        max_retry_after: 2.0,
         ..Settings::default()
     }
 }
@@ -61,16 +61,16 @@
 }
 
 /// A list of servers in service, spread over all zones.
-pub fn servers(count: usize, seed: u64) -> Vec<ServerEntry> {
+pub fn servers(count: usize, seed: u64) -> Vec<EndpointEntry> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let zones: Vec<Arc<str>> = ZONES.iter().map(|zone| Arc::from(*zone)).collect();
     let kind: Arc<str> = "standard-8".into();
-    let entry = |index| ServerEntry {
+    let entry = |index| EndpointEntry {
         id: server_name(index).into(),
         zone: zones[rng.usize(..zones.len())].clone(),
         kind: kind.clone(),
         cell: rng.usize(..CELLS) as i64,
-        state: ServerState::InService,
+        state: EndpointState::InService,
         weight: 1.0,
         started: None,
     };
@@ -165,16 +165,18 @@
             plan: plan.clone(),
             class: class.clone(),
             units: 1.0,
-            width: self.width,
-            repeat: false,
-            due: self.now + 4.0,
+            reachable_instances: self.width,
+            is_retry: false,
+            deadline: self.now + 4.0,
         };
         self.event(Event::Request(request));
         let mut decided = Decided::default();
         for action in self.actions.drain(..) {
             match action {
                 Action::Send { .. } => decided.sent = true,
-                Action::Count { name, add, .. } => decided.count = Some(CounterCall { name, add }),
+                Action::IncrementCounter { key: name, increment: add, .. } => {
+                    decided.count = Some(CounterCall { name, add })
+                }
                 _ => {}
             }
         }
@@ -188,9 +190,9 @@
         self.event(Event::AttemptEnded {
             id,
             attempt: 0,
-            finished: true,
+            request_finished: true,
             outcome: Outcome::Ok,
-            took: SERVICE_TIME,
+            elapsed: SERVICE_TIME,
             units: None,
             report: LoadReport::default(),
         });
@@ -198,7 +200,7 @@
 
     /// The counter's answer to a call.
     pub fn counted(&mut self, name: String, total: f64) {
-        self.event(Event::Counted { name, outcome: Outcome::Ok, total, took: COUNTER_TIME });
+        self.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: COUNTER_TIME });
     }
 
     /// Lets the time to the next request at the mean rate pass.
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,6 +1,8 @@
 //! The wire's words: lines to events and settings, actions to lines.
 
-use liftrouter_decision::{Action, Event, LoadReport, Outcome, Request, ServerEntry, ServerState, Settings};
+use liftrouter_decision::{
+    Action, EndpointEntry, EndpointState, Event, LoadReport, Outcome, Request, Settings,
+};
 use std::io::{self, Write};
 use std::sync::Arc;
 
@@ -92,7 +94,7 @@
     instance: u32,
     kind: ListKind,
     left: usize,
-    entries: Vec<ServerEntry>,
+    entries: Vec<EndpointEntry>,
 }
 
 enum ListKind {
@@ -111,13 +113,13 @@
             return Err(format!("{:?} where {} more ITEM lines are due", line.word(), self.left));
         }
         let state = match line.part(5, "status")? {
-            "in_service" => Some(ServerState::InService),
-            "terminating" => Some(ServerState::Draining),
+            "in_service" => Some(EndpointState::InService),
+            "terminating" => Some(EndpointState::Draining),
             // A state this host does not know is no state to send work to.
-            _ => Some(ServerState::Gone),
+            _ => Some(EndpointState::Removed),
         };
         if let Some(state) = state {
-            self.entries.push(ServerEntry {
+            self.entries.push(EndpointEntry {
                 id: line.part(1, "server")?.into(),
                 zone: line.part(2, "region-part")?.into(),
                 kind: line.part(3, "flavor")?.into(),
@@ -133,9 +135,9 @@
 
     pub fn into_event(self) -> (u32, Event) {
         let event = match self.kind {
-            ListKind::Whole => Event::ServerList(self.entries),
-            ListKind::Patch => Event::ServerChanges(self.entries),
-            ListKind::Broken => Event::DiscoveryBroken,
+            ListKind::Whole => Event::EndpointList(self.entries),
+            ListKind::Patch => Event::EndpointChanges(self.entries),
+            ListKind::Broken => Event::DiscoveryFailed,
         };
         (self.instance, event)
     }
@@ -197,9 +199,9 @@
             instance,
             Event::Request(Request {
                 id: handle()?,
-                repeat: line.flag(4, "repeat")?,
-                due: line.number(5, "due-s")?,
-                width: line.number(6, "width")?.max(1.0) as u32,
+                is_retry: line.flag(4, "repeat")?,
+                deadline: line.number(5, "due-s")?,
+                reachable_instances: line.number(6, "width")?.max(1.0) as u32,
                 units: line.number(7, "weight")?,
                 plan: line.part(9, "contract")?.into(),
                 class: line.part(10, "profile")?.into(),
@@ -212,25 +214,25 @@
             Event::AttemptEnded {
                 id: handle()?,
                 attempt: line.integer(3, "n")?,
-                finished: line.flag(5, "final")?,
-                took: line.number(7, "time-taken-s")?,
+                request_finished: line.flag(5, "final")?,
+                elapsed: line.number(7, "time-taken-s")?,
                 outcome: outcome(line, 8)?,
                 units: line.optional_number(9, "actual")?.filter(|u| *u > 0.0),
                 report: report(line, 10)?,
             },
         ),
-        "CLIENT_GONE" => Message::Event(instance, Event::ClientGone { id: handle()? }),
+        "CLIENT_GONE" => Message::Event(instance, Event::ClientDisconnected { id: handle()? }),
         "TOTAL" => {
             let outcome = outcome(line, 3)?;
             let total = line.optional_number(2, "level")?.unwrap_or(0.0);
             let took = line.optional_number(4, "time-taken-s")?.unwrap_or(0.0);
             let name = line.part(5, "counter")?.into();
-            Message::Event(instance, Event::Counted { name, outcome, total, took })
+            Message::Event(instance, Event::CounterReply { key: name, outcome, total, elapsed: took })
         }
         "HEALTH_RESULT" => Message::Event(
             instance,
-            Event::Probed {
-                server: Arc::from(line.part(2, "server")?),
+            Event::HealthChecked {
+                endpoint: Arc::from(line.part(2, "server")?),
                 outcome: outcome(line, 4)?,
                 report: report(line, 5)?,
             },
@@ -248,12 +250,12 @@
     Ok(match line.integer::<u32>(n, "code")? {
         100 => Outcome::Ok,
         301 => Outcome::Error,
-        302 => Outcome::Full,
+        302 => Outcome::Overloaded,
         303 => Outcome::Timeout,
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         other => return Err(line.fault("code", &format!("unknown: {other}"))),
     })
 }
@@ -273,17 +275,19 @@
 pub fn write(out: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
     match action {
         // The wire has no word for the time by which it is to be written.
-        Action::Send { id, server, timeout, .. } => {
+        Action::Send { id, endpoint: server, timeout, .. } => {
             writeln!(out, "ASSIGN {instance} {id} {timeout} {server}")
         }
         // The simulator asks for no permissions, and its protocol has no word for them.
-        Action::Permit { .. } => Ok(()),
-        Action::Refuse { id, retry_after } => writeln!(out, "SAY_NO {instance} {id} {retry_after}"),
+        Action::Authorize { .. } => Ok(()),
+        Action::Reject { id, retry_after } => writeln!(out, "SAY_NO {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(out, "END_FAILED {instance} {id}"),
         Action::Cancel { id, attempt } => writeln!(out, "STOP_ATTEMPT {instance} {id} {attempt}"),
-        Action::Count { name, add, lives } => writeln!(out, "INCR {instance} {name} {add} {lives}"),
+        Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
+            writeln!(out, "INCR {instance} {name} {add} {lives}")
+        }
         Action::SetTimer { at, token } => writeln!(out, "DEFER {instance} {at} {token}"),
-        Action::Probe { server } => writeln!(out, "TEST {instance} {server}"),
-        Action::FollowServers => writeln!(out, "FOLLOW {instance} 1"),
+        Action::CheckHealth { endpoint: server } => writeln!(out, "TEST {instance} {server}"),
+        Action::WatchEndpoints => writeln!(out, "FOLLOW {instance} 1"),
     }
 }
--- a/crates/stage/src/ledger/quota.rs
+++ b/crates/stage/src/ledger/quota.rs
@@ -1,12 +1,12 @@
 //! Quotas held against the error that is stated for them: what came to nodes beyond a customer's quota, and what was
-//! refused inside it, beside the bounds of [`liftrouter_keeper::Bound`] for the faults that were played.
+//! refused inside it, beside the bounds of [`liftrouter_counter::Bound`] for the faults that were played.
 
 use super::book::Book;
 use super::stores::Store;
 use super::{fate, Facts, Fate};
 use crate::scenario::Kind;
 use crate::schedule::{seconds, Arrival, Customer, Micros, Peer, Planned, MOST_UNITS};
-use liftrouter_keeper::{Bound, Fault, Quota, Timing};
+use liftrouter_counter::{Bound, Fault, Quota, Timing};
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 
--- a/crates/disk/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -8,7 +8,7 @@
 //! wrong with it, by file and byte. See `docs/design/disk.md`.
 //!
 //! ```
-//! use liftrouter_disk::{Disk, Log, Memory};
+//! use liftrouter_storage::{Disk, Log, Memory};
 //!
 //! let mut disk = Memory::new(7);
 //! let (mut log, found) = Log::open(&mut disk, "record", 1).expect("it can be opened");
--- a/crates/disk/tests/defence.rs
+++ b/crates/storage/tests/defence.rs
@@ -1,6 +1,6 @@
 //! Each lie is told to a reader without defence, which loses or takes wrong data, and to one with it, which does not.
 
-use liftrouter_disk::{Disk, Folder, Lie, Lies, Log, Lying, Memory, Snapshots, Tail};
+use liftrouter_storage::{Disk, Folder, Lie, Lies, Log, Lying, Memory, Snapshots, Tail};
 use proptest::prelude::*;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
 fn folder() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
-    std::env::temp_dir().join(format!("liftrouter-disk-{}-{n}", std::process::id()))
+    std::env::temp_dir().join(format!("liftrouter-storage-{}-{n}", std::process::id()))
 }
 
 /// A log with some entries that last.
