--- /dev/null
+++ b/crates/decision/src/interface/load_report.rs
@@ -0,0 +1,34 @@
+//! Load that an endpoint reports about itself.
+
+/// An endpoint's report of its load; values that it did not give are `None`.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoadReport {
+    /// Requests in flight at the endpoint.
+    pub in_flight: Option<f64>,
+    /// Requests queued there.
+    pub queued: Option<f64>,
+    /// Share of its cores in use, from 0 to 1.
+    pub utilization: Option<f64>,
+    /// Recent service time in seconds.
+    pub latency: Option<f64>,
+    /// Requests a second.
+    pub request_rate: Option<f64>,
+    /// Errors a second.
+    pub error_rate: Option<f64>,
+}
+
+impl LoadReport {
+    /// Sets one value by its name in the settings or in the endpoints' responses; other names are skipped.
+    pub fn set(&mut self, name: &str, value: f64) {
+        let value = Some(value);
+        match name {
+            "rif" | "inflight" => self.in_flight = value,
+            "q" | "queue" => self.queued = value,
+            "busy" | "util" => self.utilization = value,
+            "lat_ms" | "latency_ms" => self.latency = value.map(|milliseconds| milliseconds / 1000.0),
+            "rate" | "qps" => self.request_rate = value,
+            "fail_rate" | "eps" => self.error_rate = value,
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/interface/mod.rs
@@ -0,0 +1,15 @@
+//! What goes into and comes out of the decision module: settings, events and actions. No decisions here.
+//!
+//! Times are seconds on the host's clock; durations are seconds.
+
+mod action;
+mod endpoint;
+mod event;
+mod load_report;
+mod settings;
+
+pub use action::Action;
+pub use endpoint::{EndpointEntry, EndpointId, EndpointState};
+pub use event::{Event, Outcome, Request, RequestId};
+pub use load_report::LoadReport;
+pub use settings::{Class, DeduplicationScope, Idempotency, Plan, Settings};
--- /dev/null
+++ b/crates/decision/src/interface/settings/wire.rs
@@ -0,0 +1,204 @@
+//! The names of the settings on the wire, mapped to the fields of [`Settings`].
+//!
+//! A key that is not listed here is skipped; a missing one takes the zero of its type. The names are fixed by the
+//! deployments that write them; `tests/settings.rs` compares each with its field.
+
+use super::{Class, DeduplicationScope, Idempotency, Plan, Settings};
+use serde::{Deserialize, Deserializer};
+
+impl<'de> Deserialize<'de> for Settings {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        WireSettings::deserialize(deserializer).map(Settings::from)
+    }
+}
+
+#[derive(Deserialize, Default)]
+#[serde(default, rename_all = "kebab-case", expecting = "the settings")]
+struct WireSettings {
+    #[serde(rename = "me")]
+    instance_index: u32,
+    #[serde(rename = "peers-total")]
+    instance_count: u32,
+    zone: String,
+    #[serde(rename = "period-s")]
+    tick_interval: f64,
+    discovery: String,
+    classes: Vec<WireClass>,
+    #[serde(rename = "tariffs")]
+    plans: Vec<WirePlan>,
+    #[serde(rename = "family-info")]
+    accounting: WireAccounting,
+    #[serde(rename = "invariants")]
+    rules: WireRules,
+    limits: WireLimits,
+}
+
+#[derive(Deserialize, Default)]
+#[serde(default, rename_all = "kebab-case", expecting = "a request class")]
+struct WireClass {
+    name: String,
+    #[serde(rename = "aim-s")]
+    latency_objective: f64,
+    #[serde(rename = "deadline-s")]
+    deadline: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
+    #[serde(rename = "late-share")]
+    late_weight_ratio: f64,
+    #[serde(rename = "effect")]
+    idempotency: String,
+    #[serde(rename = "group")]
+    deduplication_scope: String,
+    #[serde(rename = "window-s")]
+    deduplication_window: f64,
+    streaming: bool,
+}
+
+#[derive(Deserialize, Default)]
+#[serde(default, rename_all = "kebab-case", expecting = "a plan")]
+struct WirePlan {
+    name: String,
+    rate: f64,
+    #[serde(rename = "depth")]
+    burst: f64,
+    #[serde(rename = "open")]
+    concurrency_limit: f64,
+    #[serde(rename = "hard-rate")]
+    hard_limit_rate: f64,
+    #[serde(rename = "hard-burst")]
+    hard_limit_burst: f64,
+    #[serde(rename = "cap-slack")]
+    hard_limit_overdraft: f64,
+    #[serde(rename = "pays")]
+    weight_multiplier: f64,
+    #[serde(rename = "extra-worth")]
+    excess_weight_ratio: f64,
+    #[serde(rename = "excess-cost")]
+    excess_penalty_ratio: f64,
+}
+
+/// How units are accounted for.
+#[derive(Deserialize, Default)]
+#[serde(default, rename_all = "kebab-case", expecting = "the family-info object")]
+struct WireAccounting {
+    has_counter: bool,
+    #[serde(rename = "count-limit-s")]
+    counter_timeout: f64,
+    #[serde(rename = "max-units")]
+    max_request_units: f64,
+    post_paid: bool,
+}
+
+/// What the endpoints and their list require of a limiter.
+#[derive(Deserialize, Default)]
+#[serde(default, rename_all = "kebab-case", expecting = "the invariants object")]
+struct WireRules {
+    #[serde(rename = "must-ask-in-s")]
+    max_poll_interval: f64,
+    #[serde(rename = "start-capacity")]
+    slow_start_capacity: f64,
+    #[serde(rename = "ramp-time-s")]
+    slow_start_duration: f64,
+    #[serde(rename = "fall-multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "overload-for-s")]
+    overload_window: f64,
+}
+
+/// What a limiter may do with a request.
+#[derive(Deserialize, Default)]
+#[serde(default, rename_all = "kebab-case", expecting = "the limits object")]
+struct WireLimits {
+    #[serde(rename = "cancel")]
+    may_cancel: bool,
+    max_attempts: u32,
+    #[serde(rename = "connect-timeout-s")]
+    connect_timeout: f64,
+    #[serde(rename = "idle-close-s")]
+    idle_timeout: f64,
+    #[serde(rename = "max-open")]
+    max_in_flight: u32,
+    #[serde(rename = "max-retry-after-s")]
+    max_retry_after: f64,
+    #[serde(rename = "may-probe")]
+    may_health_check: bool,
+    #[serde(rename = "retry-after")]
+    may_send_retry_after: bool,
+    #[serde(rename = "second-copies")]
+    may_hedge: bool,
+}
+
+impl From<WireClass> for Class {
+    fn from(wire: WireClass) -> Self {
+        Class {
+            name: wire.name,
+            latency_objective: wire.latency_objective,
+            deadline: wire.deadline,
+            priority_weight: wire.priority_weight,
+            late_weight_ratio: wire.late_weight_ratio,
+            // A value of a later version is read as the strictest: never repeated, or only within one cell.
+            idempotency: match wire.idempotency.as_str() {
+                "read_like" => Idempotency::Idempotent,
+                "idempotency_key" => Idempotency::IdempotencyKey,
+                _ => Idempotency::NonIdempotent,
+            },
+            deduplication_scope: match wire.deduplication_scope.as_str() {
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                _ => DeduplicationScope::Cell,
+            },
+            deduplication_window: wire.deduplication_window,
+            streaming: wire.streaming,
+        }
+    }
+}
+
+impl From<WirePlan> for Plan {
+    fn from(wire: WirePlan) -> Self {
+        Plan {
+            name: wire.name,
+            rate: wire.rate,
+            burst: wire.burst,
+            concurrency_limit: wire.concurrency_limit,
+            hard_limit_rate: wire.hard_limit_rate,
+            hard_limit_burst: wire.hard_limit_burst,
+            hard_limit_overdraft: wire.hard_limit_overdraft,
+            weight_multiplier: wire.weight_multiplier,
+            excess_weight_ratio: wire.excess_weight_ratio,
+            excess_penalty_ratio: wire.excess_penalty_ratio,
+        }
+    }
+}
+
+impl From<WireSettings> for Settings {
+    fn from(wire: WireSettings) -> Self {
+        let WireSettings { accounting, rules, limits, .. } = wire;
+        Settings {
+            instance_index: wire.instance_index,
+            instance_count: wire.instance_count,
+            zone: wire.zone,
+            tick_interval: wire.tick_interval,
+            classes: wire.classes.into_iter().map(Class::from).collect(),
+            plans: wire.plans.into_iter().map(Plan::from).collect(),
+            max_request_units: accounting.max_request_units,
+            post_paid: accounting.post_paid,
+            has_counter: accounting.has_counter,
+            counter_timeout: accounting.counter_timeout,
+            polls_discovery: wire.discovery == "on_request",
+            max_poll_interval: rules.max_poll_interval,
+            slow_start_capacity: rules.slow_start_capacity,
+            slow_start_duration: rules.slow_start_duration,
+            overload_multiple: rules.overload_multiple,
+            overload_window: rules.overload_window,
+            max_attempts: limits.max_attempts,
+            may_cancel: limits.may_cancel,
+            may_health_check: limits.may_health_check,
+            may_hedge: limits.may_hedge,
+            may_send_retry_after: limits.may_send_retry_after,
+            max_retry_after: limits.max_retry_after,
+            connect_timeout: limits.connect_timeout,
+            idle_timeout: limits.idle_timeout,
+            max_in_flight: limits.max_in_flight,
+        }
+    }
+}
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -17,7 +17,6 @@
 
 mod interface;
 mod policy;
-mod settings;
 
 pub use interface::*;
 pub use policy::Limiter;
