--- /dev/null
+++ b/crates/decision/src/endpoints/class_breaker.rs
@@ -0,0 +1,133 @@
+//! Circuit breaker per endpoint and class: an endpoint may fail one class and serve the others.
+//!
+//! The first rejection of a class says that the endpoint is full, as far as anyone can tell. A second one
+//! with no good response of that class between opens the breaker for the class and says nothing of the
+//! others. Meanwhile the limits of the other endpoints widen for the class. What it can get wrong: an
+//! endpoint that is full twice in a row is avoided for a while; a class that all endpoints reject still gets
+//! some attempts through. Held by `tests/class_breaker.rs`.
+
+use super::endpoint_set::{fleet_objective, EndpointSet};
+use super::latency::Progress;
+use crate::context::Context;
+use crate::interface::EndpointId;
+
+/// Rejections in a row that open the breaker.
+const OPEN_AFTER_REJECTIONS: u32 = 2;
+/// Time for which it stays open, in latency objectives.
+const OPEN_OBJECTIVES: f64 = 4.0;
+/// Most by which the limits of the other endpoints widen meanwhile.
+const MAX_LIMIT_FACTOR: f64 = 2.0;
+/// Weight of each slow or rejected attempt of a class against its endpoint, and for how many latency
+/// objectives each.
+const PENALTY: f64 = 4.0;
+const PENALTY_OBJECTIVES: f64 = 8.0;
+/// Latency ratio by which an endpoint counts that rejects: its fast rejections would make it look idle.
+const REJECTION_LATENCY_RATIO: f64 = 10.0;
+
+/// Attempts of a class that went badly since its last good response.
+#[derive(Clone, Copy)]
+struct Streak {
+    count: u32,
+    latest: f64,
+}
+
+impl Streak {
+    fn none(now: f64) -> Self {
+        Streak { count: 0, latest: now }
+    }
+
+    /// Factor on the endpoint's score; fades with time.
+    fn penalty(&self, objective: f64, now: f64) -> f64 {
+        if self.count == 0 {
+            return 1.0;
+        }
+        let count = f64::from(self.count);
+        let time_constant = PENALTY_OBJECTIVES * objective * count;
+        1.0 + PENALTY * count * (-(now - self.latest) / time_constant).exp()
+    }
+}
+
+/// Per class, what went badly at one endpoint.
+#[derive(Default)]
+pub struct ClassBreaker {
+    slow_attempts: Vec<Streak>,
+    rejections: Vec<Streak>,
+}
+
+impl ClassBreaker {
+    /// Whether the endpoint rejects a class now, again and again.
+    pub fn is_open(&self, class: usize, objective: f64, now: f64) -> bool {
+        self.rejections.get(class).is_some_and(|rejections| {
+            rejections.count >= OPEN_AFTER_REJECTIONS && now - rejections.latest < OPEN_OBJECTIVES * objective
+        })
+    }
+
+    /// Factor on the endpoint's score for slow attempts of a class.
+    pub fn slow_attempt_penalty(&self, class: usize, objective: f64, now: f64) -> f64 {
+        self.slow_attempts.get(class).map_or(1.0, |slow| slow.penalty(objective, now))
+    }
+
+    /// Factor on the endpoint's score for rejections of a class.
+    pub fn rejection_penalty(&self, class: usize, objective: f64, now: f64) -> f64 {
+        self.rejections.get(class).map_or(1.0, |rejections| rejections.penalty(objective, now))
+    }
+
+    pub fn consecutive_slow_attempts(&self, class: usize) -> u32 {
+        self.slow_attempts.get(class).map_or(0, |slow| slow.count)
+    }
+
+    fn consecutive_rejections(&self, class: usize) -> u32 {
+        self.rejections.get(class).map_or(0, |rejections| rejections.count)
+    }
+
+    /// Records a response, which ends both streaks of its class, or a slow attempt.
+    pub fn record(&mut self, class: usize, class_count: usize, progress: Progress, now: f64) {
+        self.slow_attempts.resize(class_count, Streak::none(now));
+        self.rejections.resize(class_count, Streak::none(now));
+        if progress == Progress::StillWaiting {
+            let count = self.slow_attempts[class].count + 1;
+            self.slow_attempts[class] = Streak { count, latest: now };
+        } else {
+            self.slow_attempts[class] = Streak::none(now);
+            self.rejections[class] = Streak::none(now);
+        }
+    }
+}
+
+impl EndpointSet {
+    /// Records that an endpoint rejected an attempt as overloaded; true for the first time in a row.
+    pub fn record_rejection(&mut self, context: Context, id: &EndpointId, class: usize) -> bool {
+        let endpoint = self.endpoints.get(id);
+        let before = endpoint.map_or(0, |endpoint| endpoint.class_breaker.consecutive_rejections(class));
+        if before == 0 {
+            self.record_latency(context, id, class, REJECTION_LATENCY_RATIO, Progress::Responded);
+        }
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            let rejections = &mut endpoint.class_breaker.rejections;
+            rejections.resize(context.settings.classes.len(), Streak::none(context.now));
+            rejections[class] = Streak { count: before + 1, latest: context.now };
+        }
+        before == 0
+    }
+
+    /// Computes for each class by how much the limits of the endpoints widen that do not reject it.
+    pub(super) fn refresh_class_limit_factors(
+        &mut self,
+        Context { settings, now }: Context,
+        in_service: f64,
+    ) {
+        let objective = fleet_objective(settings);
+        let accepting = |class| {
+            let endpoints = self.endpoints.values().filter(|endpoint| endpoint.is_in_service());
+            endpoints.filter(|endpoint| !endpoint.class_breaker.is_open(class, objective, now)).count() as f64
+        };
+        self.class_limit_factors = (0..settings.classes.len())
+            .map(|class| (in_service / accepting(class).max(1.0)).clamp(1.0, MAX_LIMIT_FACTOR))
+            .collect();
+    }
+
+    /// By how much the endpoints' limits widen for a class.
+    pub(super) fn class_limit_factor(&self, class: usize) -> f64 {
+        self.class_limit_factors.get(class).copied().unwrap_or(1.0)
+    }
+}
--- /dev/null
+++ b/crates/decision/src/endpoints/latency.rs
@@ -0,0 +1,57 @@
+//! How long an endpoint takes compared with what is usual for the class.
+//!
+//! The ratio is an average that forgets: without news it returns to 1, and news weighs more the older the
+//! average is, so that an endpoint that is used rarely is judged by its latest responses. Held by
+//! `tests/endpoint_selection.rs`.
+
+use crate::ewma::ewma;
+
+/// Weight of one response in the average, where there is recent news.
+const RATIO_GAIN: f64 = 0.15;
+/// Weight of one response where all before is forgotten.
+const RATIO_GAIN_WHEN_FORGOTTEN: f64 = 0.5;
+/// Time constant with which the ratio returns to 1 without news, in latency objectives.
+const FORGET_OBJECTIVES: f64 = 8.0;
+/// Bounds of one sample.
+const MIN_RATIO: f64 = 0.1;
+const MAX_RATIO: f64 = 30.0;
+
+/// Whether a time is that of a response, or of an attempt that still waits for one.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Progress {
+    Responded,
+    StillWaiting,
+}
+
+pub struct LatencyRatio {
+    ratio: f64,
+    updated_at: f64,
+}
+
+impl LatencyRatio {
+    pub fn usual() -> Self {
+        LatencyRatio { ratio: 1.0, updated_at: 0.0 }
+    }
+
+    /// The average at its last update.
+    pub fn ratio(&self) -> f64 {
+        self.ratio
+    }
+
+    /// The average now, as far as it is not forgotten.
+    pub fn faded(&self, objective: f64, now: f64) -> f64 {
+        1.0 + (self.ratio - 1.0) * self.remembered(objective, now)
+    }
+
+    fn remembered(&self, objective: f64, now: f64) -> f64 {
+        (-(now - self.updated_at) / (FORGET_OBJECTIVES * objective)).exp()
+    }
+
+    pub fn record(&mut self, sample: f64, objective: f64, now: f64) {
+        let remembered = self.remembered(objective, now);
+        let gain = RATIO_GAIN.max(RATIO_GAIN_WHEN_FORGOTTEN * (1.0 - remembered));
+        let mean = 1.0 + (self.ratio - 1.0) * remembered;
+        self.ratio = ewma(mean, sample.clamp(MIN_RATIO, MAX_RATIO), gain);
+        self.updated_at = now;
+    }
+}
--- /dev/null
+++ b/crates/decision/src/endpoints/outlier_detection.rs
@@ -0,0 +1,107 @@
+//! Outlier detection: endpoints that fail several times in a row are ejected for a while.
+//!
+//! Ejections get longer with each in a row. What it can get wrong: a fault that all endpoints share looks
+//! like many outliers, and ejecting them would move all load to the rest; therefore a share of the endpoints
+//! always stays. Held by `tests/outlier_detection.rs`.
+
+use super::endpoint_set::{fleet_objective, EndpointSet};
+use crate::context::Context;
+use crate::interface::EndpointId;
+
+/// Failures in a row that eject an endpoint.
+const EJECT_AFTER_FAILURES: u32 = 3;
+/// Length of the first ejection, in latency objectives; each further one in a row is twice as long.
+const FIRST_EJECTION_OBJECTIVES: f64 = 3.0;
+/// Most doublings of it.
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
+/// Share of the endpoints that may be ejected: half of them may be cut off by a partition.
+const MAX_EJECTED_RATIO: f64 = 0.6;
+/// Failures, or slow attempts of one class, in a row from which an attempt without a response counts as lost.
+const LOST_AFTER_FAILURES: u32 = 2;
+
+/// What is held against one endpoint.
+pub struct OutlierState {
+    consecutive_failures: u32,
+    ejections: u32,
+    ejected_until: f64,
+    last_success: f64,
+}
+
+impl OutlierState {
+    pub fn healthy() -> Self {
+        OutlierState { consecutive_failures: 0, ejections: 0, ejected_until: f64::MIN, last_success: 0.0 }
+    }
+
+    pub fn is_ejected(&self, now: f64) -> bool {
+        self.ejected_until > now
+    }
+
+    pub fn ejected_until(&self) -> f64 {
+        self.ejected_until
+    }
+
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
+    }
+
+    /// Whether it failed often enough to be ejected, and has not succeeded since.
+    pub fn is_suspect(&self) -> bool {
+        self.consecutive_failures >= EJECT_AFTER_FAILURES
+    }
+
+    pub fn record_success(&mut self, now: f64) {
+        self.last_success = now;
+        self.consecutive_failures = 0;
+        self.ejections = 0;
+    }
+
+    /// Counts a failure; true if it ejects the endpoint, where that is allowed.
+    fn record_failure(&mut self, may_eject: bool, objective: f64, now: f64) -> bool {
+        self.consecutive_failures += 1;
+        let ejects = self.is_suspect() && !self.is_ejected(now) && may_eject;
+        if ejects {
+            let doublings = 1u32 << self.ejections.min(MAX_EJECTION_DOUBLINGS);
+            self.ejected_until = now + FIRST_EJECTION_OBJECTIVES * objective * f64::from(doublings);
+            self.ejections += 1;
+        }
+        ejects
+    }
+}
+
+/// How many more endpoints may be ejected.
+#[derive(Default)]
+pub struct EjectionBudget {
+    remaining: f64,
+}
+
+impl EjectionBudget {
+    pub fn of(in_service: f64, ejected: f64) -> Self {
+        EjectionBudget { remaining: in_service * MAX_EJECTED_RATIO - ejected }
+    }
+}
+
+impl EndpointSet {
+    /// Records a failure of an endpoint, which may eject it.
+    pub fn record_failure(&mut self, Context { settings, now }: Context, id: &EndpointId) {
+        let objective = fleet_objective(settings);
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        let may_eject = self.ejection_budget.remaining >= 1.0;
+        if endpoint.outlier.record_failure(may_eject, objective, now) {
+            self.ejection_budget.remaining -= 1.0;
+            self.fleet.on_ejection(endpoint.concurrency.limit());
+        }
+    }
+
+    /// Whether an endpoint has given no good response since a time.
+    pub fn is_silent_since(&self, id: &EndpointId, since: f64) -> bool {
+        self.endpoints.get(id).is_some_and(|endpoint| endpoint.outlier.last_success < since)
+    }
+
+    /// Whether an attempt without a response is more likely lost than slow.
+    pub fn seems_lost(&self, id: &EndpointId, class: usize) -> bool {
+        self.endpoints.get(id).is_some_and(|endpoint| {
+            let slow_attempts = endpoint.class_breaker.consecutive_slow_attempts(class);
+            endpoint.outlier.consecutive_failures.max(slow_attempts) >= LOST_AFTER_FAILURES
+        })
+    }
+}
--- /dev/null
+++ b/crates/decision/src/endpoints/selection.rs
@@ -0,0 +1,174 @@
+//! Which endpoint gets an attempt: of those with capacity, the one with the lowest score.
+//!
+//! The score is a product of named factors, see [`Scoring::score`]. What it can get wrong: if every endpoint
+//! is ejected or rejects the class, a wrong guess would stop all requests; therefore the least suspect one
+//! still gets some. Held by `tests/endpoint_selection.rs`, `tests/outlier_detection.rs` and
+//! `tests/class_breaker.rs`.
+
+use super::endpoint::{Endpoint, Location};
+use super::endpoint_set::{fleet_objective, EndpointSet};
+use super::subset::GOLDEN_RATIO_FRACTION;
+use crate::context::Context;
+use crate::interface::{DeduplicationScope, EndpointId};
+
+/// Factor on the score of an endpoint in another zone.
+const CROSS_ZONE_FACTOR: f64 = 1.1;
+/// Factor on the score of an endpoint that the request was sent to before.
+const TRIED_FACTOR: f64 = 10.0;
+/// Largest random addition to a score, as a share of it: breaks ties.
+const JITTER: f64 = 0.05;
+
+/// What a request asks of its next endpoint.
+pub struct Constraints<'a> {
+    /// Index of its class.
+    pub class: usize,
+    /// Where a request with an idempotency key may have run.
+    pub binding: Option<DeduplicationBinding<'a>>,
+    /// Endpoints that it was sent to before.
+    pub tried: Vec<&'a EndpointId>,
+}
+
+/// Where a request may have run, and which endpoints share the memory of its idempotency key.
+pub struct DeduplicationBinding<'a> {
+    pub scope: DeduplicationScope,
+    pub location: &'a Location,
+}
+
+impl Constraints<'_> {
+    fn allow(&self, endpoint: &Endpoint) -> bool {
+        let Some(DeduplicationBinding { scope, location }) = &self.binding else { return true };
+        let is_same_zone = location.zone == endpoint.location.zone;
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => is_same_zone,
+            DeduplicationScope::Cell => is_same_zone && location.cell == endpoint.location.cell,
+        }
+    }
+}
+
+/// The candidate with the lowest score so far; the first of equals.
+#[derive(Default)]
+struct Lowest<'a>(Option<(f64, &'a EndpointId)>);
+
+impl<'a> Lowest<'a> {
+    fn offer(&mut self, score: f64, id: &'a EndpointId) {
+        if self.0.is_none_or(|(lowest, _)| score < lowest) {
+            self.0 = Some((score, id));
+        }
+    }
+}
+
+/// The candidates of one selection.
+#[derive(Default)]
+struct Candidates<'a> {
+    /// Endpoints of the subset that were considered.
+    considered: f64,
+    /// Those of them that do not reject the class.
+    accepting: u32,
+    best: Lowest<'a>,
+    /// Best of those that reject the class.
+    rejecting: Lowest<'a>,
+    /// Ejected, idle, and the first to return.
+    ejected: Lowest<'a>,
+}
+
+impl<'a> Candidates<'a> {
+    fn selected(self) -> Option<&'a EndpointId> {
+        let Candidates { considered, accepting, best, rejecting, ejected } = self;
+        let best = best.0.or(if accepting > 0 { None } else { rejecting.0 });
+        best.or(if considered > 0.0 { None } else { ejected.0 }).map(|(_, id)| id)
+    }
+}
+
+/// What the scores of one selection have in common.
+struct Scoring<'a> {
+    context: Context<'a>,
+    /// The fleet's latency objective in seconds.
+    objective: f64,
+    /// Index of the request's class.
+    class: usize,
+}
+
+impl Scoring<'_> {
+    /// How little an endpoint is wanted: its expected latency under the load that it would have, times
+    /// factors for its zone and for what went badly there.
+    fn score(&self, endpoint: &Endpoint, slow_start_factor: f64, is_tried: bool, tie_break: f64) -> f64 {
+        let &Scoring { context: Context { settings, now }, objective, class } = self;
+        let capacity = slow_start_factor * endpoint.weight;
+        let load = endpoint.latency.faded(objective, now) * f64::from(endpoint.in_flight + 1) / capacity;
+        let zone = if *endpoint.location.zone == *settings.zone { 1.0 } else { CROSS_ZONE_FACTOR };
+        let slow_attempts = endpoint.class_breaker.slow_attempt_penalty(class, objective, now);
+        let rejections = endpoint.class_breaker.rejection_penalty(class, objective, now);
+        let failures = f64::from(1 + endpoint.outlier.consecutive_failures());
+        let tried = if is_tried { TRIED_FACTOR } else { 1.0 };
+        let jitter = 1.0 + JITTER * tie_break;
+        load * zone * slow_attempts * rejections * (failures * tried) * jitter
+    }
+}
+
+impl EndpointSet {
+    /// The best endpoint for a request, or none if each that may take it is at its limit. `draw`, from 0 to
+    /// 1, breaks ties.
+    pub fn select(&self, context: Context, constraints: &Constraints, draw: f64) -> Option<EndpointId> {
+        let Context { settings, now } = context;
+        let objective = fleet_objective(settings);
+        let scoring = Scoring { context, objective, class: constraints.class };
+        let fleet_has_capacity = self.fleet.has_capacity();
+        let class_limit_factor = self.class_limit_factor(constraints.class);
+        let mut candidates = Candidates::default();
+        let endpoints = self.subset.order().iter().map(|id| (id, &self.endpoints[id]));
+        let eligible =
+            endpoints.filter(|(_, endpoint)| endpoint.is_in_service() && constraints.allow(endpoint));
+        for (id, endpoint) in eligible {
+            if endpoint.outlier.is_ejected(now) {
+                if endpoint.in_flight == 0 {
+                    candidates.ejected.offer(endpoint.outlier.ejected_until(), id);
+                }
+                continue;
+            }
+            if candidates.considered >= self.subset.size() {
+                break;
+            }
+            candidates.considered += 1.0;
+            let rejects = endpoint.class_breaker.is_open(constraints.class, objective, now);
+            candidates.accepting += u32::from(!rejects);
+            let slow_start_factor = endpoint.slow_start_factor(settings, now);
+            let limit = endpoint.effective_limit(slow_start_factor, class_limit_factor);
+            if !endpoint.has_capacity(limit, fleet_has_capacity)
+                || !self.has_slow_start_budget(context, id, endpoint)
+            {
+                continue;
+            }
+            let tie_break = (draw + GOLDEN_RATIO_FRACTION * candidates.considered).fract();
+            let is_tried = constraints.tried.contains(&id);
+            let score = scoring.score(endpoint, slow_start_factor, is_tried, tie_break);
+            let place = if rejects { &mut candidates.rejecting } else { &mut candidates.best };
+            place.offer(score, id);
+        }
+        candidates.selected().cloned()
+    }
+
+    /// Share of the requests that find the fleet's limit reached, this one included.
+    pub fn update_saturation(&mut self) -> f64 {
+        self.fleet.update_saturation()
+    }
+}
+
+impl Endpoint {
+    /// Its limit of attempts in flight now. A suspect endpoint gets one at a time.
+    fn effective_limit(&self, slow_start_factor: f64, class_limit_factor: f64) -> f64 {
+        if self.outlier.is_suspect() {
+            1.0
+        } else {
+            self.concurrency.limit() * slow_start_factor * class_limit_factor
+        }
+    }
+
+    /// Whether one more attempt fits. Many limiters with one attempt each can be too much: a limit below one
+    /// attempt holds only as long as the fleet's limit does.
+    fn has_capacity(&self, limit: f64, fleet_has_capacity: bool) -> bool {
+        let is_full = f64::from(self.in_flight) + 1.0 > limit.max(1.0);
+        let is_held_back = limit < 1.0 && !fleet_has_capacity;
+        !is_full && !is_held_back
+    }
+}
--- /dev/null
+++ b/crates/decision/src/endpoints/slow_start.rs
@@ -0,0 +1,106 @@
+//! Slow start: an endpoint that started lately gets a budget of attempts in each overload window.
+//!
+//! The settings name the capacity at the start, the time to full capacity and the multiple of the present
+//! capacity at which an endpoint fails if the load lasts for the overload window. The budget is a share of
+//! that multiple of what warm endpoints take. What it can get wrong: many limiters with one attempt each
+//! exceed a budget below one attempt. Therefore each sends a part of an attempt in that part of its windows,
+//! at moments of its own. Held by `tests/slow_start.rs`.
+
+use super::endpoint::Endpoint;
+use super::endpoint_set::EndpointSet;
+use crate::context::Context;
+use crate::hash::fnv1a;
+use crate::interface::{EndpointId, Settings};
+use std::collections::VecDeque;
+
+/// Share of the budget that the settings allow which is used.
+const BUDGET_USE_RATIO: f64 = 0.6;
+/// Attempts in an overload window, from all limiters together, where no warm endpoint shows what it takes.
+const MIN_WINDOW_ATTEMPTS: f64 = 4.0;
+
+/// What warm endpoints of the subset took lately.
+pub struct SlowStartBudget {
+    /// When this limiter started: it does not know what it sent before.
+    started_at: f64,
+    /// Times of good responses of warm endpoints within the last overload window.
+    warm_responses: VecDeque<f64>,
+    /// Weight of the warm endpoints in use.
+    warm_weight: f64,
+}
+
+impl SlowStartBudget {
+    pub fn new(now: f64) -> Self {
+        SlowStartBudget { started_at: now, warm_responses: VecDeque::new(), warm_weight: 0.0 }
+    }
+
+    pub fn on_warm_response(&mut self, now: f64) {
+        self.warm_responses.push_back(now);
+    }
+
+    /// Attempts in an overload window that an endpoint may get from this limiter.
+    fn window_attempts(&self, settings: &Settings, weight: f64, factor: f64, instances: f64) -> f64 {
+        let responses = self.warm_responses.len() as f64;
+        let like_warm =
+            if self.warm_weight > 0.0 { responses / self.warm_weight * weight * factor } else { 0.0 };
+        (like_warm * settings.overload_multiple * BUDGET_USE_RATIO).max(MIN_WINDOW_ATTEMPTS / instances)
+    }
+}
+
+impl Endpoint {
+    /// Share of its full capacity that an endpoint has at least, by its age.
+    pub fn slow_start_factor(&self, settings: &Settings, now: f64) -> f64 {
+        let progress = self
+            .started
+            .map_or(1.0, |started| (now - started).max(0.0) / settings.slow_start_duration.max(1e-9));
+        settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * progress.min(1.0)
+    }
+
+    /// Notes an attempt that is sent during slow start.
+    pub fn note_slow_start_send(&mut self, settings: &Settings, now: f64) {
+        if self.slow_start_factor(settings, now) < 1.0 {
+            self.slow_start_sends.retain(|sent| now - sent <= settings.overload_window);
+            self.slow_start_sends.push(now);
+        }
+    }
+}
+
+impl EndpointSet {
+    /// Computes once a tick what the warm endpoints of the subset take.
+    pub(super) fn refresh_slow_start(&mut self, Context { settings, now }: Context) {
+        let used = self.subset.order().iter().map(|id| &self.endpoints[id]);
+        let used = used.filter(|endpoint| endpoint.is_serving(now)).take(self.subset.size() as usize);
+        let warm = used.filter(|endpoint| endpoint.slow_start_factor(settings, now) >= 1.0);
+        self.slow_start.warm_weight = warm.map(|endpoint| endpoint.weight).sum();
+        self.slow_start.warm_responses.retain(|response| now - response <= settings.overload_window);
+    }
+
+    /// Whether an endpoint may get one more attempt from here within the overload window.
+    ///
+    /// A budget below one attempt is sent in that part of the windows, each limiter in its own turn, and the
+    /// windows of each limiter begin at another moment: over all limiters no moment is better than others, so
+    /// that any stretch of a window's length gets what one window may, once the first one has begun. After a
+    /// restart, which forgot what was sent, the budget of whole attempts grows from none.
+    pub(super) fn has_slow_start_budget(
+        &self,
+        Context { settings, now }: Context,
+        id: &EndpointId,
+        endpoint: &Endpoint,
+    ) -> bool {
+        let factor = endpoint.slow_start_factor(settings, now);
+        if factor >= 1.0 {
+            return true;
+        }
+        let instances = self.subset.instances_per_endpoint();
+        let budget = self.slow_start.window_attempts(settings, endpoint.weight, factor, instances);
+        let window = settings.overload_window.max(settings.tick_interval);
+        let recent = endpoint.slow_start_sends.iter().filter(|sent| now - **sent <= window).count() as f64;
+        if recent + 1.0 <= budget * ((now - self.slow_start.started_at) / window).min(1.0) {
+            return true;
+        }
+        let seed = fnv1a(id) ^ u64::from(settings.instance_index) << 32;
+        let phase = fastrand::Rng::with_seed(seed).f64();
+        let turn = (now / window + phase).floor();
+        let has_begun = (turn - phase) * window >= endpoint.listed_at;
+        recent < 1.0 && has_begun && fastrand::Rng::with_seed(seed ^ turn as u64).f64() < budget
+    }
+}
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -13,8 +13,8 @@
         endpoint: EndpointId,
         /// Give up after this many seconds; 0: at the client's deadline.
         timeout: f64,
-        /// Time by which the request must be written completely, since its idempotency key may be forgotten after
-        /// that. Infinite where there is no such time.
+        /// Time by which the request must be written completely, since its idempotency key may be forgotten
+        /// after that. Infinite where there is no such time.
         send_deadline: f64,
     },
     /// Final answer to an authorization: the client may call.
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -59,9 +59,9 @@
     DiscoveryFailed,
     /// A client's request.
     Request(Request),
-    /// A client asks whether it may call the endpoints by itself, until the request's `deadline`. It draws the units
-    /// that the request would draw and is answered at once, by [`Action::Authorize`](super::Action::Authorize) or
-    /// [`Action::Reject`](super::Action::Reject).
+    /// A client asks whether it may call the endpoints by itself, until the request's `deadline`. It draws
+    /// the units that the request would draw and is answered at once, by
+    /// [`Action::Authorize`](super::Action::Authorize) or [`Action::Reject`](super::Action::Reject).
     Authorization(Request),
     /// A streamed response has started.
     StreamStarted {
@@ -85,7 +85,8 @@
         /// The endpoint's load report.
         report: LoadReport,
     },
-    /// The client disconnected; no response is due. For an authorization: the client never got it and will not call.
+    /// The client disconnected; no response is due. For an authorization: the client never got it and will
+    /// not call.
     ClientDisconnected {
         /// The request.
         id: RequestId,
@@ -103,8 +104,8 @@
     },
     /// How far the counter's totals can be used from now on; before the first of these events, fully.
     CounterValidity {
-        /// Ratio of each quota that the limiters with this view of the counts may divide by their demand, from
-        /// 0 (totals are not used, each limiter keeps its fallback) to 1.
+        /// Ratio of each quota that the limiters with this view of the counts may divide by their demand,
+        /// from 0 (totals are not used, each limiter keeps its fallback) to 1.
         usable_quota_ratio: f64,
     },
     /// The answer to one [`Action::CheckHealth`](super::Action::CheckHealth).
--- a/crates/decision/src/interface/settings/mod.rs
+++ b/crates/decision/src/interface/settings/mod.rs
@@ -78,6 +78,7 @@
 
 /// The configuration of a limiter.
 #[derive(Clone, Debug, Default)]
+#[allow(clippy::struct_excessive_bools, reason = "independent switches of a deployment")]
 pub struct Settings {
     /// Index of this limiter, from 0.
     pub instance_index: u32,
--- a/crates/decision/src/interface/settings/wire.rs
+++ b/crates/decision/src/interface/settings/wire.rs
@@ -1,7 +1,7 @@
 //! The names of the settings on the wire, mapped to the fields of [`Settings`].
 //!
-//! A key that is not listed here is skipped; a missing one takes the zero of its type. The names are fixed by the
-//! deployments that write them; `tests/settings.rs` compares each with its field.
+//! A key that is not listed here is skipped; a missing one takes the zero of its type. The names are fixed by
+//! the deployments that write them; `tests/settings.rs` compares each with its field.
 
 use super::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 use serde::{Deserialize, Deserializer};
@@ -108,6 +108,7 @@
 /// What a limiter may do with a request.
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "kebab-case", expecting = "the limits object")]
+#[allow(clippy::struct_excessive_bools, reason = "independent switches of a deployment")]
 struct WireLimits {
     #[serde(rename = "cancel")]
     may_cancel: bool,
--- /dev/null
+++ b/crates/decision/src/limiter.rs
@@ -0,0 +1,105 @@
+//! One limiter: hands each event to the part that decides it.
+
+use crate::context::Context;
+use crate::interface::{Action, Event, Settings};
+use crate::requests::{AttemptEnd, Requests};
+use crate::timer::Timer;
+
+/// Seconds between two ticks.
+const TICK_SECONDS: f64 = 0.05;
+/// Seconds between two ticks from which on the limiter itself was paused.
+const PAUSE_SECONDS: f64 = 0.25;
+/// Seconds between two searches for idle customers.
+const IDLE_CUSTOMER_SEARCH_SECONDS: f64 = 60.0;
+
+/// One limiter's decisions.
+pub struct Limiter {
+    settings: Settings,
+    ticking: bool,
+    last_tick: f64,
+    /// End of the latest pause of this process: what is late by then is no endpoint's fault.
+    last_pause: f64,
+    requests: Requests,
+    watch_due: bool,
+    watch_failed: bool,
+}
+
+impl Limiter {
+    /// A limiter without any state. The seed determines its random draws.
+    pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
+        Limiter {
+            ticking: false,
+            last_tick: now,
+            last_pause: now,
+            requests: Requests::new(&settings, seed, now),
+            watch_due: settings.polls_discovery,
+            watch_failed: false,
+            settings,
+        }
+    }
+
+    /// Handles one event and appends what the host is to do, in order.
+    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
+        // By a flag, not the time: a real clock has moved on since `new` when the first event comes.
+        if !std::mem::replace(&mut self.ticking, true) {
+            set_tick_timer(now, actions);
+        }
+        if std::mem::take(&mut self.watch_due) {
+            actions.push(Action::WatchEndpoints);
+        }
+        let Limiter { settings, requests, .. } = self;
+        let context = Context { settings, now };
+        match event {
+            Event::EndpointList(entries) => requests.endpoints.apply_list(context, &entries),
+            Event::EndpointChanges(entries) => requests.endpoints.apply_changes(context, &entries),
+            Event::DiscoveryFailed => self.watch_failed = true,
+            Event::Request(request) => requests.admit(context, request, actions),
+            Event::Authorization(request) => requests.authorize(context, request, actions),
+            Event::StreamStarted { id } => requests.on_stream_started(id),
+            Event::AttemptEnded { id, attempt, request_finished, outcome, elapsed, units, .. } => {
+                let end = AttemptEnd { request_finished, outcome, elapsed, units: units.unwrap_or(0.0) };
+                requests.on_attempt_ended(context, id, attempt, end, actions);
+            }
+            Event::ClientDisconnected { id } => requests.on_client_disconnected(context, id, actions),
+            Event::CounterReply { key, outcome, total, elapsed } => {
+                requests.quota.on_counter_reply(context, &key, outcome, total, elapsed);
+            }
+            Event::CounterValidity { usable_quota_ratio } => {
+                requests.quota.set_usable_quota_ratio(usable_quota_ratio);
+            }
+            // Requests show how endpoints do: this module asks for no health checks.
+            Event::HealthChecked { .. } => {}
+            Event::Timer { token } => self.on_timer(now, Timer::from_token(token), actions),
+        }
+    }
+
+    fn on_timer(&mut self, now: f64, timer: Timer, actions: &mut Vec<Action>) {
+        let context = Context { settings: &self.settings, now };
+        match timer {
+            Timer::Tick => self.on_tick(now, actions),
+            Timer::RequestDeadline(id) => self.requests.on_deadline(context, id, actions),
+            Timer::SlowAttempt(id) => self.requests.on_slow_attempt(context, id, self.last_pause, actions),
+            Timer::AuthorizationExpiry(id) => self.requests.release_authorization(context, id),
+        }
+    }
+
+    fn on_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
+        let context = Context { settings: &self.settings, now };
+        if now - self.last_tick > PAUSE_SECONDS {
+            self.last_pause = now;
+        }
+        let searches = |time: f64| (time / IDLE_CUSTOMER_SEARCH_SECONDS).floor();
+        if searches(now) > searches(self.last_tick) {
+            self.requests.quota.forget_idle_customers(context);
+        }
+        self.last_tick = now;
+        self.requests.endpoints.refresh(context);
+        // A watch that ended is begun anew with the next event, once a tick at most.
+        self.watch_due |= std::mem::take(&mut self.watch_failed);
+        set_tick_timer(now, actions);
+    }
+}
+
+fn set_tick_timer(now: f64, actions: &mut Vec<Action>) {
+    actions.push(Action::SetTimer { at: now + TICK_SECONDS, token: Timer::Tick.token() });
+}
--- /dev/null
+++ b/crates/decision/src/quota/counter_reply.rs
@@ -0,0 +1,106 @@
+//! What a reply of the counter tells of a customer's demand at all limiters.
+//!
+//! A reply is compared with the one before in the same epoch. A call that was not added is reported again
+//! with the next; one that timed out is not, since it may have been added. A total that did not grow by at
+//! least the own increment shows that the counter lost its counts: totals are missing until the next
+//! difference. Held by `tests/counter.rs` and `tests/quota_share.rs`.
+
+use super::counter_encoding::{units_per_step, Baseline, Usage};
+use super::counter_epoch::epoch_start;
+use super::customer::Customer;
+use super::probabilistic_admission::{admission_probability, PlanAdmission};
+use super::shared_bucket::ReadingTimes;
+use super::usage_report::{CounterCall, CALL_PERIOD_SECONDS};
+use super::usage_totals::UsageReading;
+use super::Quota;
+use crate::context::Context;
+use crate::ewma::ewma;
+use crate::interface::{Outcome, Plan};
+
+/// Weight of one interval in the mean between replies.
+const REPLY_INTERVAL_GAIN: f64 = 0.3;
+/// Shortest time, in seconds, that a reading is spread over.
+const MIN_SPAN_SECONDS: f64 = CALL_PERIOD_SECONDS / 4.0;
+
+impl Quota {
+    /// Handles the reply to a counter call, which took `elapsed` seconds.
+    pub fn on_counter_reply(
+        &mut self,
+        Context { settings, now }: Context,
+        key: &str,
+        outcome: Outcome,
+        total: f64,
+        elapsed: f64,
+    ) {
+        self.counter_health.on_reply(outcome, elapsed, settings.counter_timeout);
+        let Some(call) = self.calls.remove(key) else { return };
+        let Some(customer) = self.customers.get_mut(&call.customer) else { return };
+        customer.call_in_flight = false;
+        let plan = &settings.plans[customer.plan];
+        if outcome != Outcome::Ok {
+            if outcome != Outcome::Timeout {
+                customer.report_again(&call, plan);
+            }
+            return;
+        }
+        if !customer.learn_totals(&call, plan, total, self.usable_quota_ratio, now) {
+            return;
+        }
+        let Some(totals) = customer.totals else { return };
+        let probability =
+            admission_probability(plan, self.usable_quota_ratio, &customer.shared_bucket, totals);
+        self.plan_admissions.resize(settings.plans.len(), PlanAdmission::UNREAD);
+        self.plan_admissions[customer.plan].update(probability);
+    }
+}
+
+impl Customer {
+    fn report_again(&mut self, call: &CounterCall, plan: &Plan) {
+        let step = units_per_step(plan);
+        self.unreported.accepted += call.steps.accepted * step;
+        self.unreported.rejected += call.steps.rejected * step;
+    }
+
+    /// Takes in the total after a call; false if it shows that the counter lost its counts.
+    fn learn_totals(
+        &mut self,
+        call: &CounterCall,
+        plan: &Plan,
+        total: f64,
+        usable_quota_ratio: f64,
+        now: f64,
+    ) -> bool {
+        let read = Usage::unpack(total);
+        let baseline = self.baseline.in_epoch(call.epoch);
+        let epoch_start = epoch_start(call.epoch);
+        // What a counter that lost its counts has now was added since the last reply, not since the epoch
+        // began.
+        let counted_from = if self.baseline.epoch == call.epoch { self.last_reply_at } else { epoch_start };
+        let span = (now - counted_from).max(MIN_SPAN_SECONDS);
+        // Own demand spreads over all the time since the reply before, of which a part lies in the last
+        // epoch: otherwise a rare request would look like a large share just after the epoch began.
+        let own_span = (now - self.last_reply_at).max(MIN_SPAN_SECONDS);
+        let previous_reply = std::mem::replace(&mut self.last_reply_at, now);
+        self.baseline = Baseline { epoch: call.epoch, steps: read };
+        let accepted = read.accepted - baseline.accepted;
+        let rejected = read.rejected - baseline.rejected;
+        self.totals_lost = total < 0.0 || accepted < call.steps.accepted || rejected < call.steps.rejected;
+        if self.totals_lost {
+            // Averages are kept: what the counter forgot has not changed the demand.
+            return false;
+        }
+        let step = units_per_step(plan);
+        let times = ReadingTimes { previous_reply, epoch_start, now };
+        self.shared_bucket.update(plan, plan.rate * usable_quota_ratio, accepted * step, self.totals, &times);
+        self.reply_interval = ewma(self.reply_interval, own_span, REPLY_INTERVAL_GAIN);
+        let reading = UsageReading {
+            own_demand: (call.steps.accepted + call.steps.rejected) * step,
+            own_span,
+            demand: (accepted + rejected) * step,
+            accepted: accepted * step,
+            span,
+        };
+        self.totals = Some(self.totals.unwrap_or_default().updated(&reading, self.reply_interval, now));
+        true
+    }
+}
--- /dev/null
+++ b/crates/decision/src/quota/customer.rs
@@ -0,0 +1,108 @@
+//! A customer's account at this limiter.
+//!
+//! An account is forgotten only when a new one would hold no more: otherwise an idle customer would get its
+//! burst twice. Held by `tests/quota_accounts.rs`.
+
+use super::counter_encoding::{Baseline, Usage};
+use super::counter_epoch::EPOCH_SECONDS;
+use super::hard_limit::HardLimit;
+use super::shared_bucket::SharedBucket;
+use super::token_bucket::TokenBucket;
+use super::usage_report::CALL_PERIOD_SECONDS;
+use super::usage_totals::UsageTotals;
+use crate::interface::Plan;
+
+/// Seconds without a request after which an account may be forgotten.
+const IDLE_SECONDS: f64 = 60.0;
+/// Epochs after which totals count as missing although the counter answers.
+const STALE_TOTALS_EPOCHS: f64 = 2.0;
+
+pub struct Customer {
+    /// Index of its plan.
+    pub plan: usize,
+    /// Limiters that its requests reach.
+    pub reachable_instances: f64,
+    pub bucket: TokenBucket,
+    pub hard_limit: HardLimit,
+    /// Its attempts in flight from here.
+    pub in_flight: u32,
+    pub shared_bucket: SharedBucket,
+    /// Units that the counter was not told of yet.
+    pub unreported: Usage,
+    /// A counter call has no reply yet.
+    pub call_in_flight: bool,
+    pub next_call_at: f64,
+    pub last_reply_at: f64,
+    /// Mean seconds between replies.
+    pub reply_interval: f64,
+    pub baseline: Baseline,
+    pub totals: Option<UsageTotals>,
+    /// The counter lost its counts and no difference was read since: totals are missing.
+    pub totals_lost: bool,
+}
+
+impl Customer {
+    pub fn new(
+        plan_index: usize,
+        plan: &Plan,
+        reachable_instances: f64,
+        request_units: f64,
+        limiter_started_at: f64,
+        now: f64,
+    ) -> Self {
+        Customer {
+            plan: plan_index,
+            reachable_instances,
+            bucket: TokenBucket::new((plan.burst / reachable_instances).max(request_units), now),
+            hard_limit: HardLimit::new(plan, reachable_instances, now - limiter_started_at),
+            in_flight: 0,
+            shared_bucket: SharedBucket::full(plan),
+            unreported: Usage::default(),
+            call_in_flight: false,
+            next_call_at: now,
+            last_reply_at: limiter_started_at,
+            reply_interval: CALL_PERIOD_SECONDS,
+            baseline: Baseline::none(),
+            totals: None,
+            totals_lost: false,
+        }
+    }
+
+    /// The totals, unless they are missing.
+    pub fn known_totals(&self) -> Option<UsageTotals> {
+        self.totals.filter(|_| !self.totals_lost)
+    }
+
+    /// The totals by which a share of the quota may be computed: recent, and of a counter that can be used.
+    pub fn usable_totals(&self, usable_quota_ratio: f64, now: f64) -> Option<UsageTotals> {
+        self.known_totals().filter(|totals| {
+            usable_quota_ratio > 0.0 && now - totals.read_at <= STALE_TOTALS_EPOCHS * EPOCH_SECONDS
+        })
+    }
+
+    /// Whether this limiter's even share of the plan's burst is less than one unit.
+    pub fn is_below_one_token(&self, plan: &Plan) -> bool {
+        plan.burst < self.reachable_instances
+    }
+
+    /// Settles units that were estimated too low (or too high, if negative). The counter is told of them only
+    /// while reports are saved up: at other times a call would stand for many requests.
+    pub fn settle(&mut self, correction: f64, now: f64) {
+        self.bucket.draw(correction);
+        let reported = if now < self.next_call_at { correction } else { 0.0 };
+        self.unreported.accepted = (self.unreported.accepted + reported).max(0.0);
+    }
+
+    /// Whether the account is idle and a new one would hold no more than it.
+    pub fn is_forgettable(&self, plan: &Plan, max_request_units: f64, now: f64) -> bool {
+        let idle_seconds = now - self.bucket.refilled_at();
+        let missing = (plan.burst / self.reachable_instances).max(max_request_units) - self.bucket.tokens();
+        let is_full = idle_seconds * plan.rate / self.reachable_instances >= missing
+            && idle_seconds * plan.hard_limit_rate >= plan.hard_limit_burst;
+        let is_limited = plan.rate.max(plan.hard_limit_rate) > 0.0;
+        !(self.call_in_flight
+            || self.in_flight > 0
+            || idle_seconds < IDLE_SECONDS
+            || (is_limited && !is_full))
+    }
+}
--- /dev/null
+++ b/crates/decision/src/quota/mod.rs
@@ -0,0 +1,114 @@
+//! Whether a customer's quota allows a request.
+//!
+//! Each limiter holds a token bucket for each customer and refills it by its own share of the quota. The
+//! shares follow from usage totals that the limiters keep together on the counter service: [`demand_share`]
+//! is the rule, [`usage_report`] and [`counter_reply`] are the exchange with the counter. Where each
+//! limiter's share is less than one request, [`probabilistic_admission`] takes the place of the bucket.
+
+mod concurrency_limit;
+mod counter_encoding;
+mod counter_epoch;
+mod counter_health;
+mod counter_reply;
+mod customer;
+mod demand_share;
+mod hard_limit;
+mod idle_quota_borrowing;
+mod probabilistic_admission;
+mod quota_check;
+mod shared_bucket;
+mod token_bucket;
+mod usage_report;
+mod usage_totals;
+
+pub use quota_check::QuotaExceeded;
+pub use usage_report::Demand;
+
+use crate::context::Context;
+use counter_health::CounterHealth;
+use customer::Customer;
+use probabilistic_admission::PlanAdmission;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use usage_report::CounterCall;
+
+/// The accounts of all customers, and what they learn from the counter service.
+pub struct Quota {
+    started_at: f64,
+    customers: BTreeMap<Arc<str>, Customer>,
+    /// Counter calls without a reply, by the counter's key.
+    calls: BTreeMap<String, CounterCall>,
+    /// Ratio of each quota that totals may divide; 0 where they are not used.
+    usable_quota_ratio: f64,
+    counter_health: CounterHealth,
+    /// Per plan: what was learned from its customers, for those that were not read yet.
+    plan_admissions: Vec<PlanAdmission>,
+}
+
+impl Quota {
+    pub fn new(now: f64) -> Self {
+        Quota {
+            started_at: now,
+            customers: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            usable_quota_ratio: 1.0,
+            counter_health: CounterHealth::new(now),
+            plan_admissions: Vec::new(),
+        }
+    }
+
+    /// Sets the ratio of each quota that the limiters with this view of the counter may divide.
+    pub fn set_usable_quota_ratio(&mut self, ratio: f64) {
+        self.usable_quota_ratio = ratio.clamp(0.0, 1.0);
+    }
+
+    /// Creates a customer's account if it has none, and notes how many limiters the customer reaches.
+    pub fn ensure_customer(
+        &mut self,
+        Context { settings, now }: Context,
+        id: &Arc<str>,
+        plan: usize,
+        reachable_instances: u32,
+        request_units: f64,
+    ) {
+        let started_at = self.started_at;
+        let reachable_instances = f64::from(reachable_instances.clamp(1, settings.instance_count.max(1)));
+        let customer = self.customers.entry(id.clone()).or_insert_with(|| {
+            Customer::new(plan, &settings.plans[plan], reachable_instances, request_units, started_at, now)
+        });
+        customer.reachable_instances = reachable_instances;
+    }
+
+    /// Draws an admitted request's units from the token bucket and the hard limit.
+    pub fn draw(&mut self, id: &Arc<str>, units: f64) {
+        if let Some(customer) = self.customers.get_mut(id) {
+            customer.bucket.draw(units);
+            customer.hard_limit.draw(units);
+        }
+    }
+
+    /// Counts an attempt of a customer as in flight.
+    pub fn on_attempt_started(&mut self, id: &Arc<str>) {
+        if let Some(customer) = self.customers.get_mut(id) {
+            customer.in_flight += 1;
+        }
+    }
+
+    /// Counts an attempt as ended. `correction` is by how many units the request was estimated too low.
+    pub fn on_attempt_ended(&mut self, Context { now, .. }: Context, id: &Arc<str>, correction: f64) {
+        if let Some(customer) = self.customers.get_mut(id) {
+            customer.in_flight = customer.in_flight.saturating_sub(1);
+            if correction != 0.0 {
+                customer.settle(correction, now);
+            }
+        }
+    }
+
+    /// Removes the accounts of customers that are idle and whose new account would hold no more than the old
+    /// one.
+    pub fn forget_idle_customers(&mut self, Context { settings, now }: Context) {
+        self.customers.retain(|_, customer| {
+            !customer.is_forgettable(&settings.plans[customer.plan], settings.max_request_units, now)
+        });
+    }
+}
--- /dev/null
+++ b/crates/decision/src/quota/quota_check.rs
@@ -0,0 +1,117 @@
+//! Whether a customer's quota and hard limit allow a request now, and if not, when a retry is worth it.
+//!
+//! The order is: probabilistic admission where each limiter's share is below one token, otherwise the token
+//! bucket with what it may borrow, then the hard limit. Nothing is drawn here: a request that no endpoint can
+//! take costs no units. Held by `tests/quota_share.rs` and `tests/quota_shared_bucket.rs`.
+
+use super::customer::Customer;
+use super::demand_share;
+use super::idle_quota_borrowing::borrowable_units;
+use super::probabilistic_admission::admission_probability;
+use super::usage_report::CALL_PERIOD_SECONDS;
+use super::usage_totals::UsageTotals;
+use super::Quota;
+use crate::context::Context;
+use crate::interface::Plan;
+use std::sync::Arc;
+
+/// Least refill rate, in units a second, by which a wait is computed.
+const MIN_REFILL_RATE: f64 = 1e-3;
+
+/// The quota does not allow a request now.
+#[derive(Clone, Copy, Debug)]
+pub struct QuotaExceeded {
+    /// Seconds after which a retry is worth it; 0: unknown.
+    pub retry_after: f64,
+}
+
+/// What the bucket can offer a request.
+struct Refilled {
+    /// Refill rate in units a second.
+    rate: f64,
+    /// Units that may be borrowed.
+    borrowable: f64,
+}
+
+impl Quota {
+    /// Checks a request of so many units.
+    ///
+    /// # Errors
+    ///
+    /// [`QuotaExceeded`] if the customer's share of its quota or of the hard limit is used up.
+    pub fn check(
+        &mut self,
+        Context { settings, now }: Context,
+        rng: &mut fastrand::Rng,
+        id: &Arc<str>,
+        units: f64,
+    ) -> Result<(), QuotaExceeded> {
+        let usable_ratio = if self.counter_health.is_down() { 0.0 } else { self.usable_quota_ratio };
+        let Some(customer) = self.customers.get_mut(id) else {
+            return Err(QuotaExceeded { retry_after: 0.0 });
+        };
+        let plan = &settings.plans[customer.plan];
+        let totals = customer.usable_totals(usable_ratio, now);
+        let refilled = customer.refill(plan, units, usable_ratio, totals, now);
+        let is_below_one_token = plan.rate > 0.0 && customer.is_below_one_token(plan);
+        // One request from each limiter would be several bursts. Where nothing is known of this customer, its
+        // plan's mean probability decides; a rejection asks the counter for its totals.
+        if is_below_one_token && usable_ratio > 0.0 && customer.totals.is_none() {
+            let admission = self.plan_admissions.get(customer.plan);
+            if admission.is_some_and(|admission| rng.f64() >= admission.mean_probability()) {
+                return Err(QuotaExceeded { retry_after: CALL_PERIOD_SECONDS });
+            }
+        }
+        if let Some(totals) = totals.filter(|_| is_below_one_token) {
+            let probability = admission_probability(plan, usable_ratio, &customer.shared_bucket, totals);
+            if rng.f64() >= probability {
+                let missing = units + plan.burst - customer.shared_bucket.level();
+                let retry_after = (missing / (plan.rate * usable_ratio)).max(CALL_PERIOD_SECONDS);
+                return Err(QuotaExceeded { retry_after });
+            }
+            // The shared bucket covers it: the local one, which serves while totals are missing, owes
+            // nothing.
+            customer.bucket.raise_to(units);
+        } else if plan.rate > 0.0 {
+            customer.check_bucket(units, &refilled, now)?;
+        }
+        match customer.hard_limit.wait(plan, customer.reachable_instances, units) {
+            Some(retry_after) => Err(QuotaExceeded { retry_after }),
+            None => Ok(()),
+        }
+    }
+}
+
+impl Customer {
+    /// Refills the bucket and the hard limit up to now.
+    fn refill(
+        &mut self,
+        plan: &Plan,
+        units: f64,
+        usable_ratio: f64,
+        totals: Option<UsageTotals>,
+        now: f64,
+    ) -> Refilled {
+        let rate = demand_share::limit(plan.rate, usable_ratio, self.reachable_instances, units, totals);
+        let burst = rate * plan.burst / plan.rate.max(1e-9);
+        let elapsed = self.bucket.refill(rate, burst.max(units), now);
+        self.hard_limit.refill(plan, self.reachable_instances, elapsed);
+        Refilled { rate, borrowable: borrowable_units(plan, burst, units, usable_ratio, totals) }
+    }
+
+    fn check_bucket(&self, units: f64, refilled: &Refilled, now: f64) -> Result<(), QuotaExceeded> {
+        let is_short = self.bucket.tokens() + refilled.borrowable < units;
+        if !is_short {
+            return Ok(());
+        }
+        if self.known_totals().is_none() {
+            return Err(QuotaExceeded { retry_after: 0.0 });
+        }
+        let refill_wait =
+            (units - self.bucket.tokens() - refilled.borrowable) / refilled.rate.max(MIN_REFILL_RATE);
+        // Where the quota is idle, the next totals are worth more than the wait for tokens.
+        let longest =
+            if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait };
+        Err(QuotaExceeded { retry_after: refill_wait.min(longest) })
+    }
+}
--- /dev/null
+++ b/crates/decision/src/requests/completion.rs
@@ -0,0 +1,68 @@
+//! The one final answer of a request.
+//!
+//! A rejection promises that the request has no effect, or that a repeat has none; where that cannot be
+//! promised the request fails. Held by `tests/request_answers.rs`.
+
+use super::in_flight_request::InFlightRequest;
+use super::Requests;
+use crate::context::Context;
+use crate::interface::{Action, RequestId};
+
+impl Requests {
+    /// Rejects a request; `wait` is after how many seconds a retry is worth it.
+    pub(super) fn reject(&mut self, context: Context, id: RequestId, wait: f64, actions: &mut Vec<Action>) {
+        let settings = context.settings;
+        let retry_after = if settings.may_send_retry_after {
+            wait.clamp(0.0, settings.max_retry_after.max(0.0))
+        } else {
+            0.0
+        };
+        actions.push(Action::Reject { id, retry_after });
+        self.finish(context, id, actions);
+    }
+
+    /// Answers a request that has no attempt left: rejected if that promise may be given, else failed.
+    pub(super) fn exhaust_attempts(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.in_flight.get(&id).filter(|request| !request.is_answered) else { return };
+        if request.may_be_rejected(context.settings) {
+            return self.reject(context, id, 0.0, actions);
+        }
+        actions.push(Action::Fail { id });
+        self.finish(context, id, actions);
+    }
+
+    /// Fails a request that reached its deadline without a response.
+    pub fn on_deadline(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
+        if self.in_flight.get(&id).is_some_and(InFlightRequest::awaits_answer) {
+            actions.push(Action::Fail { id });
+            self.finish(context, id, actions);
+        }
+    }
+
+    /// Ends a request or an authorization whose client has gone.
+    pub fn on_client_disconnected(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
+        self.release_authorization(context, id);
+        self.finish(context, id, actions);
+    }
+
+    /// Marks a request as answered, cancels its attempts in flight, and removes it once all of them have
+    /// ended.
+    pub(super) fn finish(
+        &mut self,
+        Context { settings, .. }: Context,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        if request.awaits_answer() && settings.may_cancel {
+            let attempts = request.attempts.iter().enumerate();
+            for (number, _) in attempts.filter(|(_, attempt)| attempt.is_in_flight) {
+                actions.push(Action::Cancel { id, attempt: number as u32 });
+            }
+        }
+        request.is_answered = true;
+        if !request.has_attempt_in_flight() {
+            self.in_flight.remove(&id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/requests/idempotency.rs
@@ -0,0 +1,67 @@
+//! Whether the effect of a request allows a retry, where it may go, and whether it may be rejected after an
+//! attempt.
+//!
+//! An idempotent request may always be retried. A request without an idempotency key is retried only if no
+//! attempt may have run. One with a key is retried within its deduplication scope and window, counted from
+//! the first attempt that may have run. What it can get wrong: an attempt counts as run until its outcome
+//! proves otherwise, so that some retries that would have been safe are not sent. Held by `tests/retry.rs`.
+
+use super::attempt::Attempt;
+use super::in_flight_request::InFlightRequest;
+use crate::context::Context;
+use crate::endpoints::{Constraints, DeduplicationBinding};
+use crate::interface::{Class, DeduplicationScope, Idempotency, Settings};
+
+/// Share of the deduplication window in which a request may be retried; the rest is for clocks that differ.
+const USABLE_WINDOW_RATIO: f64 = 0.9;
+/// Ticks before the end of the window by which an attempt must be decided, so that it is written in time.
+const SEND_TICKS: f64 = 2.0;
+
+impl InFlightRequest {
+    /// The first attempt by which endpoints may remember the request's idempotency key.
+    fn deduplicated_attempt(&self, class: &Class) -> Option<&Attempt> {
+        let has_key = class.idempotency == Idempotency::IdempotencyKey;
+        self.attempts.iter().find(|attempt| attempt.may_have_run && has_key)
+    }
+
+    /// What it asks of its next endpoint.
+    pub fn constraints(&self, settings: &Settings) -> Constraints<'_> {
+        let class = &settings.classes[self.class];
+        let binding = self.deduplicated_attempt(class).map(|attempt| DeduplicationBinding {
+            scope: class.deduplication_scope,
+            location: &attempt.location,
+        });
+        Constraints {
+            class: self.class,
+            binding,
+            tried: self.attempts.iter().map(|attempt| &attempt.endpoint).collect(),
+        }
+    }
+
+    /// Time by which a further attempt must be written: while endpoints remember the key of the first one.
+    pub fn send_deadline(&self, settings: &Settings) -> f64 {
+        let class = &settings.classes[self.class];
+        self.deduplicated_attempt(class).map_or(f64::INFINITY, |attempt| {
+            attempt.sent_at + class.deduplication_window * USABLE_WINDOW_RATIO
+                - settings.tick_interval * SEND_TICKS
+        })
+    }
+
+    /// Whether the request's effect allows a retry now.
+    pub fn effect_allows_retry(&self, Context { settings, now }: Context) -> bool {
+        match settings.classes[self.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => !self.may_have_run(),
+            Idempotency::IdempotencyKey => now < self.send_deadline(settings),
+        }
+    }
+
+    /// Whether a client may be told that it is safe to retry: the request has no effect, or its repeat has
+    /// none.
+    pub fn may_be_rejected(&self, settings: &Settings) -> bool {
+        let class = &settings.classes[self.class];
+        let is_deduplicated_everywhere = class.idempotency == Idempotency::IdempotencyKey
+            && class.deduplication_scope == DeduplicationScope::All;
+        class.idempotency == Idempotency::Idempotent || is_deduplicated_everywhere || !self.may_have_run()
+    }
+}
--- /dev/null
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -0,0 +1,28 @@
+//! Load shedding: where the fleet is full, the classes that are worth least for their work give way.
+//!
+//! The quota has decided before, so that shedding takes nothing from one customer for another. What it can
+//! get wrong: a class with long service times is shed first although it may be the one that clients need.
+//! Held by `tests/admission.rs` as far as rejections go; which class gives way is seen in the simulator's
+//! days.
+
+use super::Requests;
+use crate::interface::Settings;
+
+/// How strongly a full fleet sheds classes of less value.
+const SHEDDING_STRENGTH: f64 = 4.0;
+
+impl Requests {
+    /// Whether a request of a class is shed.
+    pub(super) fn sheds(&mut self, settings: &Settings, class: usize) -> bool {
+        let saturation = self.endpoints.update_saturation();
+        let best =
+            (0..settings.classes.len()).map(|class| self.value_density(settings, class)).fold(0.0, f64::max);
+        let value = self.value_density(settings, class) / best.max(1e-9);
+        SHEDDING_STRENGTH * saturation * (1.0 - value) > self.rng.f64()
+    }
+
+    /// Priority per second of service time.
+    fn value_density(&self, settings: &Settings, class: usize) -> f64 {
+        settings.classes[class].priority_weight / self.service_times.of_class(class).max(1e-6)
+    }
+}
--- /dev/null
+++ b/crates/decision/src/requests/mod.rs
@@ -0,0 +1,54 @@
+//! The course of a request: admitted or rejected, sent, retried, and answered once.
+//!
+//! [`Requests`] holds the requests in flight and asks [`crate::quota`] whether a customer may, and
+//! [`crate::endpoints`] which endpoint takes it. Those two do not know each other, nor this module.
+
+mod admission;
+mod attempt;
+mod authorization;
+mod completion;
+mod idempotency;
+mod in_flight_request;
+mod load_shedding;
+mod outcome;
+mod retry;
+mod retry_budget;
+mod service_times;
+mod slow_attempt;
+
+pub use outcome::AttemptEnd;
+
+use crate::endpoints::EndpointSet;
+use crate::interface::{RequestId, Settings};
+use crate::quota::Quota;
+use in_flight_request::InFlightRequest;
+use retry_budget::RetryBudget;
+use service_times::ServiceTimes;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// The requests in flight, and what decides their course.
+pub struct Requests {
+    pub quota: Quota,
+    pub endpoints: EndpointSet,
+    rng: fastrand::Rng,
+    service_times: ServiceTimes,
+    retry_budget: RetryBudget,
+    in_flight: BTreeMap<RequestId, InFlightRequest>,
+    /// Customers whose authorized calls may still be in flight.
+    authorizations: BTreeMap<RequestId, Arc<str>>,
+}
+
+impl Requests {
+    pub fn new(settings: &Settings, seed: u64, now: f64) -> Self {
+        Requests {
+            quota: Quota::new(now),
+            endpoints: EndpointSet::new(settings.instance_count, now),
+            rng: fastrand::Rng::with_seed(seed),
+            service_times: ServiceTimes::new(settings),
+            retry_budget: RetryBudget::full(),
+            in_flight: BTreeMap::new(),
+            authorizations: BTreeMap::new(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/requests/outcome.rs
@@ -0,0 +1,102 @@
+//! What the end of an attempt says of its endpoint, and what becomes of the request.
+//!
+//! Rejections and failed connections prove that an attempt did not run. What it can get wrong: a time-out
+//! says nothing of whether it ran, so it counts as run. Held by `tests/retry.rs` and
+//! `tests/request_answers.rs`.
+
+use super::in_flight_request::InFlightRequest;
+use super::Requests;
+use crate::context::Context;
+use crate::endpoints::{Pace, Progress};
+use crate::interface::{Action, EndpointId, Outcome, RequestId};
+
+/// How an attempt ended.
+#[derive(Clone, Copy)]
+pub struct AttemptEnd {
+    /// The request has its final response.
+    pub request_finished: bool,
+    pub outcome: Outcome,
+    /// Seconds since the attempt was sent.
+    pub elapsed: f64,
+    /// The true units, where they are settled with the response; otherwise 0.
+    pub units: f64,
+}
+
+/// The attempt that ended.
+struct EndedAttempt {
+    endpoint: EndpointId,
+    /// Index of the request's class.
+    class: usize,
+    /// Units of the request, as they were drawn.
+    units: f64,
+    is_retry: bool,
+}
+
+impl Requests {
+    /// Handles the end of an attempt.
+    pub fn on_attempt_ended(
+        &mut self,
+        context: Context,
+        id: RequestId,
+        number: u32,
+        end: AttemptEnd,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        let (class, units, customer) = (request.class, request.units, request.customer.clone());
+        let was_answered = request.is_answered;
+        let attempt = request.attempts.get_mut(number as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
+        attempt.is_in_flight = false;
+        attempt.may_have_run =
+            !matches!(end.outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent);
+        let ended = EndedAttempt { endpoint: attempt.endpoint.clone(), class, units, is_retry: number > 0 };
+        self.release_place(id, number);
+        let is_settled = end.outcome == Outcome::Ok && end.units > 0.0 && context.settings.post_paid;
+        let correction = if is_settled { end.units - units } else { 0.0 };
+        self.quota.on_attempt_ended(context, &customer, correction);
+        self.record_outcome(context, &ended, &end);
+        if end.request_finished || was_answered {
+            return self.finish(context, id, actions);
+        }
+        let is_waiting = self.in_flight.get(&id).is_some_and(InFlightRequest::has_attempt_in_flight);
+        if !is_waiting && !self.retry(context, id, actions) {
+            self.exhaust_attempts(context, id, actions);
+        }
+    }
+
+    /// Records what an outcome says of the endpoint.
+    fn record_outcome(&mut self, context: Context, ended: &EndedAttempt, end: &AttemptEnd) {
+        let endpoint = &ended.endpoint;
+        let latency_objective = context.settings.classes[ended.class].latency_objective;
+        let pace = |failed| Pace { elapsed: end.elapsed, latency_objective, failed };
+        match end.outcome {
+            Outcome::Ok => {
+                self.record_service_time(context, ended, end.elapsed);
+                if ended.is_retry && end.elapsed < latency_objective {
+                    self.retry_budget.on_retry_success();
+                }
+                self.endpoints.adjust_limits(context, endpoint, &pace(false));
+                self.endpoints.record_success(context, endpoint);
+            }
+            Outcome::Overloaded => {
+                if self.endpoints.record_rejection(context, endpoint, ended.class) {
+                    self.endpoints.adjust_limits(context, endpoint, &pace(true));
+                }
+            }
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
+                self.endpoints.record_failure(context, endpoint);
+            }
+            Outcome::Timeout => self.endpoints.adjust_limits(context, endpoint, &pace(true)),
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    fn record_service_time(&mut self, context: Context, ended: &EndedAttempt, elapsed: f64) {
+        let per_unit = elapsed / ended.units.max(1.0);
+        let latency_ratio = per_unit / self.service_times.of_class(ended.class).max(1e-6);
+        let progress = Progress::Responded;
+        self.endpoints.record_latency(context, &ended.endpoint, ended.class, latency_ratio, progress);
+        self.service_times.record(ended.class, per_unit);
+    }
+}
--- /dev/null
+++ b/crates/decision/src/requests/service_times.rs
@@ -0,0 +1,40 @@
+//! Mean service time per class and unit, in seconds, over all endpoints.
+//!
+//! It says how long a response usually takes: for slow attempts, for the time left for a retry and for the
+//! advice on when to retry. What it can get wrong: it follows a change over some tens of responses only. Held
+//! by `tests/admission.rs`, `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
+
+use crate::ewma::ewma;
+use crate::interface::Settings;
+
+/// Mean before any response, in latency objectives.
+const INITIAL_MEAN_OBJECTIVES: f64 = 0.2;
+/// Weight of one response.
+const GAIN: f64 = 0.02;
+
+pub struct ServiceTimes {
+    means: Vec<f64>,
+}
+
+impl ServiceTimes {
+    pub fn new(settings: &Settings) -> Self {
+        let initial = |objective: f64| objective * INITIAL_MEAN_OBJECTIVES;
+        ServiceTimes {
+            means: settings.classes.iter().map(|class| initial(class.latency_objective)).collect(),
+        }
+    }
+
+    /// Seconds per unit of a class.
+    pub fn of_class(&self, class: usize) -> f64 {
+        self.means[class]
+    }
+
+    pub fn record(&mut self, class: usize, seconds_per_unit: f64) {
+        self.means[class] = ewma(self.means[class], seconds_per_unit, GAIN);
+    }
+
+    /// The mean of all classes: after this time a place that is taken now is most likely free.
+    pub fn mean(&self) -> f64 {
+        self.means.iter().sum::<f64>() / self.means.len().max(1) as f64
+    }
+}
