--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,34 +1,46 @@
-//! What becomes of quotas while the keeper of counts fails, without I/O.
+//! The client side of the counter service, without I/O: which counter is used, how far its totals may be relied on, and
+//! how large the error of a quota is while a counter fails.
 //!
-//! [`Judge`] tells by calls of its own whether what a keeper says is to be believed, and by how many limiters it is
-//! shared. [`Panel`] judges several and follows their [`Succession`]; [`Pacer`] spreads calls; [`Wake`] knows that the
-//! process stood still.
-//! [`Bound`] states how far a customer's use over all limiters together may leave its quota while the keeper is
-//! silent, has lost counts, answers with old ones, or is two keepers with a view each. `docs/design/keeper.md`
-//! derives the bounds; `tests/bounds.rs` holds the decision module to them over simulated limiters and keepers.
+//! [`CounterValidator`] validates one counter by calls of its own: a sentinel counter and an instance census.
+//! [`CounterMonitor`] validates all counters of an instance and follows their [`Failover`]. [`Pacer`] limits the rate of
+//! calls, and [`PauseDetector`] detects pauses of the process. [`ErrorBound`] states how far a customer's use over all
+//! instances together may leave its quota while the counter is unavailable, has lost counts, answers with old totals, or
+//! is split. `docs/design/keeper.md` derives the bounds; `tests/bounds.rs` checks the decision module against them with
+//! simulated instances and counters.
+//!
+//! All times are seconds on a clock that the caller supplies.
 //!
 //! ```
-//! use liftrouter_counter::{Bound, Fault, Quota, Timing};
+//! use liftrouter_counter::{ErrorBound, Fault, Quota, Timing};
 //!
-//! let quota = Quota { rate: 6.5, burst: 30.0, largest: 4.0, width: 3, ceiling: 2.0 };
-//! let bound = Bound::of(&quota, &Timing::default(), Fault::Silent { seconds: 60.0 });
-//! assert!(bound.over < Bound::of(&quota, &Timing::default(), Fault::Any { seconds: 60.0 }).over);
+//! let quota =
+//!     Quota { rate: 6.5, burst: 30.0, max_request_units: 4.0, instance_count: 3, hard_limit_factor: 2.0 };
+//! let timing = Timing::default();
+//! let unavailable = ErrorBound::under(&quota, &timing, Fault::Unavailable { seconds: 60.0 });
+//! let arbitrary = ErrorBound::under(&quota, &timing, Fault::Arbitrary { seconds: 60.0 });
+//! assert!(unavailable.overshoot < arbitrary.overshoot);
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod bound;
-mod judge;
-mod pace;
-mod panel;
-mod store;
-mod succession;
-mod wake;
+mod assessment;
+mod census;
+mod error_bound;
+mod failover;
+mod monitor;
+mod pacing;
+mod pause_detector;
+mod sentinel;
+mod settings;
+mod token_bucket;
+mod validator;
+mod verdict;
 
-pub use bound::{Bound, Fault, Quota, Timing, CHANCE};
-pub use judge::{Answer, Call, Evidence, Judge, Terms, View};
-pub use pace::{Pace, Pacer};
-pub use panel::{Belief, Panel};
-pub use store::Store;
-pub use succession::{Change, Order, Post, Succession, Why};
-pub use wake::Wake;
+pub use assessment::Assessment;
+pub use error_bound::{ErrorBound, Fault, Quota, Timing, RANDOM_REJECTION_RATIO};
+pub use failover::{ActiveCounter, Failover, FailoverPolicy, Switch, SwitchReason};
+pub use monitor::CounterMonitor;
+pub use pacing::{Pacer, PacingSettings};
+pub use pause_detector::PauseDetector;
+pub use settings::ValidationSettings;
+pub use token_bucket::TokenBucket;
+pub use validator::{CallResult, CounterValidator, ValidationCall};
+pub use verdict::{Validity, Verdict};
--- a/crates/counter/tests/bounds.rs
+++ b/crates/counter/tests/bounds.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{plan, Change, Demand, Result, World};
-use liftrouter_counter::{Bound, Fault, Pace, Quota, Timing};
+use liftrouter_counter::{ErrorBound, Fault, PacingSettings, Quota, Timing};
 
 /// Seconds of a run, and of a fault that lasts; both end well after the fault.
 const RUN: f64 = 50.0;
@@ -20,7 +20,13 @@
     [Plan("starter", 1.5, 8.0, 0.0), Plan("agency", 6.5, 30.0, 2.0), Plan("network", 26.0, 52.0, 0.0)];
 
 fn quota(plan: &Plan, width: usize) -> Quota {
-    Quota { rate: plan.1, burst: plan.2, largest: 1.0, width: width as u32, ceiling: plan.3 }
+    Quota {
+        rate: plan.1,
+        burst: plan.2,
+        max_request_units: 1.0,
+        instance_count: width as u32,
+        hard_limit_factor: plan.3,
+    }
 }
 
 /// A partner that asks for several times its quota, and changes the limiter that it comes through most.
@@ -61,7 +67,7 @@
             let mut world = make(world(p, width, seed));
             changes(&mut world, width, seed);
             let result = world.play();
-            let bound = Bound::of(&quota(p, width), &Timing::default(), fault).over;
+            let bound = ErrorBound::under(&quota(p, width), &Timing::default(), fault).overshoot;
             check(name, p, width, seed, &result, bound);
             worst = (worst.0.max(result.over / bound), worst.1.max(result.over));
         }
@@ -104,7 +110,7 @@
             changes(&mut world, width, seed);
             let result = world.play();
             let quota = quota(p, width);
-            let bound = Bound::of(&quota, &Timing::default(), fault).under_in(&quota, RUN);
+            let bound = ErrorBound::under(&quota, &Timing::default(), fault).undershoot_within(&quota, RUN);
             let refused = result.refused;
             assert!(refused <= bound, "{name}, {}, seed {seed}: {refused} refused, {bound:.1} stated", p.0);
             worst = (worst.0.max(refused / bound), worst.1.max(refused));
@@ -114,40 +120,45 @@
 }
 
 #[test]
-fn what_a_partner_inside_its_quota_loses_is_bounded_too() {
+fn undershoot_of_a_customer_within_its_quota_is_bounded() {
     let seconds = FAULT.1;
     let lasts = |begin: Change, end: Change| {
         move |w: &mut World, _: usize, _: u64| {
-            w.at(FAULT.0, begin.clone());
-            w.at(END, end.clone());
+            w.at(FAULT.0, begin);
+            w.at(END, end);
         }
     };
     let same = |w: World| w;
     serve("none", Fault::None, same, |_, _, _| {});
     serve("none, judged", Fault::None, World::judged, |_, _, _| {});
     let silent = lasts(Change::Silent(0, true), Change::Silent(0, false));
-    serve("silent", Fault::Silent { seconds }, same, silent);
-    serve("lost", Fault::Lost, same, |w, _, _| w.at(FAULT.0, Change::Lose(1.0)));
+    serve("silent", Fault::Unavailable { seconds }, same, silent);
+    serve("lost", Fault::CountsLost, same, |w, _, _| w.at(FAULT.0, Change::Lose(1.0)));
     serve("stale", Fault::Stale { seconds }, same, lasts(Change::Stale(true), Change::Stale(false)));
-    serve("doubled", Fault::Doubled { seconds }, same, lasts(Change::Doubled(true), Change::Doubled(false)));
+    serve(
+        "doubled",
+        Fault::DoubleCounted { seconds },
+        same,
+        lasts(Change::Doubled(true), Change::Doubled(false)),
+    );
     for both in [true, false] {
         let split = |w: &mut World, width: usize, _: u64| {
             w.at(FAULT.0, Change::Split { from: width / 2, kept: 0.5 });
             w.at(END, Change::Heal { both });
         };
-        serve("split", Fault::Split { views: 2, seconds }, same, split);
-        serve("split, judged", Fault::Split { views: 2, seconds }, World::judged, split);
+        serve("split", Fault::SplitBrain { partitions: 2, seconds }, same, split);
+        serve("split, judged", Fault::SplitBrain { partitions: 2, seconds }, World::judged, split);
     }
 }
 
 #[test]
-fn a_keeper_that_works() {
+fn overshoot_is_bounded_without_a_fault() {
     hold("none", Fault::None, |_, _, _| {});
 }
 
 #[test]
-fn a_silent_keeper_and_a_limiter_that_restarts_meanwhile() {
-    let fault = Fault::Silent { seconds: FAULT.1 };
+fn overshoot_is_bounded_while_the_counter_is_unavailable_and_an_instance_restarts() {
+    let fault = Fault::Unavailable { seconds: FAULT.1 };
     let silent = |w: &mut World| {
         w.at(FAULT.0, Change::Silent(0, true));
         w.at(END, Change::Silent(0, false));
@@ -161,20 +172,21 @@
 }
 
 #[test]
-fn a_keeper_that_loses_counts() {
+fn overshoot_is_bounded_when_counts_are_lost() {
     for share in [0.5, 1.0] {
-        hold("lost", Fault::Lost, |w, _, _| w.at(FAULT.0, Change::Lose(share)));
+        hold("lost", Fault::CountsLost, |w, _, _| w.at(FAULT.0, Change::Lose(share)));
     }
-    hold("lost+", Fault::Lost, |w, width, _| {
+    hold("lost+", Fault::CountsLost, |w, width, _| {
         w.at(FAULT.0, Change::Lose(1.0));
         w.at(FAULT.0 + 0.5, Change::Restart(width - 1));
     });
 }
 
 #[test]
-fn a_slow_keeper() {
+fn overshoot_is_bounded_with_a_slow_counter() {
     for by in [0.03, 0.2] {
-        let fault = if by < 0.05 { Fault::Slow { seconds: by } } else { Fault::Silent { seconds: FAULT.1 } };
+        let fault =
+            if by < 0.05 { Fault::Slow { seconds: by } } else { Fault::Unavailable { seconds: FAULT.1 } };
         hold("slow", fault, |w, _, _| {
             w.at(FAULT.0, Change::Slow(by));
             w.at(END, Change::Slow(0.0));
@@ -183,7 +195,7 @@
 }
 
 #[test]
-fn a_keeper_with_stale_totals() {
+fn overshoot_is_bounded_with_stale_totals() {
     hold("stale", Fault::Stale { seconds: FAULT.1 }, |w, _, _| {
         w.at(FAULT.0, Change::Stale(true));
         w.at(END, Change::Stale(false));
@@ -191,8 +203,8 @@
 }
 
 #[test]
-fn two_keepers_with_a_view_each() {
-    let fault = Fault::Split { views: 2, seconds: FAULT.1 };
+fn overshoot_is_bounded_in_a_split_brain() {
+    let fault = Fault::SplitBrain { partitions: 2, seconds: FAULT.1 };
     for (kept, both) in [(0.0, true), (1.0, false), (0.5, true)] {
         hold("split", fault, |w, width, _| {
             w.at(FAULT.0, Change::Split { from: width / 2, kept });
@@ -204,8 +216,8 @@
 /// With a judge at each limiter a split costs what it does until it is told, however long it lasts; a limiter
 /// that starts meanwhile has its fallback until it knows.
 #[test]
-fn two_keepers_before_limiters_that_judge_them() {
-    let fault = Fault::Split { views: 2, seconds: JUDGED };
+fn validation_bounds_the_overshoot_of_a_long_split_brain() {
+    let fault = Fault::SplitBrain { partitions: 2, seconds: JUDGED };
     // Long enough for one that is not told to leave the bound.
     let long = 75.0;
     for (kept, both) in [(0.0, true), (1.0, false)] {
@@ -223,14 +235,14 @@
 }
 
 #[test]
-fn a_judge_changes_nothing_where_nothing_fails() {
+fn validation_changes_nothing_without_a_fault() {
     hold_by("none, judged", Fault::None, World::judged, |_, _, _| {});
 }
 
 #[test]
-fn another_keeper_with_none_some_or_all_counts() {
+fn overshoot_is_bounded_when_the_counter_is_replaced() {
     for kept in [0.0, 0.5, 1.0] {
-        hold("swap", Fault::Lost, |w, _, _| {
+        hold("swap", Fault::CountsLost, |w, _, _| {
             w.at(FAULT.0, Change::Lose(1.0 - kept));
             // And once more within a period.
             w.at(FAULT.0 + 0.3, Change::Lose(1.0 - kept));
@@ -239,16 +251,16 @@
 }
 
 #[test]
-fn a_keeper_that_adds_twice() {
-    hold("doubled", Fault::Doubled { seconds: FAULT.1 }, |w, _, _| {
+fn overshoot_is_bounded_when_increments_are_doubled() {
+    hold("doubled", Fault::DoubleCounted { seconds: FAULT.1 }, |w, _, _| {
         w.at(FAULT.0, Change::Doubled(true));
         w.at(END, Change::Doubled(false));
     });
 }
 
 #[test]
-fn anything_at_all_stays_within_what_holds_without_belief() {
-    hold("any", Fault::Any { seconds: RUN }, |w, width, seed| {
+fn overshoot_is_bounded_under_arbitrary_faults() {
+    hold("any", Fault::Arbitrary { seconds: RUN }, |w, width, seed| {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x51ed);
         for _ in 0..6 {
             let (at, lasts) = (5.0 + 30.0 * rng.f64(), 1.0 + 10.0 * rng.f64());
@@ -276,11 +288,11 @@
 /// A keeper that some limiters reach and others do not: the first divide the whole quota, the others have their
 /// fallback beside it.
 #[test]
-fn a_keeper_that_answers_some_limiters_alone() {
+fn overshoot_is_bounded_when_some_instances_cannot_reach_the_counter() {
     for judged in [false, true] {
         for cut in 1..=2u32 {
             // Where the others judge, their roll tells who is missing: then the error no longer grows.
-            let fault = Fault::Cut { limiters: cut, seconds: if judged { JUDGED } else { 60.0 } };
+            let fault = Fault::Partitioned { instances: cut, seconds: if judged { JUDGED } else { 60.0 } };
             let make = |w: World| if judged { w.judged().until(100.0) } else { w.until(100.0) };
             hold_by("cut", fault, make, |w, width, _| {
                 w.at(FAULT.0, Change::Cut(Some(width - (cut as usize).min(width))));
@@ -291,16 +303,16 @@
 }
 
 #[test]
-fn calls_that_are_added_and_never_answered_count_as_silence() {
-    hold("mute", Fault::Silent { seconds: FAULT.1 }, |w, _, _| {
+fn unanswered_calls_that_are_applied_count_as_unavailability() {
+    hold("mute", Fault::Unavailable { seconds: FAULT.1 }, |w, _, _| {
         w.at(FAULT.0, Change::Mute(true));
         w.at(END, Change::Mute(false));
     });
 }
 
 #[test]
-fn limiters_whose_clocks_are_half_a_second_apart_keep_the_same_bounds() {
-    let split = Fault::Split { views: 2, seconds: JUDGED };
+fn bounds_hold_with_clocks_half_a_second_apart() {
+    let split = Fault::SplitBrain { partitions: 2, seconds: JUDGED };
     for p in &PLANS {
         for seed in 0..runs() {
             let width = 2 + (seed as usize) % 3;
@@ -315,7 +327,7 @@
                     world.at(19.8, Change::Split { from: width / 2, kept: 0.0 });
                     world.at(80.1, Change::Heal { both: true });
                 }
-                let bound = Bound::of(&quota(p, width), &Timing::default(), fault).over;
+                let bound = ErrorBound::under(&quota(p, width), &Timing::default(), fault).overshoot;
                 check(&format!("{name}, clocks apart"), p, width, seed, &world.play(), bound);
             }
         }
@@ -324,8 +336,8 @@
 
 /// Both sides of a cut have a keeper of their own for minutes, and both sets of counts are added up afterwards.
 #[test]
-fn minutes_with_a_keeper_on_either_side_of_a_cut_and_then_both_sets_of_counts() {
-    let fault = Fault::Split { views: 2, seconds: 2.0 * JUDGED };
+fn bounds_hold_over_minutes_of_split_brain_and_a_merge_of_its_counts() {
+    let fault = Fault::SplitBrain { partitions: 2, seconds: 2.0 * JUDGED };
     for both in [true, false] {
         hold_by(
             "minutes",
@@ -341,11 +353,11 @@
 
 /// What a failover costs: silence until it is told, the moment in which not all have changed, and the fallback.
 fn failover() -> Fault {
-    Fault::Split { views: 2, seconds: JUDGED }
+    Fault::SplitBrain { partitions: 2, seconds: JUDGED }
 }
 
 #[test]
-fn a_standby_takes_over_twice_within_a_period_and_all_return_to_the_first() {
+fn bounds_hold_over_two_failovers_and_a_failback() {
     let posts = std::cell::RefCell::new(Vec::new());
     for (name, until, expected) in [("failover", 40.0, 2), ("return", 160.0, 0)] {
         for p in &PLANS {
@@ -358,10 +370,10 @@
                 w.at(FAULT.0 + 40.0, Change::Silent(0, false));
                 let result = w.play();
                 let quota = quota(p, width);
-                let usual = Bound::of(&quota, &Timing::default(), Fault::None);
+                let usual = ErrorBound::under(&quota, &Timing::default(), Fault::None);
                 // Two failovers and a return at most.
-                let bound = (0..3).fold(usual, |b, _| b.and(&quota, &Timing::default(), failover()));
-                check(name, p, width, seed, &result, bound.over);
+                let bound = (0..3).fold(usual, |b, _| b.with_fault(&quota, &Timing::default(), failover()));
+                check(name, p, width, seed, &result, bound.overshoot);
                 assert!(result.posts.iter().all(|post| *post == expected), "{name}: {:?}", result.posts);
                 posts.borrow_mut().push(result.posts);
             }
@@ -371,7 +383,7 @@
 }
 
 #[test]
-fn a_keeper_that_comes_and_goes_does_not_move_the_limiters_with_it() {
+fn a_flapping_counter_causes_one_failover() {
     for seed in 0..runs() {
         let mut w = world(&PLANS[1], 3, seed).with_standbys(1).until(100.0);
         for n in 0..10 {
@@ -380,14 +392,14 @@
         }
         let result = w.play();
         assert_eq!(result.posts, [1, 1, 1], "seed {seed}");
-        let bound = Bound::of(&quota(&PLANS[1], 3), &Timing::default(), failover()).over;
+        let bound = ErrorBound::under(&quota(&PLANS[1], 3), &Timing::default(), failover()).overshoot;
         check("comes and goes", &PLANS[1], 3, seed, &result, bound);
     }
 }
 
 /// A plan's cap on attempts out at once holds by the same shares, and one attempt for each limiter at least.
 #[test]
-fn a_cap_on_attempts_at_once_is_off_by_no_more_than_its_shares() {
+fn the_error_of_a_concurrency_limit_is_that_of_its_shares() {
     let open = 6.0;
     for seed in 0..runs() {
         let width = 2 + (seed as usize) % 3;
@@ -411,12 +423,12 @@
 
 /// Hundreds of partners are counted again when a silent keeper is back: calls rise, and stay within its rate.
 #[test]
-fn calls_come_back_spread_and_within_the_keepers_rate() {
+fn calls_ramp_up_within_the_counters_rate_after_an_outage() {
     let rate = 60.0;
     let calls = |paced: bool| {
         let demand = Demand { rate: 1.0, skew: 0.0, shift: 1e9, inside: false, partners: 400 };
         let w = World::new(plan(1.5, 8.0, 0.0), 4, 5, 0.0, demand, 60.0);
-        let pace = Pace { calls_per_s: rate, limiters: 4, rise: 5.0 };
+        let pace = PacingSettings { calls_per_second: rate, instance_count: 4, ramp_up: 5.0 };
         let mut w = if paced { w.paced(pace) } else { w };
         w.at(FAULT.0, Change::Silent(0, true));
         w.at(END, Change::Silent(0, false));
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -1,9 +1,12 @@
 //! Limiters and keepers in one process and in simulated time: the decision module as it is, a keeper that can fail,
 //! and a customer whose use is held against the store that its plan defines.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test program uses a part")]
 
 use fastrand::Rng;
-use liftrouter_counter::{Answer, Call, Order, Pace, Pacer, Panel, Store, Terms, Wake};
+use liftrouter_counter::{
+    CallResult, CounterMonitor, FailoverPolicy, Pacer, PacingSettings, PauseDetector, TokenBucket,
+    ValidationCall, ValidationSettings,
+};
 use liftrouter_decision::*;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
@@ -17,7 +20,7 @@
 const TIMEOUT: f64 = 0.05;
 
 /// What may happen to the keeper, and to limiters.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 pub enum Change {
     /// A keeper of the list answers nothing; what comes is not added.
     Silent(usize, bool),
@@ -82,8 +85,8 @@
     End(usize, u32, u64),
     Call { limiter: usize, life: u32, name: String, add: f64, lives: f64, at: f64, term: u64 },
     Told { limiter: usize, life: u32, name: String, outcome: Outcome, total: f64, took: f64 },
-    Judge(usize, u32, usize),
-    Judged { limiter: usize, life: u32, keeper: usize, call: Call, answer: Answer },
+    CounterValidator(usize, u32, usize),
+    Judged { limiter: usize, life: u32, keeper: usize, call: ValidationCall, answer: CallResult },
     Change(Change),
 }
 
@@ -147,9 +150,9 @@
     /// It reaches the second view of the first keeper, or none.
     side: bool,
     cut: bool,
-    panel: Option<Panel>,
+    monitor: Option<CounterMonitor>,
     pacer: Option<Pacer>,
-    wake: Wake,
+    pause_detector: PauseDetector,
 }
 
 pub struct World {
@@ -164,13 +167,13 @@
     keepers: Vec<Keeper>,
     demand: Demand,
     until: f64,
-    store: Store,
-    ceiling: Store,
+    store: TokenBucket,
+    ceiling: TokenBucket,
     /// What the partner has asked, as its quota would have it.
-    asked: Store,
+    asked: TokenBucket,
     out: i64,
     answer: f64,
-    pace: Option<Pace>,
+    pacing: Option<PacingSettings>,
     result: Result,
 }
 
@@ -180,7 +183,7 @@
     Plan {
         name: "plan".into(),
         rate,
-        burst: burst,
+        burst,
         hard_limit_rate: rate * ceiling,
         hard_limit_burst: burst * ceiling,
         weight_multiplier: 1.0,
@@ -188,30 +191,35 @@
     }
 }
 
+/// Settings of limiters with one class and one plan.
+fn settings(plan: Plan, limiters: usize) -> Settings {
+    let class = Class {
+        name: "read".into(),
+        latency_objective: 1.0,
+        deadline: 4.0,
+        priority_weight: 1.0,
+        ..Class::default()
+    };
+    Settings {
+        instance_count: limiters as u32,
+        tick_interval: 0.002,
+        classes: vec![class],
+        plans: vec![plan],
+        max_request_units: 1.0,
+        has_counter: true,
+        counter_timeout: TIMEOUT,
+        slow_start_capacity: 1.0,
+        max_attempts: 2,
+        ..Settings::default()
+    }
+}
+
 impl World {
     /// Limiters before a server that takes everything, with clocks up to so many seconds apart.
     pub fn new(plan: Plan, limiters: usize, seed: u64, skew: f64, demand: Demand, until: f64) -> World {
-        let class = Class {
-            name: "read".into(),
-            latency_objective: 1.0,
-            deadline: 4.0,
-            priority_weight: 1.0,
-            ..Class::default()
-        };
         let (rate, burst) = (plan.rate, plan.burst);
         let (hard_rate, hard_burst) = (plan.hard_limit_rate, plan.hard_limit_burst);
-        let settings = Settings {
-            instance_count: limiters as u32,
-            tick_interval: 0.002,
-            classes: vec![class],
-            plans: vec![plan],
-            max_request_units: 1.0,
-            has_counter: true,
-            counter_timeout: TIMEOUT,
-            slow_start_capacity: 1.0,
-            max_attempts: 2,
-            ..Settings::default()
-        };
+        let settings = settings(plan, limiters);
         let mut rng = Rng::with_seed(seed);
         let mut world = World {
             now: 1_000.0,
@@ -223,12 +231,12 @@
             keepers: vec![Keeper::default()],
             demand,
             until: 1_000.0 + until,
-            store: Store::new(rate, burst, 1_000.0),
-            ceiling: Store::new(hard_rate.max(1e-9), hard_burst, 1_000.0),
-            asked: Store::new(rate, burst, 1_000.0),
+            store: TokenBucket::new(rate, burst, 1_000.0),
+            ceiling: TokenBucket::new(hard_rate.max(1e-9), hard_burst, 1_000.0),
+            asked: TokenBucket::new(rate, burst, 1_000.0),
             out: 0,
             answer: ANSWER,
-            pace: None,
+            pacing: None,
             result: Result::default(),
             settings,
             rng: rng.fork(),
@@ -243,9 +251,9 @@
                 skew,
                 side: false,
                 cut: false,
-                panel: None,
+                monitor: None,
                 pacer: None,
-                wake: Wake::new(LONGEST_PAUSE, 1_000.0),
+                pause_detector: PauseDetector::new(LONGEST_PAUSE, 1_000.0),
             });
         }
         (0..limiters).for_each(|n| world.start(n));
@@ -278,37 +286,38 @@
     }
 
     /// Limiters spread their calls.
-    pub fn paced(mut self, pace: Pace) -> World {
-        self.pace = Some(pace);
+    pub fn paced(mut self, pace: PacingSettings) -> World {
+        self.pacing = Some(pace);
         (0..self.gateways.len()).for_each(|n| self.set_pace(n));
         self
     }
 
     fn set_pace(&mut self, n: usize) {
         let (part, now) = (self.rng.f64(), self.now);
-        self.gateways[n].pacer = self.pace.map(|pace| Pacer::new(pace, part, now));
+        self.gateways[n].pacer = self.pacing.map(|pace| Pacer::new(pace, part, now));
     }
 
     /// What each limiter goes by where it judges.
-    pub fn terms(limiters: usize) -> Terms {
-        Terms { limiters: limiters as u32, ..Terms::default() }
+    pub fn settings(limiters: usize) -> ValidationSettings {
+        ValidationSettings { instance_count: limiters as u32, ..ValidationSettings::default() }
     }
 
     fn judge(&mut self, n: usize) {
         let life = self.gateways[n].life;
-        let terms = Terms {
-            me: n as u32,
-            tag: self.seed << 16 | (n as u64) << 8 | u64::from(life),
-            ..World::terms(self.gateways.len())
+        let settings = ValidationSettings {
+            instance_index: n as u32,
+            incarnation: self.seed << 16 | (n as u64) << 8 | u64::from(life),
+            ..World::settings(self.gateways.len())
         };
         let skew = self.gateways[n].skew;
-        let order = Order { settle: 10.0, ..Order::default() };
-        let panel = Panel::new(&terms, order, self.keepers.len(), self.rng.f64(), self.now + skew);
-        let share = panel.belief().view.share;
+        let order = FailoverPolicy { recovery_period: 10.0, ..FailoverPolicy::default() };
+        let monitor =
+            CounterMonitor::new(&settings, order, self.keepers.len(), self.rng.f64(), self.now + skew);
+        let share = monitor.assessment().validity.usable_quota_ratio;
         for keeper in 0..self.keepers.len() {
-            self.later(panel.next(keeper) - skew, What::Judge(n, life, keeper));
+            self.later(monitor.next_call_at(keeper) - skew, What::CounterValidator(n, life, keeper));
         }
-        self.gateways[n].panel = Some(panel);
+        self.gateways[n].monitor = Some(monitor);
         self.feed(n, Event::CounterValidity { usable_quota_ratio: share });
     }
 
@@ -318,43 +327,49 @@
         }
         if self.gateways[n].paused > self.now {
             let at = self.gateways[n].paused;
-            return self.later(at, What::Judge(n, life, keeper));
+            return self.later(at, What::CounterValidator(n, life, keeper));
         }
         self.look(n);
         let g = &mut self.gateways[n];
         let (clock, skew) = (self.now + g.skew, g.skew);
-        let Some(panel) = &mut g.panel else { return };
-        let call = panel.due(keeper, clock);
-        let next = panel.next(keeper) - skew;
+        let Some(monitor) = &mut g.monitor else { return };
+        let call = monitor.due_call(keeper, clock);
+        let next = monitor.next_call_at(keeper) - skew;
         if let Some(call) = call {
-            let (answer, took) = self.reach(n, keeper, &call.name, call.add, call.lives);
+            let (answer, took) = self.reach(n, keeper, &call.key, call.increment, call.ttl);
             self.later(self.now + took, What::Judged { limiter: n, life, keeper, call, answer });
         }
-        self.later(next.max(self.now + 0.001), What::Judge(n, life, keeper));
+        self.later(next.max(self.now + 0.001), What::CounterValidator(n, life, keeper));
     }
 
-    fn told_judge(&mut self, n: usize, life: u32, keeper: usize, call: &Call, answer: Answer) {
+    fn told_judge(&mut self, n: usize, life: u32, keeper: usize, call: &ValidationCall, answer: CallResult) {
         if self.gateways[n].life != life {
             return;
         }
         self.look(n);
         let (now, g) = (self.now, &mut self.gateways[n]);
-        let Some(panel) = &mut g.panel else { return };
-        let before = panel.belief().post;
-        if let Some(belief) = panel.answered(keeper, call, answer, now + g.skew) {
-            if let Some(pacer) = g.pacer.as_mut().filter(|_| belief.post != before) {
-                pacer.returned(now);
+        let Some(monitor) = &mut g.monitor else { return };
+        let before = monitor.assessment().active;
+        if let Some(assessment) = monitor.record_result(keeper, call, answer, now + g.skew) {
+            if let Some(pacer) = g.pacer.as_mut().filter(|_| assessment.active != before) {
+                pacer.start_ramp(now);
             }
-            self.feed(n, Event::CounterValidity { usable_quota_ratio: belief.view.share });
+            self.feed(
+                n,
+                Event::CounterValidity { usable_quota_ratio: assessment.validity.usable_quota_ratio },
+            );
         }
     }
 
     /// A host looks at its clock before it hears anything.
     fn look(&mut self, n: usize) {
         let (now, g) = (self.now, &mut self.gateways[n]);
-        if let (Some(panel), Some(_)) = (&mut g.panel, g.wake.look(now)) {
-            if let Some(belief) = panel.woke(now + g.skew) {
-                self.feed(n, Event::CounterValidity { usable_quota_ratio: belief.view.share });
+        if let (Some(monitor), Some(_)) = (&mut g.monitor, g.pause_detector.check(now)) {
+            if let Some(assessment) = monitor.process_resumed(now + g.skew) {
+                self.feed(
+                    n,
+                    Event::CounterValidity { usable_quota_ratio: assessment.validity.usable_quota_ratio },
+                );
             }
         }
     }
@@ -404,9 +419,9 @@
             self.now = at;
             self.happen(what);
         }
-        self.result.over = self.store.over();
-        self.result.over_ceiling = self.ceiling.over();
-        let post = |g: &Gateway| g.panel.as_ref().map_or(0, |p| p.belief().post.keeper);
+        self.result.over = self.store.max_overshoot();
+        self.result.over_ceiling = self.ceiling.max_overshoot();
+        let post = |g: &Gateway| g.monitor.as_ref().map_or(0, |p| p.assessment().active.index);
         self.result.posts = self.gateways.iter().map(post).collect();
         self.result
     }
@@ -436,14 +451,14 @@
                 self.told(n, life, event);
             }
             What::Call { limiter, life, name, add, lives, at, term } => {
-                self.call(limiter, life, (name, add, lives), at, term)
+                self.call(limiter, life, (name, add, lives), at, term);
             }
             What::Told { limiter, life, name, outcome, total, took } => {
                 self.told(limiter, life, Event::CounterReply { key: name, outcome, total, elapsed: took });
             }
-            What::Judge(n, life, keeper) => self.judge_due(n, life, keeper),
+            What::CounterValidator(n, life, keeper) => self.judge_due(n, life, keeper),
             What::Judged { limiter, life, keeper, call, answer } => {
-                self.told_judge(limiter, life, keeper, &call, answer)
+                self.told_judge(limiter, life, keeper, &call, answer);
             }
             What::Change(change) => self.change(change),
         }
@@ -510,12 +525,12 @@
                 Action::SetTimer { at, token } => self.later(at - clock, What::Timer(n, life, token)),
                 Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
                     let (at, g) = (self.now, &mut self.gateways[n]);
-                    if g.pacer.as_mut().is_some_and(|p| !p.take(at)) {
+                    if g.pacer.as_mut().is_some_and(|p| !p.try_acquire(at)) {
                         let outcome = Outcome::Overloaded;
                         self.later(at, What::Told { limiter: n, life, name, outcome, total: 0.0, took: 0.0 });
                         continue;
                     }
-                    let term = g.panel.as_ref().map_or(0, |p| p.belief().post.term);
+                    let term = g.monitor.as_ref().map_or(0, |p| p.assessment().active.generation);
                     self.later(at + CALL / 2.0, What::Call { limiter: n, life, name, add, lives, at, term });
                 }
                 _ => {}
@@ -527,29 +542,29 @@
         let second = (self.now - 1_000.0) as usize;
         self.result.calls.resize(self.result.calls.len().max(second + 1), 0);
         self.result.calls[second] += 1;
-        let post = self.gateways[n].panel.as_ref().map(|p| p.belief().post).unwrap_or_default();
+        let post = self.gateways[n].monitor.as_ref().map(|p| p.assessment().active).unwrap_or_default();
         // One that was on its way while the keeper was changed is the old one's: its answer is nobody's.
-        let (answer, took) = if post.term == term {
-            self.reach(n, post.keeper, &name, add, lives)
+        let (answer, took) = if post.generation == term {
+            self.reach(n, post.index, &name, add, lives)
         } else {
-            (Answer::None, TIMEOUT)
+            (CallResult::Unanswered, TIMEOUT)
         };
         let (outcome, total) = match answer {
-            Answer::Total(total) => (Outcome::Ok, total),
+            CallResult::Total(total) => (Outcome::Ok, total),
             _ => (Outcome::Timeout, 0.0),
         };
         if let Some(pacer) = &mut self.gateways[n].pacer {
-            pacer.ended(outcome == Outcome::Ok, at + took);
+            pacer.record_result(outcome == Outcome::Ok, at + took);
         }
         self.later(at + took, What::Told { limiter: n, life, name, outcome, total, took });
     }
 
     /// A call of a limiter reaches a keeper.
-    fn reach(&mut self, n: usize, keeper: usize, name: &str, add: f64, lives: f64) -> (Answer, f64) {
+    fn reach(&mut self, n: usize, keeper: usize, name: &str, add: f64, lives: f64) -> (CallResult, f64) {
         let g = &self.gateways[n];
         let first = keeper == 0;
         if first && g.cut {
-            return (Answer::None, TIMEOUT);
+            return (CallResult::Unanswered, TIMEOUT);
         }
         let second = first && g.side && self.keepers[0].other.is_some();
         let keeper = match &mut self.keepers[keeper] {
@@ -557,15 +572,15 @@
             keeper => keeper,
         };
         if keeper.silent {
-            return (Answer::None, TIMEOUT);
+            return (CallResult::Unanswered, TIMEOUT);
         }
         let total = keeper.add(self.now, name, add, lives);
         let took = CALL + keeper.slow;
         // An answer that comes after the call was given up finds nobody; it was added all the same.
         if took > TIMEOUT || keeper.mute {
-            (Answer::None, TIMEOUT)
+            (CallResult::Unanswered, TIMEOUT)
         } else {
-            (Answer::Total(total), took)
+            (CallResult::Total(total), took)
         }
     }
 
@@ -608,10 +623,10 @@
             Change::Restart(n) => {
                 self.gateways[n].life += 1;
                 self.gateways[n].limiter = self.fresh(n, self.gateways[n].life);
-                self.gateways[n].wake = Wake::new(LONGEST_PAUSE, self.now);
+                self.gateways[n].pause_detector = PauseDetector::new(LONGEST_PAUSE, self.now);
                 self.set_pace(n);
                 self.start(n);
-                if self.gateways[n].panel.is_some() {
+                if self.gateways[n].monitor.is_some() {
                     self.judge(n);
                 }
             }
--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -1,11 +1,12 @@
-//! One keeper of counts (the counter service): adds to a named number and reads it, on a few kept connections.
+//! The client of one counter: adds to a named count and reads its total, on a few kept connections.
 
 use crate::count::Count;
 use crate::log;
 use crate::upstream::connection::{Failure, Link};
+use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::HOST;
-use hyper::{Request, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use liftrouter_decision::{Outcome, Settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,183 +14,226 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Calls out at once, each on a connection of its own; the counter holds 32 of a limiter. Answers on one
-/// connection come in order, however late: a call of its own can never read another's.
-pub const CALLS: usize = 8;
-/// Kept connections are closed after this time, well before the counter does it (about 10 s or less).
-const IDLE: Duration = Duration::from_secs(4);
-/// Pause after a failed connect, doubled with each further one. Short: the module itself calls sparsely
-/// while the counter is down, and its calls are what finds it back.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(200));
-const TIMEOUT_DEFAULT: f64 = 0.05;
-/// Names are forgotten after this many milliseconds at the latest, and live one at least.
-const LIFE_MS: (f64, f64) = (1.0, 60_000.0);
+/// Concurrent calls, each on a connection of its own; the counter accepts 32 of one limiter. Answers on one connection
+/// come in order, however late, so a call with its own connection can never read the answer to another.
+pub const MAX_CONCURRENT_CALLS: usize = 8;
+/// Idle connections are closed after this time, well before the counter closes them (after about 10 s or less).
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Backoff after a failed connect, doubled with each further one. Short, because the decision module itself calls rarely
+/// while the counter is unavailable, and its calls are what detects its return.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
+/// Upper limit of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
+/// Doublings after which the backoff is at its limit in any case.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// Timeout of a call where the settings have none, in seconds.
+const DEFAULT_TIMEOUT: f64 = 0.05;
+/// Shortest time for which the counter keeps a count, in milliseconds.
+const MIN_TTL_MS: f64 = 1.0;
+/// Longest time for which the counter keeps a count, in milliseconds.
+const MAX_TTL_MS: f64 = 60_000.0;
 
+/// A client of one counter. Everything runs on one thread, so its state is in cells.
 pub struct CounterClient {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
     idle: RefCell<Vec<Link>>,
-    open: Rc<Cell<usize>>,
-    /// Calls that wait for their answer.
-    out: Rc<Cell<usize>>,
-    /// Failed connects in a row, and until when no other is tried.
-    failed: Cell<u32>,
-    quiet_until: Cell<Option<Instant>>,
-    /// Answers so far that were none.
-    faults: Cell<u64>,
+    open_sockets: Rc<Cell<usize>>,
+    calls_in_flight: Rc<Cell<usize>>,
+    failed_connects: Cell<u32>,
+    /// No connect is tried before this time.
+    backoff_until: Cell<Option<Instant>>,
+    malformed_answers: Cell<u64>,
 }
 
-/// One of the calls that may be out at a keeper, for as long as it is held.
-pub struct Place {
+/// Permission for one call, counted until it is dropped.
+pub struct CallPermit {
+    /// Where the call goes.
     pub address: SocketAddr,
-    _out: Count<Rc<Cell<usize>>>,
+    _counted: Count<Rc<Cell<usize>>>,
+}
+
+/// How a call ended.
+pub struct CounterTotal {
+    /// The outcome, as the decision module has to know it.
+    pub outcome: Outcome,
+    /// The total; 0 unless the outcome is [`Outcome::Ok`].
+    pub total: f64,
+    /// The connection, if it can be kept.
+    pub connection: Option<Link>,
+}
+
+impl CounterTotal {
+    fn failed(outcome: Outcome) -> Self {
+        CounterTotal { outcome, total: 0.0, connection: None }
+    }
 }
 
 impl CounterClient {
+    /// A client of the counter at an address, if it has one yet.
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
-        let limit = settings.counter_timeout;
-        let limit = if limit > 0.0 && limit.is_finite() { limit } else { TIMEOUT_DEFAULT };
+        let seconds = settings.counter_timeout;
+        let seconds = if seconds > 0.0 && seconds.is_finite() { seconds } else { DEFAULT_TIMEOUT };
         CounterClient {
             address: Cell::new(address),
-            timeout: Duration::from_secs_f64(limit),
+            timeout: Duration::from_secs_f64(seconds),
             idle: RefCell::default(),
-            open: Rc::default(),
-            out: Rc::default(),
-            failed: Cell::new(0),
-            quiet_until: Cell::new(None),
-            faults: Cell::new(0),
+            open_sockets: Rc::default(),
+            calls_in_flight: Rc::default(),
+            failed_connects: Cell::new(0),
+            backoff_until: Cell::new(None),
+            malformed_answers: Cell::new(0),
         }
     }
 
-    /// From now on calls go to another address. Those that are out end where they are; what is kept to the old
-    /// address is closed, since it will close there and a call that crosses that is lost. Whether it is another one.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
-        let moved = self.address.replace(Some(address)) != Some(address);
-        if moved {
+    /// Sends calls to this address from now on, and returns whether it is another one. Calls in flight end where they
+    /// are. Idle connections to the old address are closed: it will close them, and a call that crosses that is lost.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
+        let changed = self.address.replace(Some(address)) != Some(address);
+        if changed {
             self.idle.borrow_mut().clear();
-            self.failed.set(0);
-            self.quiet_until.set(None);
+            self.failed_connects.set(0);
+            self.backoff_until.set(None);
         }
-        moved
+        changed
     }
 
-    /// Where it stands, if that is known.
+    /// The address, if it is known.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
 
-    /// A place among the calls that may be out, or why there is none; nothing is added then.
-    pub fn place(&self) -> Result<Place, Outcome> {
+    /// Reserves one of the concurrent calls.
+    ///
+    /// # Errors
+    /// The outcome if no call can be made now; then nothing was added.
+    pub fn reserve_call(&self) -> Result<CallPermit, Outcome> {
         let address = self.address.get().ok_or(Outcome::ConnectFailed)?;
-        if self.quiet_until.get().is_some_and(|until| Instant::now() < until) {
+        if self.backoff_until.get().is_some_and(|until| Instant::now() < until) {
             return Err(Outcome::ConnectFailed);
         }
-        if self.out.get() >= CALLS {
+        if self.calls_in_flight.get() >= MAX_CONCURRENT_CALLS {
             return Err(Outcome::Overloaded);
         }
-        Ok(Place { address, _out: Count::new(self.out.clone()) })
+        Ok(CallPermit { address, _counted: Count::new(self.calls_in_flight.clone()) })
     }
 
-    /// Makes a call and waits for its end.
-    pub async fn ask(&self, name: &str, add: f64, lives: f64) -> (Outcome, f64) {
-        let place = match self.place() {
-            Ok(place) => place,
+    /// Adds to a count that lives `ttl` seconds, and waits for the outcome and the total.
+    pub async fn add(&self, key: &str, increment: f64, ttl: f64) -> (Outcome, f64) {
+        let permit = match self.reserve_call() {
+            Ok(permit) => permit,
             Err(outcome) => return (outcome, 0.0),
         };
-        let (outcome, total, link) = self.run(place.address, name, add, lives).await;
-        let address = place.address;
-        drop(place);
-        self.keep(address, link).await;
+        let CounterTotal { outcome, total, connection } =
+            self.send(permit.address, key, increment, ttl).await;
+        let address = permit.address;
+        drop(permit);
+        self.keep(address, connection).await;
         (outcome, total)
     }
 
-    /// Keeps a link for further calls, if it can take them.
-    pub async fn keep(&self, address: SocketAddr, link: Option<Link>) {
-        if let Some(mut link) = link {
-            if link.settle().await && self.address.get() == Some(address) {
-                self.idle.borrow_mut().push(link);
+    /// Keeps a connection for further calls, if it can take them.
+    pub async fn keep(&self, address: SocketAddr, connection: Option<Link>) {
+        if let Some(mut connection) = connection {
+            if connection.settle().await && self.address.get() == Some(address) {
+                self.idle.borrow_mut().push(connection);
             }
         }
     }
 
-    /// Makes a call at an address; its link, if it can be kept.
-    pub async fn run(
-        &self,
-        address: SocketAddr,
-        name: &str,
-        add: f64,
-        lives: f64,
-    ) -> (Outcome, f64, Option<Link>) {
-        let until = Instant::now() + self.timeout;
-        let keep_ms = (lives * 1000.0).clamp(LIFE_MS.0, LIFE_MS.1).round();
-        let target = format!("/tally/{name}?n={add}&keep_ms={keep_ms}");
+    /// Makes a call at an address, within the timeout.
+    pub async fn send(&self, address: SocketAddr, key: &str, increment: f64, ttl: f64) -> CounterTotal {
+        let deadline = Instant::now() + self.timeout;
+        let keep_ms = (ttl * 1000.0).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
+        let target = format!("/tally/{key}?n={increment}&keep_ms={keep_ms}");
         loop {
-            // One call may find the counter moved between two tries: kept links lead to where it is now.
-            let kept = if self.address.get() == Some(address) { self.reuse() } else { None };
-            let reused = kept.is_some();
-            let mut link = match kept {
-                Some(link) => link,
-                None => match timeout_at(until, Link::connect(address, &self.open)).await {
-                    Ok(Ok(link)) => {
-                        self.failed.set(0);
-                        link
-                    }
-                    Ok(Err(_)) => {
-                        // An old address that refuses says nothing of the one that is called now.
-                        if self.address.get() == Some(address) {
-                            self.back_off();
-                        }
-                        return (Outcome::ConnectFailed, 0.0, None);
-                    }
-                    Err(_) => return (Outcome::ConnectFailed, 0.0, None),
+            // The address may have changed between two tries: idle connections lead to the present one.
+            let idle = if self.address.get() == Some(address) { self.take_idle() } else { None };
+            let reused = idle.is_some();
+            let mut connection = match idle {
+                Some(connection) => connection,
+                None => match self.connect(address, deadline).await {
+                    Some(connection) => connection,
+                    None => return CounterTotal::failed(Outcome::ConnectFailed),
                 },
             };
             let request = Request::post(&target).header(HOST, address.to_string()).body(Full::default());
-            let Ok(request) = request else { return (Outcome::ConnectFailed, 0.0, None) };
-            let answer = match timeout_at(until, link.exchange(request)).await {
-                Ok(Ok(answer)) => answer,
+            let Ok(request) = request else { return CounterTotal::failed(Outcome::ConnectFailed) };
+            return match timeout_at(deadline, connection.exchange(request)).await {
+                Ok(Ok(answer)) => self.read_answer(&answer, connection, key, &target),
                 Ok(Err(Failure::NotSent)) if reused => continue,
-                Ok(Err(Failure::NotSent)) => return (Outcome::ConnectFailed, 0.0, None),
-                // It may have been added, or may yet be: to the module that is a call without an answer.
-                // The connection goes with the call, so a late answer finds nobody.
+                Ok(Err(Failure::NotSent)) => CounterTotal::failed(Outcome::ConnectFailed),
+                // It may have been added, or may still be: to the decision module that is a call without an answer. The
+                // connection is closed with the call, so nobody reads a late answer.
                 Ok(Err(Failure::Broken | Failure::TooLarge)) | Err(_) => {
-                    return (Outcome::Timeout, 0.0, None)
+                    CounterTotal::failed(Outcome::Timeout)
                 }
             };
-            let total = std::str::from_utf8(answer.body()).ok().and_then(|t| t.trim().parse::<f64>().ok());
-            return match (answer.status(), total.filter(|t| t.is_finite())) {
-                (StatusCode::OK, Some(total)) => (Outcome::Ok, total, Some(link)),
-                (StatusCode::OK, None) => {
-                    self.complain(format_args!("an answer to {name} has no total"));
-                    (Outcome::Timeout, 0.0, None)
+        }
+    }
+
+    async fn connect(&self, address: SocketAddr, deadline: Instant) -> Option<Link> {
+        match timeout_at(deadline, Link::connect(address, &self.open_sockets)).await {
+            Ok(Ok(connection)) => {
+                self.failed_connects.set(0);
+                Some(connection)
+            }
+            Ok(Err(_)) => {
+                // An old address that refuses says nothing about the present one.
+                if self.address.get() == Some(address) {
+                    self.back_off();
                 }
-                (status, _) => {
-                    if status != StatusCode::SERVICE_UNAVAILABLE {
-                        self.complain(format_args!("{status} for {target}"));
-                    }
-                    (Outcome::Overloaded, 0.0, Some(link))
+                None
+            }
+            Err(_) => None,
+        }
+    }
+
+    fn read_answer(
+        &self,
+        answer: &Response<Bytes>,
+        connection: Link,
+        key: &str,
+        target: &str,
+    ) -> CounterTotal {
+        let text = std::str::from_utf8(answer.body()).ok();
+        let total = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
+        match (answer.status(), total) {
+            (StatusCode::OK, Some(total)) => {
+                CounterTotal { outcome: Outcome::Ok, total, connection: Some(connection) }
+            }
+            (StatusCode::OK, None) => {
+                self.log_malformed(format_args!("an answer to {key} has no total"));
+                CounterTotal::failed(Outcome::Timeout)
+            }
+            (status, _) => {
+                if status != StatusCode::SERVICE_UNAVAILABLE {
+                    self.log_malformed(format_args!("{status} for {target}"));
                 }
-            };
+                CounterTotal { outcome: Outcome::Overloaded, total: 0.0, connection: Some(connection) }
+            }
         }
     }
 
-    fn reuse(&self) -> Option<Link> {
+    fn take_idle(&self) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|link| link.used.elapsed() < IDLE);
-        std::iter::from_fn(|| idle.iter().rposition(Link::rested).map(|n| idle.remove(n))).find(Link::usable)
+        idle.retain(|connection| connection.used.elapsed() < IDLE_TIMEOUT);
+        let last_rested = || idle.iter().rposition(Link::rested).map(|index| idle.remove(index));
+        std::iter::from_fn(last_rested).find(Link::usable)
     }
 
-    /// Logs the first fault and then ever fewer: a counter that is broken all day must not fill the log.
-    fn complain(&self, text: std::fmt::Arguments) {
-        let faults = self.faults.replace(self.faults.get() + 1) + 1;
-        if faults.is_power_of_two() {
-            log("counter", format_args!("{text} (fault {faults})"));
+    /// Logs the first malformed answer and then ever fewer: a counter that is broken all day must not fill the log.
+    fn log_malformed(&self, text: std::fmt::Arguments) {
+        let count = self.malformed_answers.get() + 1;
+        self.malformed_answers.set(count);
+        if count.is_power_of_two() {
+            log("counter", format_args!("{text} (fault {count})"));
         }
     }
 
     fn back_off(&self) {
-        let pause = BACKOFF.0 * (1 << self.failed.get().min(8));
-        self.failed.set(self.failed.get() + 1);
-        self.quiet_until.set(Some(Instant::now() + pause.min(BACKOFF.1)));
+        let backoff = INITIAL_BACKOFF * (1 << self.failed_connects.get().min(MAX_BACKOFF_DOUBLINGS));
+        self.failed_connects.set(self.failed_connects.get() + 1);
+        self.backoff_until.set(Some(Instant::now() + backoff.min(MAX_BACKOFF)));
     }
 }
--- a/crates/daemon/src/counter/pool.rs
+++ b/crates/daemon/src/counter/pool.rs
@@ -1,10 +1,10 @@
-//! The keepers of counts that this limiter knows: customers' calls go to the one that is believed, at the pace that
-//! it takes, and an answer from one that no longer is belongs to nobody.
+//! The counters that this instance knows: customers' calls go to the active one, at the pace that it takes, and an answer
+//! from one that is no longer active is dropped.
 
-use super::client::CounterClient;
+use super::client::{CounterClient, CounterTotal};
 use crate::events::{EventQueue, HostEvent};
 use crate::log;
-use liftrouter_counter::{Pacer, Post};
+use liftrouter_counter::{ActiveCounter, Pacer};
 use liftrouter_decision::Outcome;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,124 +12,140 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+/// How often something happened that the validation has to know of. Each number only ever increases.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ChangeCounts {
+    /// Pauses of the process.
+    pub pauses: u32,
+    /// Changes of the first counter's address.
+    pub address_changes: u32,
+}
+
+/// All counters, and which of them is active.
 pub struct CounterPool {
-    all: Vec<Rc<CounterClient>>,
-    post: Cell<Post>,
+    clients: Vec<Rc<CounterClient>>,
+    active: Cell<ActiveCounter>,
     pacer: RefCell<Option<Pacer>>,
-    began: Instant,
-    /// How often the process was found to have stood still, and the first keeper to stand elsewhere.
-    wakes: Cell<u32>,
-    moves: Cell<u32>,
+    started_at: Instant,
+    changes: Cell<ChangeCounts>,
     changed: Notify,
-    /// Answers that belonged to a keeper no longer called.
-    strays: Cell<u64>,
+    /// Answers from a counter that was no longer active.
+    late_responses: Cell<u64>,
 }
 
 impl CounterPool {
-    /// The first is called until another is believed.
-    pub fn new(all: Vec<CounterClient>, pacer: Option<Pacer>) -> Rc<Self> {
+    /// A pool whose first counter is active until [`CounterPool::set_active`] names another.
+    pub fn new(clients: Vec<CounterClient>, pacer: Option<Pacer>) -> Rc<Self> {
         Rc::new(CounterPool {
-            all: all.into_iter().map(Rc::new).collect(),
-            post: Cell::default(),
+            clients: clients.into_iter().map(Rc::new).collect(),
+            active: Cell::default(),
             pacer: RefCell::new(pacer),
-            began: Instant::now(),
-            wakes: Cell::new(0),
-            moves: Cell::new(0),
+            started_at: Instant::now(),
+            changes: Cell::default(),
             changed: Notify::new(),
-            strays: Cell::new(0),
+            late_responses: Cell::new(0),
         })
     }
 
-    pub fn all(&self) -> &[Rc<CounterClient>] {
-        &self.all
+    /// All counters, in the order of the configuration.
+    pub fn clients(&self) -> &[Rc<CounterClient>] {
+        &self.clients
     }
 
-    /// From now on customers are counted there.
-    pub fn believe(&self, post: Post) {
-        if self.post.replace(post) != post {
+    /// Customers are counted at this counter from now on.
+    pub fn set_active(&self, active: ActiveCounter) {
+        if self.active.replace(active) != active {
             let now = self.now();
             if let Some(pacer) = &mut *self.pacer.borrow_mut() {
-                pacer.returned(now);
+                pacer.start_ramp(now);
             }
         }
     }
 
-    /// The first keeper stands elsewhere from now on.
-    pub fn move_first(&self, address: SocketAddr) {
-        let Some(first) = self.all.first() else { return };
-        if first.move_to(address) {
-            let post = self.post.get();
-            if post.keeper == 0 {
-                self.post.set(Post { term: post.term + 1, ..post });
+    /// The first counter has this address from now on.
+    pub fn set_first_address(&self, address: SocketAddr) {
+        let Some(first) = self.clients.first() else { return };
+        if first.set_address(address) {
+            let active = self.active.get();
+            if active.index == 0 {
+                self.active.set(ActiveCounter { generation: active.generation + 1, ..active });
             }
-            self.moves.set(self.moves.get() + 1);
+            let changes = self.changes.get();
+            self.changes.set(ChangeCounts { address_changes: changes.address_changes + 1, ..changes });
             self.changed.notify_one();
         }
     }
 
-    /// The process stood still: whoever judges is to know.
-    pub fn woke(&self) {
-        self.wakes.set(self.wakes.get() + 1);
+    /// The process was paused: the validation has to know.
+    pub fn process_resumed(&self) {
+        let changes = self.changes.get();
+        self.changes.set(ChangeCounts { pauses: changes.pauses + 1, ..changes });
         self.changed.notify_one();
     }
 
-    /// How often it stood still so far, and the first keeper was moved.
-    pub fn changes(&self) -> (u32, u32) {
-        (self.wakes.get(), self.moves.get())
+    /// What has happened so far.
+    pub fn changes(&self) -> ChangeCounts {
+        self.changes.get()
     }
 
-    /// Waits until one of the two may have changed.
+    /// Waits until [`CounterPool::changes`] may have changed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Starts a customer's call, or gives why none can be made; nothing is added then.
+    /// Starts a call for a customer. Its result is a [`HostEvent::CounterReply`].
+    ///
+    /// # Errors
+    /// The outcome if no call can be made now; then nothing was added.
     pub fn call(
         self: &Rc<Self>,
         events: &Rc<EventQueue>,
-        name: String,
-        add: f64,
-        lives: f64,
+        key: String,
+        increment: f64,
+        ttl: f64,
     ) -> Result<(), Outcome> {
-        let post = self.post.get();
-        let keeper = self.all.get(post.keeper).ok_or(Outcome::ConnectFailed)?;
-        let place = keeper.place()?;
+        let active = self.active.get();
+        let client = self.clients.get(active.index).ok_or(Outcome::ConnectFailed)?;
+        let permit = client.reserve_call()?;
         let now = self.now();
-        if self.pacer.borrow_mut().as_mut().is_some_and(|pacer| !pacer.take(now)) {
+        if self.pacer.borrow_mut().as_mut().is_some_and(|pacer| !pacer.try_acquire(now)) {
             return Err(Outcome::Overloaded);
         }
-        let (keepers, keeper, events) = (self.clone(), keeper.clone(), events.clone());
+        let (pool, client, events) = (self.clone(), client.clone(), events.clone());
         tokio::task::spawn_local(async move {
-            let began = Instant::now();
-            let (outcome, total, link) = keeper.run(place.address, &name, add, lives).await;
-            let address = place.address;
-            drop(place);
-            let outcome = keepers.belongs(post, outcome);
-            events.push(HostEvent::CounterReply { key: name, outcome, total, elapsed: began.elapsed() });
-            keeper.keep(address, link).await;
+            let started_at = Instant::now();
+            let CounterTotal { outcome, total, connection } =
+                client.send(permit.address, &key, increment, ttl).await;
+            let address = permit.address;
+            drop(permit);
+            let outcome = pool.attribute(active, outcome);
+            events.push(HostEvent::CounterReply { key, outcome, total, elapsed: started_at.elapsed() });
+            client.keep(address, connection).await;
         });
         Ok(())
     }
 
-    /// What a call that began under a post comes to. What the keeper before has added is not added anew, since the
-    /// one of today may be its copy, and its total is no total of today's: to the module that is a call without an
-    /// answer. What it surely has not added goes to the keeper of today.
-    fn belongs(&self, post: Post, outcome: Outcome) -> Outcome {
+    /// The outcome of a call that began while `active` was the active counter.
+    ///
+    /// If another one is active now, the increment is not added again, since the present counter may be a copy of the one
+    /// before, and the total is not a total of the present one: to the decision module that is a call without an answer.
+    /// An increment that was certainly not applied goes to the present counter.
+    fn attribute(&self, active: ActiveCounter, outcome: Outcome) -> Outcome {
         let now = self.now();
         if let Some(pacer) = &mut *self.pacer.borrow_mut() {
-            pacer.ended(outcome == Outcome::Ok, now);
+            pacer.record_result(outcome == Outcome::Ok, now);
         }
-        if outcome != Outcome::Ok || self.post.get().term == post.term {
+        if outcome != Outcome::Ok || self.active.get().generation == active.generation {
             return outcome;
         }
-        let strays = self.strays.get() + 1;
-        self.strays.set(strays);
-        if strays.is_power_of_two() {
-            log("keeper", format_args!("an answer came from the keeper before ({strays} so far)"));
+        let late_responses = self.late_responses.get() + 1;
+        self.late_responses.set(late_responses);
+        if late_responses.is_power_of_two() {
+            log("keeper", format_args!("an answer came from the keeper before ({late_responses} so far)"));
         }
         Outcome::Timeout
     }
--- a/crates/daemon/src/counter/validation.rs
+++ b/crates/daemon/src/counter/validation.rs
@@ -1,10 +1,12 @@
-//! Runs the panel of judges: makes their calls, one at a time to each keeper, and tells which keeper is believed and
-//! what to make of its totals.
+//! Runs the validation of the counters: makes its calls, one at a time to each counter, and reports which counter is
+//! active and how far its totals may be relied on.
 
-use super::pool::CounterPool;
+use super::pool::{ChangeCounts, CounterPool};
 use crate::events::{EventQueue, HostEvent};
 use crate::log;
-use liftrouter_counter::{Answer, Belief, Order, Panel, Quota, Terms, Timing};
+use liftrouter_counter::{
+    Assessment, CallResult, CounterMonitor, FailoverPolicy, Quota, Timing, ValidationSettings,
+};
 use liftrouter_decision::{Outcome, Settings};
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -13,136 +15,177 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// The least pause between two looks at what is due, whatever the clock does.
-const LEAST_PAUSE: Duration = Duration::from_millis(5);
+/// Shortest sleep between two checks for a due call, whatever the clock does.
+const MIN_SLEEP: Duration = Duration::from_millis(5);
+/// 2^64 divided by the golden ratio: an odd number whose multiples differ in all their bits.
+const PHASE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Bits of the hashed seed that become the phase.
+const PHASE_BITS: u32 = 24;
 
-/// The time that all limiters share, as it goes on from the start: the system's clock may be set meanwhile.
-struct Clock(Instant, f64);
+/// Unix time, read once and carried on by the monotonic clock: all instances mean the same by it, and it does not follow
+/// later changes of the system clock.
+struct ValidationClock {
+    started_at: Instant,
+    unix_seconds: f64,
+}
 
-impl Clock {
+impl ValidationClock {
     fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock(Instant::now(), unix.as_secs_f64())
+        ValidationClock { started_at: Instant::now(), unix_seconds: unix.as_secs_f64() }
     }
 
     fn now(&self) -> f64 {
-        self.1 + self.0.elapsed().as_secs_f64()
+        self.unix_seconds + self.started_at.elapsed().as_secs_f64()
     }
 }
 
-/// Judges the keepers for one limiter.
-pub struct Judging {
-    keepers: Rc<CounterPool>,
+/// A plan whose error bound is logged with each change.
+struct ReportedPlan {
+    name: String,
+    quota: Quota,
+}
+
+/// Validates all counters for one instance.
+pub struct CounterValidation {
+    pool: Rc<CounterPool>,
     events: Rc<EventQueue>,
-    clock: Clock,
-    terms: Terms,
-    panel: RefCell<Panel>,
-    /// What the panel knows of [`CounterPool::changes`].
-    known: Cell<(u32, u32)>,
-    /// Plans whose error is stated with each change.
-    quotas: Vec<(String, Quota)>,
+    clock: ValidationClock,
+    settings: ValidationSettings,
+    monitor: RefCell<CounterMonitor>,
+    /// What the monitor knows of [`CounterPool::changes`].
+    known: Cell<ChangeCounts>,
+    plans: Vec<ReportedPlan>,
     timing: Timing,
 }
 
-impl Judging {
-    /// `seed` differs from limiter to limiter.
+impl CounterValidation {
+    /// A validation of the pool's counters. The instance, its incarnation and the number of instances come from
+    /// `settings` and `seed`, the rest from `validation`. `seed` differs from instance to instance.
     pub fn new(
-        keepers: Rc<CounterPool>,
+        pool: Rc<CounterPool>,
         events: Rc<EventQueue>,
-        (terms, order): (Terms, Order),
+        validation: ValidationSettings,
+        policy: FailoverPolicy,
         settings: &Settings,
         seed: u64,
     ) -> Rc<Self> {
-        let clock = Clock::start();
-        // A process that starts anew with the same seed must not take the canary before it for its own.
-        let tag = seed ^ (clock.1 * 1e6) as u64;
-        let limiters = settings.instance_count.max(1);
-        let terms = Terms { me: settings.instance_index, limiters, tag, ..terms };
-        // Drawn evenly from the seed: limiters that judge alike act at different moments.
-        let part = (seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as f64 / f64::from(1 << 24);
-        let panel = Panel::new(&terms, order, keepers.all().len(), part, clock.now());
-        let plans = settings.plans.iter().filter(|p| p.rate > 0.0);
-        let quotas = plans.map(|p| {
-            let (rate, burst, ceiling) = (p.rate, p.burst, p.hard_limit_rate / p.rate);
-            let quota = Quota { rate, burst, largest: settings.max_request_units, width: limiters, ceiling };
-            (p.name.clone(), quota)
-        });
-        Rc::new(Judging {
-            keepers,
+        let clock = ValidationClock::start();
+        // A process that restarts with the same seed must not take its predecessor's sentinel for its own.
+        let incarnation = seed ^ (clock.unix_seconds * 1e6) as u64;
+        let instance_index = settings.instance_index;
+        let instance_count = settings.instance_count.max(1);
+        let validation = ValidationSettings { instance_index, instance_count, incarnation, ..validation };
+        // Hashed from the seed, so that instances with the same view switch at different moments.
+        let hash = seed.wrapping_mul(PHASE_MULTIPLIER) >> (u64::BITS - PHASE_BITS);
+        let phase = hash as f64 / f64::from(1u32 << PHASE_BITS);
+        let monitor = CounterMonitor::new(&validation, policy, pool.clients().len(), phase, clock.now());
+        Rc::new(CounterValidation {
+            pool,
             events,
             clock,
-            terms,
-            panel: RefCell::new(panel),
+            settings: validation,
+            monitor: RefCell::new(monitor),
             known: Cell::default(),
-            quotas: quotas.collect(),
+            plans: reported_plans(settings, instance_count),
             timing: Timing { timeout: settings.counter_timeout.max(0.0), ..Timing::default() },
         })
     }
 
-    /// Judges for as long as it is polled. Each change of belief is one line of the log.
+    /// Validates for as long as it is polled. Each change is one line of the log.
     pub async fn run(self: Rc<Self>) {
-        // Until the keeper has been heard, totals are not believed.
-        self.tell(self.panel.borrow().belief());
-        for keeper in 0..self.keepers.all().len() {
-            spawn_local(self.clone().follow(keeper));
+        // Until a counter has answered, totals are not used.
+        let initial = self.monitor.borrow().assessment();
+        self.report(initial);
+        for counter in 0..self.pool.clients().len() {
+            spawn_local(self.clone().validate(counter));
         }
         loop {
-            self.keepers.changed().await;
-            self.catch_up();
+            self.pool.changed().await;
+            self.apply_changes();
         }
     }
 
-    /// Judges one keeper.
-    async fn follow(self: Rc<Self>, n: usize) {
-        let Some(keeper) = self.keepers.all().get(n).cloned() else { return };
+    /// Validates one counter.
+    async fn validate(self: Rc<Self>, counter: usize) {
+        let Some(client) = self.pool.clients().get(counter).cloned() else { return };
         loop {
-            let next = self.panel.borrow().next(n);
-            let pause = Duration::try_from_secs_f64(next - self.clock.now()).unwrap_or_default();
-            sleep(pause.max(LEAST_PAUSE)).await;
-            let call = self.panel.borrow_mut().due(n, self.clock.now());
+            let next = self.monitor.borrow().next_call_at(counter);
+            let until = Duration::try_from_secs_f64(next - self.clock.now()).unwrap_or_default();
+            sleep(until.max(MIN_SLEEP)).await;
+            let call = self.monitor.borrow_mut().due_call(counter, self.clock.now());
             let Some(call) = call else { continue };
-            let (outcome, total) = keeper.ask(&call.name, call.add, call.lives).await;
-            let answer = match outcome {
-                Outcome::Ok => Answer::Total(total),
-                Outcome::Timeout => Answer::None,
-                _ => Answer::NotAdded,
+            let (outcome, total) = client.add(&call.key, call.increment, call.ttl).await;
+            let result = match outcome {
+                Outcome::Ok => CallResult::Total(total),
+                Outcome::Timeout => CallResult::Unanswered,
+                _ => CallResult::NotApplied,
             };
-            // Whether the process stood still meanwhile is to be known before the answer.
-            self.catch_up();
-            let belief = self.panel.borrow_mut().answered(n, &call, answer, self.clock.now());
-            belief.into_iter().for_each(|belief| self.tell(belief));
+            // A pause of the process during the call has to be known before the answer.
+            self.apply_changes();
+            let assessment =
+                self.monitor.borrow_mut().record_result(counter, &call, result, self.clock.now());
+            self.report_change(assessment);
         }
     }
 
-    /// Tells the panel what has happened to the process and to its first keeper.
-    fn catch_up(&self) {
-        let (now, (wakes, moves)) = (self.clock.now(), self.keepers.changes());
-        let known = self.known.replace((wakes, moves));
-        if moves != known.1 {
-            let belief = self.panel.borrow_mut().moved(0, now);
-            belief.into_iter().for_each(|belief| self.tell(belief));
+    /// Passes on to the monitor what has happened to the process and to the first counter.
+    fn apply_changes(&self) {
+        let (now, changes) = (self.clock.now(), self.pool.changes());
+        let known = self.known.replace(changes);
+        if changes.address_changes != known.address_changes {
+            let assessment = self.monitor.borrow_mut().address_changed(0, now);
+            self.report_change(assessment);
         }
-        if wakes != known.0 {
-            let belief = self.panel.borrow_mut().woke(now);
-            belief.into_iter().for_each(|belief| self.tell(belief));
+        if changes.pauses != known.pauses {
+            let assessment = self.monitor.borrow_mut().process_resumed(now);
+            self.report_change(assessment);
         }
     }
 
-    fn tell(&self, belief: Belief) {
-        self.keepers.believe(belief.post);
-        let mut line = belief.to_string();
-        if let Some(address) = self.keepers.all().get(belief.post.keeper).and_then(|k| k.address()) {
-            let _ = write!(line, "; at {address}");
-        }
-        for (n, (name, quota)) in self.quotas.iter().enumerate() {
-            let bound = belief.bound(quota, &self.timing, &self.terms);
-            let before = if n == 0 { "; off by at most, in units:" } else { "," };
-            let _ = write!(line, "{before} {name} +{:.0} -{:.0}", bound.over, bound.under);
+    fn report_change(&self, assessment: Option<Assessment>) {
+        if let Some(assessment) = assessment {
+            self.report(assessment);
         }
-        log("keeper", line);
+    }
+
+    fn report(&self, assessment: Assessment) {
+        self.pool.set_active(assessment.active);
+        log("keeper", self.log_line(&assessment));
         self.events.push(HostEvent::CounterValidity {
-            usable_quota_ratio: belief.view.share,
-            pauses: self.known.get().0,
+            usable_quota_ratio: assessment.validity.usable_quota_ratio,
+            pauses: self.known.get().pauses,
         });
     }
+
+    fn log_line(&self, assessment: &Assessment) -> String {
+        let mut line = assessment.to_string();
+        let client = self.pool.clients().get(assessment.active.index);
+        if let Some(address) = client.and_then(|client| client.address()) {
+            let _ = write!(line, "; at {address}");
+        }
+        for (index, plan) in self.plans.iter().enumerate() {
+            let bound = assessment.error_bound(&plan.quota, &self.timing, &self.settings);
+            let before = if index == 0 { "; off by at most, in units:" } else { "," };
+            let (name, overshoot, undershoot) = (&plan.name, bound.overshoot, bound.undershoot);
+            let _ = write!(line, "{before} {name} +{overshoot:.0} -{undershoot:.0}");
+        }
+        line
+    }
+}
+
+/// The plans that have a quota.
+fn reported_plans(settings: &Settings, instance_count: u32) -> Vec<ReportedPlan> {
+    let plans = settings.plans.iter().filter(|plan| plan.rate > 0.0);
+    let reported = plans.map(|plan| ReportedPlan {
+        name: plan.name.clone(),
+        quota: Quota {
+            rate: plan.rate,
+            burst: plan.burst,
+            max_request_units: settings.max_request_units,
+            instance_count,
+            hard_limit_factor: plan.hard_limit_rate / plan.rate,
+        },
+    });
+    reported.collect()
 }
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -14,7 +14,7 @@
 use crate::log;
 use crate::upstream::servers::{Attempt, Limits, Place, Servers};
 use clock::Clock;
-use liftrouter_counter::Wake;
+use liftrouter_counter::PauseDetector;
 use liftrouter_decision::{
     Action, EndpointId, EndpointState, Event, Limiter, Outcome, Request, RequestId, Settings,
 };
@@ -64,7 +64,7 @@
     /// The version of the list that servers are chosen from.
     version: Option<u64>,
     /// Watches for pauses of the process, where somebody judges what is old after one.
-    wake: Option<Wake>,
+    wake: Option<PauseDetector>,
 }
 
 /// A process that did not look at its clock for so many seconds stood still: longer than any work of its own takes,
@@ -92,7 +92,7 @@
 
     /// Shares of quotas that were learned before a pause of the process are not acted on after it.
     pub fn watch_pauses(mut self) -> Self {
-        self.wake = Some(Wake::new(LONGEST_PAUSE, self.clock.seconds(Instant::now())));
+        self.wake = Some(PauseDetector::new(LONGEST_PAUSE, self.clock.seconds(Instant::now())));
         self
     }
 
@@ -109,7 +109,7 @@
             }
             let mut next = self.timers.peek().map_or_else(far, |Reverse((at, _))| *at);
             if let Some(wake) = &self.wake {
-                next = next.min(Instant::now() + Duration::from_secs_f64(wake.beat()));
+                next = next.min(Instant::now() + Duration::from_secs_f64(wake.check_interval()));
             }
             if sleep.deadline() != next {
                 sleep.as_mut().reset(next);
@@ -127,9 +127,9 @@
     /// Sees whether the process stood still: before anything else is heard, or old shares would be acted on.
     fn look(&mut self) {
         let now = self.clock.seconds(Instant::now());
-        if let Some(gap) = self.wake.as_mut().and_then(|wake| wake.look(now)) {
+        if let Some(gap) = self.wake.as_mut().and_then(|wake| wake.check(now)) {
             log("liftrouter", format_args!("stood still for {gap:.1} s: shares of quotas are learned anew"));
-            self.peers.keepers.woke();
+            self.peers.keepers.process_resumed();
             self.feed(Event::CounterValidity { usable_quota_ratio: 0.0 });
         }
     }
@@ -158,7 +158,7 @@
             }
             // What was judged before a pause was known holds no longer.
             HostEvent::CounterValidity { usable_quota_ratio: share, pauses: wakes }
-                if wakes == self.peers.keepers.changes().0 =>
+                if wakes == self.peers.keepers.changes().pauses =>
             {
                 self.feed(Event::CounterValidity { usable_quota_ratio: share });
             }
--- a/crates/daemon/src/operator/keeper.rs
+++ b/crates/daemon/src/operator/keeper.rs
@@ -1,7 +1,7 @@
 //! `[keeper]`: what the keeper says is judged by calls of the limiter's own.
 
 use super::Place;
-use liftrouter_counter::{Order, Pace as CallPace, Terms};
+use liftrouter_counter::{FailoverPolicy, PacingSettings, ValidationSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -30,9 +30,9 @@
 /// How keepers are judged and followed.
 pub struct Judged {
     /// Who judges is still to be told.
-    pub terms: Terms,
+    pub terms: ValidationSettings,
     /// When the keeper is changed.
-    pub order: Order,
+    pub order: FailoverPolicy,
     /// The keepers behind the one that the configuration names, in order.
     pub others: Vec<SocketAddr>,
     /// Calls a second that a keeper takes, if stated, and the seconds over which they come back after a silence.
@@ -42,12 +42,16 @@
 
 impl Judged {
     /// How calls are spread by each of so many limiters, if they are.
-    pub fn pace(&self, limiters: u32) -> Option<CallPace> {
+    pub fn pace(&self, limiters: u32) -> Option<PacingSettings> {
         let calls_per_s = self.calls_per_s?;
         // What judges call is not spread: a call each time, and little beside customers'.
-        let judging = f64::from(limiters.max(1)) / self.terms.every;
+        let judging = f64::from(limiters.max(1)) / self.terms.call_interval;
         let calls_per_s = (calls_per_s - judging).max(0.1 * calls_per_s);
-        Some(CallPace { calls_per_s, limiters: limiters.max(1), rise: self.rise })
+        Some(PacingSettings {
+            calls_per_second: calls_per_s,
+            instance_count: limiters.max(1),
+            ramp_up: self.rise,
+        })
     }
 }
 
@@ -61,12 +65,12 @@
         let what = format!("roll_ms is {roll}, expected five times every_ms ({every}) at least");
         return Err(place.fault(at, what));
     }
-    let terms = Terms {
-        every: every as f64 / 1e3,
-        stretch: roll as f64 / 1e3,
-        misses: place.number(k.misses, ("misses", "calls in a row"), 1..=100, 3)? as u32,
-        sure: place.number(k.sure, ("sure", "answers in a row"), 1..=100, 2)? as u32,
-        ..Terms::default()
+    let terms = ValidationSettings {
+        call_interval: every as f64 / 1e3,
+        census_period: roll as f64 / 1e3,
+        max_misses: place.number(k.misses, ("misses", "calls in a row"), 1..=100, 3)? as u32,
+        required_valid_answers: place.number(k.sure, ("sure", "answers in a row"), 1..=100, 2)? as u32,
+        ..ValidationSettings::default()
     };
     let mut others: Vec<SocketAddr> = Vec::new();
     for other in k.others {
@@ -87,12 +91,12 @@
     let seconds =
         |value, key, default| place.number(value, (key, "seconds"), 1..=86_400, default).map(|s| s as f64);
     let settle = seconds(k.settle_s, "settle_s", 30)?;
-    let order = Order {
-        patience: ms(k.patience_ms, "patience_ms", 0..=600_000, roll)?,
-        settle,
-        most_settle: seconds(k.most_settle_s, "most_settle_s", 600)?.max(settle),
+    let order = FailoverPolicy {
+        fault_tolerance: ms(k.patience_ms, "patience_ms", 0..=600_000, roll)?,
+        recovery_period: settle,
+        max_recovery_period: seconds(k.most_settle_s, "most_settle_s", 600)?.max(settle),
         jitter: ms(k.jitter_ms, "jitter_ms", 0..=60_000, every / 2)?,
-        stretch: terms.stretch,
+        census_period: terms.census_period,
     };
     let calls_per_s = match k.calls_per_s {
         None => None,
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -9,7 +9,7 @@
 use crate::config::{read_file, Addresses, Setup};
 use crate::counter::client::{self, CounterClient};
 use crate::counter::pool::CounterPool;
-use crate::counter::validation::Judging;
+use crate::counter::validation::CounterValidation;
 use crate::discovery::calls::Discovery;
 use crate::events::EventQueue;
 use crate::host::{Host, Peers};
@@ -79,8 +79,9 @@
     let name = grpc::instance_name();
     let authorisers = Authorisers::new(operator.authorisers, name.clone());
     if let Some(judged) = operator.keeper {
-        let terms = (judged.terms, judged.order);
-        spawn_local(Judging::new(keepers.clone(), events.clone(), terms, &settings, seed).run());
+        let (keepers, events) = (keepers.clone(), events.clone());
+        let validation = CounterValidation::new(keepers, events, judged.terms, judged.order, &settings, seed);
+        spawn_local(validation.run());
         host = host.watch_pauses();
     }
     let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
@@ -122,7 +123,7 @@
     fn new(sockets: Option<usize>, operator: &Operator, listeners: &Listeners) -> Self {
         let authorisers = operator.authorisers.iter().map(|a| a.connections).sum::<usize>();
         let other_keepers = operator.keeper.as_ref().map_or(0, |k| k.others.len());
-        let keepers = client::CALLS * (1 + other_keepers);
+        let keepers = client::MAX_CONCURRENT_CALLS * (1 + other_keepers);
         let taken = RESERVE + keepers + listeners.grpc_sockets() + authorisers;
         // Each request may hold two sockets, one to its client and one to a server.
         let left = sockets.unwrap_or(SOCKETS_DEFAULT).saturating_sub(taken).max(2);
@@ -193,7 +194,7 @@
             list.move_to(address);
         }
         if let Some(address) = counter {
-            keepers.move_first(address);
+            keepers.set_first_address(address);
         }
     }
 }
--- a/crates/stage/src/ledger/quota.rs
+++ b/crates/stage/src/ledger/quota.rs
@@ -1,12 +1,12 @@
 //! Quotas held against the error that is stated for them: what came to nodes beyond a customer's quota, and what was
-//! refused inside it, beside the bounds of [`liftrouter_counter::Bound`] for the faults that were played.
+//! refused inside it, beside the bounds of [`liftrouter_counter::ErrorBound`] for the faults that were played.
 
 use super::book::Book;
 use super::stores::Store;
 use super::{fate, Facts, Fate};
 use crate::scenario::Kind;
 use crate::schedule::{seconds, Arrival, Customer, Micros, Peer, Planned, MOST_UNITS};
-use liftrouter_counter::{Bound, Fault, Quota, Timing};
+use liftrouter_counter::{ErrorBound, Fault, Quota, Timing};
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 
@@ -49,27 +49,27 @@
 }
 
 /// Bounds of a customer over the whole rehearsal.
-pub fn bound(facts: &Facts, c: &Customer) -> (Quota, Bound) {
+pub fn bound(facts: &Facts, c: &Customer) -> (Quota, ErrorBound) {
     let (s, plan) = (facts.scenario, &facts.scenario.plans[c.plan]);
     let quota = Quota {
         rate: plan.rate,
         burst: facts.depth(c.plan),
-        largest: f64::from(MOST_UNITS),
-        width: c.spread as u32,
-        ceiling: plan.ceiling,
+        max_request_units: f64::from(MOST_UNITS),
+        instance_count: c.spread as u32,
+        hard_limit_factor: plan.ceiling,
     };
     let timing = Timing { timeout: s.keeper.timeout_ms / 1e3, ..Timing::default() };
-    let mut bound = Bound::of(&quota, &timing, Fault::None);
+    let mut bound = ErrorBound::under(&quota, &timing, Fault::None);
     for fault in &facts.schedule.faults {
         for reckoned in reckoned(facts, c, fault) {
             bound = match reckoned {
-                Reckoned::Fault(fault) => bound.and(&quota, &timing, fault),
-                Reckoned::Start => bound.with_starts(&quota, &timing, 1),
+                Reckoned::Fault(fault) => bound.with_fault(&quota, &timing, fault),
+                Reckoned::Start => bound.with_restarts(&quota, &timing, 1),
             };
         }
     }
     // What is out when shares change is settled later, by a request's guess at most.
-    (quota, Bound { over: bound.over + quota.largest, ..bound })
+    (quota, ErrorBound { overshoot: bound.overshoot + quota.max_request_units, ..bound })
 }
 
 enum Reckoned {
@@ -90,12 +90,12 @@
     let of_keeper = |fault: Fault| vec![Reckoned::Fault(fault)];
     let cut = |limiters: usize| match limiters {
         0 => Vec::new(),
-        n if n == c.spread => of_keeper(Fault::Silent { seconds: lasts }),
-        n => of_keeper(Fault::Cut { limiters: n as u32, seconds: unseen }),
+        n if n == c.spread => of_keeper(Fault::Unavailable { seconds: lasts }),
+        n => of_keeper(Fault::Partitioned { instances: n as u32, seconds: unseen }),
     };
     // Another keeper is changed to, and back from: each time some have changed before the others.
     let changes = |fault: Fault| {
-        let change = || Reckoned::Fault(Fault::Split { views: 2, seconds: rolls });
+        let change = || Reckoned::Fault(Fault::SplitBrain { partitions: 2, seconds: rolls });
         let mut all = of_keeper(fault);
         if keeper.count > 1 {
             all.extend([change(), change()]);
@@ -104,27 +104,27 @@
     };
     match fault.kind {
         Kind::KeeperSilent | Kind::KeeperRefusing | Kind::KeeperSlow if fault.victim == 0 => {
-            changes(Fault::Silent { seconds: lasts })
+            changes(Fault::Unavailable { seconds: lasts })
         }
-        Kind::KeeperForgets | Kind::KeeperSwapped if fault.victim == 0 => changes(Fault::Lost),
+        Kind::KeeperForgets | Kind::KeeperSwapped if fault.victim == 0 => changes(Fault::CountsLost),
         Kind::KeeperStale if fault.victim == 0 => changes(Fault::Stale { seconds: unseen }),
-        Kind::KeeperDoubled if fault.victim == 0 => changes(Fault::Doubled { seconds: lasts }),
+        Kind::KeeperDoubled if fault.victim == 0 => changes(Fault::DoubleCounted { seconds: lasts }),
         // A standby's faults count while it is called, which the first one's fault has brought.
         Kind::KeeperSilent | Kind::KeeperRefusing | Kind::KeeperSlow | Kind::KeeperForgets => {
-            changes(Fault::Lost)
+            changes(Fault::CountsLost)
         }
-        Kind::KeeperSwapped | Kind::KeeperStale | Kind::KeeperDoubled => changes(Fault::Lost),
+        Kind::KeeperSwapped | Kind::KeeperStale | Kind::KeeperDoubled => changes(Fault::CountsLost),
         Kind::KeeperSplit => {
             let seconds = if keeper.judged { rolls } else { lasts };
-            of_keeper(Fault::Split { views: 2, seconds })
+            of_keeper(Fault::SplitBrain { partitions: 2, seconds })
         }
         Kind::RoomCut => {
             // The first keeper stands in the first room.
             let away = |l: &&usize| (facts.room(**l) == fault.victim) != (fault.victim == 0);
             let mut all = cut(set.iter().filter(away).count());
             if keeper.count > 1 {
-                all.extend(of_keeper(Fault::Split { views: 2, seconds: rolls }));
-                all.extend(of_keeper(Fault::Split { views: 2, seconds: rolls }));
+                all.extend(of_keeper(Fault::SplitBrain { partitions: 2, seconds: rolls }));
+                all.extend(of_keeper(Fault::SplitBrain { partitions: 2, seconds: rolls }));
             }
             all
         }
@@ -159,7 +159,7 @@
     sent.sort_by_key(|(at, _)| *at);
     let mut seen = HashSet::new();
     let mut first_beyond: HashMap<usize, (Micros, u64)> = HashMap::new();
-    let mut bounds: HashMap<usize, (Quota, Bound)> = HashMap::new();
+    let mut bounds: HashMap<usize, (Quota, ErrorBound)> = HashMap::new();
     for (at, id) in sent {
         let Some((request, _)) = facts.request(id).filter(|_| seen.insert(id)) else { continue };
         let customer = request.customer;
@@ -168,7 +168,7 @@
         account.over = account.over.max(-left);
         let (_, bound) =
             bounds.entry(customer).or_insert_with(|| bound(facts, &facts.schedule.customers[customer]));
-        if account.over > bound.over {
+        if account.over > bound.overshoot {
             first_beyond.entry(customer).or_insert((at, id));
         }
     }
@@ -197,18 +197,18 @@
         let kept = &mut plans[c.plan];
         kept.customers += 1;
         let nearer = |new: (f64, f64), old: (f64, f64)| old.1 <= 0.0 || new.0 / new.1 > old.0 / old.1;
-        if nearer((account.over, bound.over), (kept.over, kept.over_bound)) {
-            (kept.over, kept.over_bound) = (account.over, bound.over);
+        if nearer((account.over, bound.overshoot), (kept.over, kept.over_bound)) {
+            (kept.over, kept.over_bound) = (account.over, bound.overshoot);
         }
         if !account.beyond {
             kept.inside += 1;
-            let most = bound.under_in(&quota, length);
+            let most = bound.undershoot_within(&quota, length);
             if nearer((account.refused, most), (kept.under, kept.under_bound)) {
                 (kept.under, kept.under_bound) = (account.refused, most);
             }
         }
         if let Some((at, id)) = first_beyond.get(&customer) {
-            beyond.push(Beyond { id: *id, at: *at, customer, over: account.over, bound: bound.over });
+            beyond.push(Beyond { id: *id, at: *at, customer, over: account.over, bound: bound.overshoot });
         }
     }
     (plans, beyond)
