--- a/crates/catalog/src/change_log.rs
+++ b/crates/catalog/src/change_log.rs
@@ -27,7 +27,7 @@
 pub struct Applied {
     /// The generation that is held now.
     pub generation: u64,
-    /// The services whose servers changed; their children are to be told.
+    /// The services whose servers changed; their subscribers are to be notified.
     pub services: BTreeSet<String>,
     /// How many servers changed.
     pub changed: usize,
@@ -100,9 +100,12 @@
         self.generation = None;
     }
 
-    /// Takes in an update of upstream. A whole list is reduced to what differs from the one at hand.
+    /// Applies an update of upstream. A complete list is reduced to what differs from the one at hand.
     ///
-    /// The digest of an update of which some entries could not be read is not looked at: it cannot be met.
+    /// The digest of an update of which some entries could not be read is not checked: it cannot match.
+    ///
+    /// # Errors
+    /// The update does not fit the list at hand, which stays as it is.
     pub fn apply(&mut self, update: Update) -> Result<Applied, ApplyError> {
         self.check_generation(&update)?;
         let generation = update.generation;
@@ -170,7 +173,7 @@
             applied.services.extend(difference.services().map(str::to_owned));
         }
         if held == Some(generation) {
-            // Children that hold this generation already have what was wrong in it.
+            // Subscribers that hold this generation already have what was wrong in it.
             for service in &applied.services {
                 self.history.distrust(service, generation);
             }
@@ -211,7 +214,7 @@
     fn record(&mut self, generation: u64, difference: &Difference) {
         let after_service = difference.after.as_ref().map(|after| after.service.as_str());
         if let Some(before) = &difference.before {
-            // For the children of the service that it left, the server is gone.
+            // For the subscribers of the service that it left, the server is gone.
             if after_service != Some(before.service.as_str()) {
                 self.history.record(&before.service, generation, Arc::new(before.terminated()));
             }
@@ -221,10 +224,10 @@
         }
     }
 
-    /// What a child that holds a generation of its subscription is to be told; nothing before the first list.
+    /// The update for a subscriber that holds a generation of its subscription; none before the first list.
     ///
     /// Without a generation, and where the history does not reach back to it, this is the whole list. The update
-    /// carries no digest; the caller adds one where it wants the child to compare.
+    /// carries no digest; the caller adds one where it wants the subscriber to compare.
     pub fn since(&self, subscription: &Subscription, after: Option<u64>) -> Option<Update> {
         let generation = self.generation?;
         let (reset, instances) = match after.filter(|after| self.reaches_back(subscription, *after)) {
@@ -234,7 +237,7 @@
         Some(Update { generation, reset, instances, ..Update::default() })
     }
 
-    /// A message without changes that lets a child compare its digest; nothing before the first list.
+    /// A message without changes that lets a subscriber compare its digest; none before the first list.
     pub fn digest_message(&self, subscription: &Subscription) -> Option<Update> {
         let digest = Some(self.digest(subscription));
         Some(Update { generation: self.generation?, digest, ..Update::default() })
@@ -295,7 +298,7 @@
         Difference { before, after, removed, added }
     }
 
-    /// The services whose children it concerns.
+    /// The services whose subscribers it concerns.
     fn services(&self) -> impl Iterator<Item = &str> {
         [&self.before, &self.after].into_iter().flatten().map(|instance| instance.service.as_str())
     }
--- a/crates/catalog/src/history.rs
+++ b/crates/catalog/src/history.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// How many changes a log remembers unless told otherwise: more than those of a day at 27,000 a day.
+/// How many changes a log remembers by default: more than those of a day at 27,000 a day.
 pub const HISTORY_CHANGES: usize = 32_768;
 
 /// How many jumps over generations are remembered.
--- a/crates/catalog/src/regions.rs
+++ b/crates/catalog/src/regions.rs
@@ -8,7 +8,7 @@
 /// The replicas of all regions, seen as one list.
 ///
 /// Each region counts its own generations, so that all of them go on while they cannot reach one another; a region
-/// that cannot be reached keeps the servers that it told last. A server belongs to one region. Where two of them list
+/// that cannot be reached keeps the servers that it listed last. A server belongs to one region. Where two of them list
 /// the same identity all the same, the entry of the region that comes first is seen.
 #[derive(Clone, Debug)]
 pub struct RegionLists {
@@ -48,11 +48,11 @@
         self.replicas[..region].iter().any(|earlier| earlier.instance(&instance.instance_id).is_some())
     }
 
-    /// Takes in what one region tells and gives what it changed in the list of all.
+    /// Applies the update of one region; returns what it changed in the merged list.
     ///
     /// # Errors
     /// The update does not fit what is held of the region, which stays as it is.
-    pub fn apply(&mut self, region: RegionIndex, update: Update) -> Result<Vec<Change>, ApplyError> {
+    pub fn apply(&mut self, region: RegionIndex, update: &Update) -> Result<Vec<Change>, ApplyError> {
         let changes = self.replicas[region].apply(update)?;
         Ok(changes.into_iter().filter_map(|change| self.seen_change(region, change)).collect())
     }
--- a/crates/catalog/src/replica.rs
+++ b/crates/catalog/src/replica.rs
@@ -1,12 +1,12 @@
-//! The servers of a subscription as a child holds them.
+//! The servers of a subscription as a subscriber holds them.
 
 use crate::{ApplyError, Digest, Instance, Update};
 use std::collections::BTreeMap;
 
-/// The servers that a child follows, as the relays last told them.
+/// The servers that a subscriber follows, as the relays last sent them.
 ///
 /// The messages of one watch come in order, and each watch begins after the generation at hand; whether one was
-/// lost all the same, the digests tell.
+/// lost all the same, the digests show it.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     generation: Option<u64>,
@@ -54,14 +54,17 @@
         self.generation = None;
     }
 
-    /// Takes in an update and gives what it changed.
+    /// Applies an update and returns what it changed.
     ///
-    /// The digest of an update of which some entries could not be read is not looked at: it cannot be met.
-    pub fn apply(&mut self, update: Update) -> Result<Vec<Change>, ApplyError> {
-        self.check_generation(&update)?;
-        let changes = self.difference(&update);
+    /// The digest of an update of which some entries could not be read is not checked: it cannot match.
+    ///
+    /// # Errors
+    /// The update does not fit the servers at hand, which stay as they are.
+    pub fn apply(&mut self, update: &Update) -> Result<Vec<Change>, ApplyError> {
+        self.check_generation(update)?;
+        let changes = self.difference(update);
         let digest = self.digest_after(&changes);
-        check_digest(&update, digest)?;
+        check_digest(update, digest)?;
         for change in &changes {
             self.commit(change);
         }
--- a/crates/catalog/src/subscribers.rs
+++ b/crates/catalog/src/subscribers.rs
@@ -1,94 +1,94 @@
-//! The children of a relay by service.
+//! The subscribers of a relay by service.
 
 use crate::Subscription;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The index of the children by service: a change costs only the children that follow its service.
+/// The index of a relay's subscribers by service: a change costs only the subscribers that follow its service.
 #[derive(Clone, Debug)]
-pub struct Subscribers<C> {
-    subscriptions: BTreeMap<C, Subscription>,
-    of_all: BTreeSet<C>,
-    by_service: BTreeMap<String, BTreeSet<C>>,
+pub struct Subscribers<Id> {
+    subscriptions: BTreeMap<Id, Subscription>,
+    of_all: BTreeSet<Id>,
+    by_service: BTreeMap<String, BTreeSet<Id>>,
 }
 
-impl<C: Ord + Clone> Subscribers<C> {
-    /// An index without children.
+impl<Id: Ord + Clone> Subscribers<Id> {
+    /// An index without subscribers.
     pub fn new() -> Self {
         Subscribers { subscriptions: BTreeMap::new(), of_all: BTreeSet::new(), by_service: BTreeMap::new() }
     }
 
-    /// Takes in a child; what it followed before is replaced.
-    pub fn subscribe(&mut self, child: C, subscription: Subscription) {
-        self.unsubscribe(&child);
+    /// Adds a subscriber; its previous subscription is replaced.
+    pub fn subscribe(&mut self, subscriber: Id, subscription: Subscription) {
+        self.unsubscribe(&subscriber);
         match &subscription {
             Subscription::All => {
-                self.of_all.insert(child.clone());
+                self.of_all.insert(subscriber.clone());
             }
             Subscription::Services(names) => {
                 for name in names {
-                    self.by_service.entry(name.clone()).or_default().insert(child.clone());
+                    self.by_service.entry(name.clone()).or_default().insert(subscriber.clone());
                 }
             }
         }
-        self.subscriptions.insert(child, subscription);
+        self.subscriptions.insert(subscriber, subscription);
     }
 
-    /// Takes out a child; gives what it followed.
-    pub fn unsubscribe(&mut self, child: &C) -> Option<Subscription> {
-        let subscription = self.subscriptions.remove(child)?;
-        self.of_all.remove(child);
+    /// Removes a subscriber; returns its subscription.
+    pub fn unsubscribe(&mut self, subscriber: &Id) -> Option<Subscription> {
+        let subscription = self.subscriptions.remove(subscriber)?;
+        self.of_all.remove(subscriber);
         if let Subscription::Services(names) = &subscription {
             for name in names {
-                self.remove_from_service(name, child);
+                self.remove_from_service(name, subscriber);
             }
         }
         Some(subscription)
     }
 
-    fn remove_from_service(&mut self, name: &str, child: &C) {
-        let Some(children) = self.by_service.get_mut(name) else { return };
-        children.remove(child);
-        if children.is_empty() {
+    fn remove_from_service(&mut self, name: &str, subscriber: &Id) {
+        let Some(subscribers) = self.by_service.get_mut(name) else { return };
+        subscribers.remove(subscriber);
+        if subscribers.is_empty() {
             self.by_service.remove(name);
         }
     }
 
-    /// What a child follows.
-    pub fn subscription(&self, child: &C) -> Option<&Subscription> {
-        self.subscriptions.get(child)
+    /// The subscription of a subscriber.
+    pub fn subscription(&self, subscriber: &Id) -> Option<&Subscription> {
+        self.subscriptions.get(subscriber)
     }
 
-    /// The children that follow a service, each once.
-    pub fn interested<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a C> {
+    /// The subscribers that follow a service, each once.
+    pub fn interested<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Id> {
         self.of_all.iter().chain(self.by_service.get(service).into_iter().flatten())
     }
 
-    /// The children that follow any of these services, each once.
-    pub fn interested_in_any<'a>(&self, services: impl IntoIterator<Item = &'a str>) -> BTreeSet<C> {
-        let mut children = self.of_all.clone();
+    /// The subscribers that follow any of these services, each once.
+    pub fn interested_in_any<'a>(&self, services: impl IntoIterator<Item = &'a str>) -> BTreeSet<Id> {
+        let mut subscribers = self.of_all.clone();
         for service in services {
-            children.extend(self.by_service.get(service).into_iter().flatten().cloned());
+            subscribers.extend(self.by_service.get(service).into_iter().flatten().cloned());
         }
-        children
+        subscribers
     }
 
-    /// All children and what they follow.
-    pub fn iter(&self) -> impl Iterator<Item = (&C, &Subscription)> {
+    /// All subscribers and their subscriptions.
+    pub fn iter(&self) -> impl Iterator<Item = (&Id, &Subscription)> {
         self.subscriptions.iter()
     }
 
-    /// How many children there are.
+    /// How many subscribers there are.
     pub fn len(&self) -> usize {
         self.subscriptions.len()
     }
 
-    /// Whether there is no child.
+    /// Whether there are no subscribers.
     pub fn is_empty(&self) -> bool {
         self.subscriptions.is_empty()
     }
 }
 
-impl<C: Ord + Clone> Default for Subscribers<C> {
+impl<Id: Ord + Clone> Default for Subscribers<Id> {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/catalog/src/subscription.rs
+++ b/crates/catalog/src/subscription.rs
@@ -1,11 +1,11 @@
-//! What a child follows.
+//! What a subscriber follows.
 
 use std::collections::BTreeSet;
 
-/// The services whose servers a child follows.
+/// The services whose servers a subscriber follows.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subscription {
-    /// All services; relays and old children follow these.
+    /// All services; relays and old subscribers follow these.
     All,
     /// The named ones.
     Services(BTreeSet<String>),
--- a/crates/catalog/src/wire.rs
+++ b/crates/catalog/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages between discovery, relays and their children.
+//! The messages between discovery, relays and their subscribers.
 
 use crate::Digest;
 use serde::de::Error;
@@ -22,7 +22,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub digest: Option<Digest>,
     /// How many milliseconds ago the sender's own list was last confirmed, where that is not now: a relay that
-    /// has lost touch with its upstream does not make a list fresh by telling it once more.
+    /// has lost touch with its upstream does not make a list fresh by sending it once more.
     #[serde(rename = "confirmedAgoMs", skip_serializing_if = "is_zero")]
     pub confirmed_ago_ms: u64,
     /// Why entries of the message were left out: they could not be read. They do not hide the others.
@@ -30,6 +30,7 @@
     pub unreadable: Vec<String>,
 }
 
+#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde calls it with a reference")]
 fn is_zero(number: &u64) -> bool {
     *number == 0
 }
@@ -151,7 +152,7 @@
                 Err(error) => readable.unreadable.push(error.to_string()),
             }
         }
-        // Where none can be read, the message says nothing: least of all that every server is gone.
+        // Where none can be read, the message carries no information: least of all that every server is gone.
         if readable.instances.is_empty() && !readable.unreadable.is_empty() {
             return Err(D::Error::custom(format!("no entry can be read: {}", readable.unreadable[0])));
         }
--- a/crates/catalog/tests/properties.rs
+++ b/crates/catalog/tests/properties.rs
@@ -54,7 +54,7 @@
     fn new(changes: Vec<Instance>) -> Self {
         let mut lists = vec![List::new()];
         for change in &changes {
-            let mut list = lists.last().unwrap().clone();
+            let mut list = lists.last().expect("a first list").clone();
             list.remove(&change.instance_id);
             if !change.is_terminated() {
                 list.insert(change.instance_id.clone(), change.clone());
@@ -97,7 +97,7 @@
     /// A replica that holds what was subscribed at a generation.
     fn replica(&self, generation: usize, subscription: &Subscription) -> Replica {
         let mut replica = Replica::new();
-        replica.apply(self.whole(generation, subscription)).unwrap();
+        replica.apply(&self.whole(generation, subscription)).expect("a complete list");
         replica
     }
 }
@@ -115,9 +115,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Wherever a child comes from, and whatever its relay has missed, it holds the list of its relay afterwards.
+    /// Wherever a subscriber comes from, and whatever its relay has missed, it holds the list of its relay afterwards.
     #[test]
-    fn a_child_holds_the_list_after_any_generation(
+    fn a_subscriber_holds_the_list_after_any_generation(
         changes in prop::collection::vec(any_change(), 1..30),
         steps in prop::collection::vec(any_step(), 1..12),
         limit in 0..24usize,
@@ -137,12 +137,12 @@
             prop_assert_eq!(&held_by_log(&log, &subscription), &expected);
             prop_assert_eq!(log.digest(&subscription), Digest::of(expected.values()));
             for after in 0..=at {
-                let mut child = reference.replica(after, &subscription);
+                let mut subscriber = reference.replica(after, &subscription);
                 let mut update = log.since(&subscription, Some(after as u64)).unwrap();
                 update.digest = Some(log.digest(&subscription));
-                child.apply(update).unwrap();
-                prop_assert_eq!(&held(&child), &expected, "after {}", after);
-                prop_assert_eq!(child.generation(), Some(at as u64));
+                subscriber.apply(&update).unwrap();
+                prop_assert_eq!(&held(&subscriber), &expected, "after {}", after);
+                prop_assert_eq!(subscriber.generation(), Some(at as u64));
             }
             // From a later generation, or from none, only the whole list is right.
             for after in [Some(at as u64 + 1), None] {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A whole list from upstream reaches children as the difference.
+    /// A whole list from upstream reaches subscribers as the difference.
     #[test]
     fn a_reset_from_upstream_becomes_a_delta(
         changes in prop::collection::vec(any_change(), 2..30),
@@ -233,7 +233,7 @@
         let lost = 1 + lost % (reference.last() - 1);
         let mut log = ChangeLog::new();
         log.apply(reference.whole(0, &Subscription::All)).unwrap();
-        let mut child = reference.replica(0, &subscription);
+        let mut subscriber = reference.replica(0, &subscription);
         for generation in 1..=reference.last() {
             log.apply(reference.delta(generation - 1, generation)).unwrap();
             if generation == lost {
@@ -241,45 +241,45 @@
             }
             let mut delta = log.since(&subscription, Some(generation as u64 - 1)).unwrap();
             delta.digest = Some(log.digest(&subscription));
-            let mut expected = held(&child);
+            let mut expected = held(&subscriber);
             for instance in &delta.instances {
                 expected.remove(&instance.instance_id);
                 if !instance.is_terminated() {
                     expected.insert(instance.instance_id.clone(), instance.clone());
                 }
             }
-            let before = held(&child);
+            let before = held(&subscriber);
             let right = expected == reference.list(generation, &subscription);
-            match child.apply(delta) {
+            match subscriber.apply(&delta) {
                 Ok(_) => prop_assert!(right, "not found"),
                 Err(ApplyError::DigestMismatch { .. }) => {
                     prop_assert!(!right);
-                    prop_assert_eq!(held(&child), before);
+                    prop_assert_eq!(held(&subscriber), before);
                     let mut whole = log.since(&subscription, None).unwrap();
                     whole.digest = Some(log.digest(&subscription));
-                    child.apply(whole).unwrap();
+                    subscriber.apply(&whole).unwrap();
                 }
                 Err(other) => prop_assert!(false, "{}", other),
             }
         }
-        prop_assert_eq!(held(&child), reference.list(reference.last(), &subscription));
+        prop_assert_eq!(held(&subscriber), reference.list(reference.last(), &subscription));
     }
 
-    /// The changes that a replica tells lead from the list before to the list after.
+    /// The changes that a replica returns lead from the list before to the list after.
     #[test]
-    fn a_replica_tells_what_changed(
+    fn a_replica_returns_what_changed(
         changes in prop::collection::vec(any_change(), 1..20), reset: bool, after in 0..20usize,
     ) {
         let reference = Reference::new(changes);
         let after = after.min(reference.last());
-        let mut child = reference.replica(after, &Subscription::All);
-        let mut list = held(&child);
+        let mut subscriber = reference.replica(after, &Subscription::All);
+        let mut list = held(&subscriber);
         let update =
             if reset { reference.whole(reference.last(), &Subscription::All) } else { reference.delta(after, reference.last()) };
         let mut seen = BTreeSet::new();
-        for change in child.apply(update).unwrap() {
+        for change in subscriber.apply(&update).unwrap() {
             let (Change::Listed(instance) | Change::Removed(instance)) = &change;
-            prop_assert!(seen.insert(instance.instance_id.clone()), "told twice");
+            prop_assert!(seen.insert(instance.instance_id.clone()), "returned twice");
             let before = match &change {
                 Change::Listed(instance) => list.insert(instance.instance_id.clone(), instance.clone()),
                 Change::Removed(instance) => list.remove(&instance.instance_id),
@@ -290,36 +290,35 @@
             }
         }
         prop_assert_eq!(&list, &reference.lists[reference.last()]);
-        prop_assert_eq!(held(&child), list);
+        prop_assert_eq!(held(&subscriber), list);
     }
 
-    /// A child is told of a service just where it follows it, and once.
+    /// A subscriber is told of a service just where it follows it, and once.
     #[test]
-    fn interested_children_are_those_that_follow(
+    fn interested_subscribers_are_those_that_follow(
         operations in prop::collection::vec((0..5u8, prop::option::of(any_subscription())), 0..20),
     ) {
         let mut subscribers = Subscribers::new();
         let mut reference = BTreeMap::new();
-        for (child, subscription) in operations {
-            match subscription {
-                Some(subscription) => {
-                    subscribers.subscribe(child, subscription.clone());
-                    reference.insert(child, subscription);
-                }
-                None => prop_assert_eq!(subscribers.unsubscribe(&child), reference.remove(&child)),
+        for (subscriber, subscription) in operations {
+            if let Some(subscription) = subscription {
+                subscribers.subscribe(subscriber, subscription.clone());
+                reference.insert(subscriber, subscription);
+            } else {
+                prop_assert_eq!(subscribers.unsubscribe(&subscriber), reference.remove(&subscriber));
             }
             prop_assert_eq!(subscribers.len(), reference.len());
             for service in SERVICES {
                 let mut interested: Vec<u8> = subscribers.interested(service).copied().collect();
                 interested.sort_unstable();
                 let expected: Vec<u8> =
-                    reference.iter().filter(|(_, s)| s.includes(service)).map(|(child, _)| *child).collect();
+                    reference.iter().filter(|(_, s)| s.includes(service)).map(|(subscriber, _)| *subscriber).collect();
                 prop_assert_eq!(&interested, &expected);
             }
             let any: BTreeSet<u8> = subscribers.interested_in_any(["a", "b"]);
             let follows = |s: &Subscription| s.includes("a") || s.includes("b");
             let expected: BTreeSet<u8> =
-                reference.iter().filter(|(_, s)| follows(s)).map(|(child, _)| *child).collect();
+                reference.iter().filter(|(_, s)| follows(s)).map(|(subscriber, _)| *subscriber).collect();
             prop_assert_eq!(any, expected);
         }
     }
@@ -371,9 +370,9 @@
     }
 }
 
-/// A whole list that mends a generation without ending it reaches the children that hold this generation.
+/// A whole list that mends a generation without ending it reaches the subscribers that hold this generation.
 #[test]
-fn a_list_repaired_at_its_generation_is_given_whole() {
+fn a_list_repaired_at_its_generation_is_sent_completely() {
     let right = [instance(0, 0, 1, Lifecycle::InService), instance(1, 0, 1, Lifecycle::InService)];
     let mut log = ChangeLog::new();
     log.apply(Update { generation: 5, reset: true, instances: right[..1].to_vec(), ..Update::default() })
@@ -392,7 +391,7 @@
 
 /// What is refused changes nothing.
 #[test]
-fn what_cannot_be_applied_is_told() {
+fn an_update_that_does_not_fit_is_refused_with_its_reason() {
     let listed = instance(0, 0, 1, Lifecycle::InService);
     let whole =
         |generation| Update { generation, reset: true, instances: vec![listed.clone()], ..Update::default() };
@@ -402,27 +401,27 @@
     assert_eq!(log.digest_message(&Subscription::All), None);
     let delta = Update { generation: 3, ..Update::default() };
     assert_eq!(log.apply(delta.clone()), Err(ApplyError::NoList { got: 3 }));
-    assert_eq!(replica.apply(delta.clone()), Err(ApplyError::NoList { got: 3 }));
+    assert_eq!(replica.apply(&delta), Err(ApplyError::NoList { got: 3 }));
     log.apply(whole(4)).unwrap();
-    replica.apply(whole(4)).unwrap();
+    replica.apply(&whole(4)).unwrap();
     assert_eq!(log.apply(delta.clone()), Err(ApplyError::Older { held: 4, got: 3 }));
-    assert_eq!(replica.apply(delta), Err(ApplyError::Older { held: 4, got: 3 }));
+    assert_eq!(replica.apply(&delta), Err(ApplyError::Older { held: 4, got: 3 }));
     let empty =
         Update { generation: 9, reset: true, digest: Some(Digest::of([&listed])), ..Update::default() };
     assert!(matches!(log.apply(empty.clone()), Err(ApplyError::DigestMismatch { .. })));
-    assert!(matches!(replica.apply(empty), Err(ApplyError::DigestMismatch { .. })));
+    assert!(matches!(replica.apply(&empty), Err(ApplyError::DigestMismatch { .. })));
     assert_eq!((log.generation(), replica.generation()), (Some(4), Some(4)));
     assert_eq!(
         (log.digest(&Subscription::All), replica.digest()),
         (Digest::of([&listed]), Digest::of([&listed]))
     );
     let message = log.digest_message(&Subscription::All).unwrap();
-    assert_eq!(replica.apply(message), Ok(Vec::new()));
+    assert_eq!(replica.apply(&message), Ok(Vec::new()));
 }
 
-/// A root that counts anew is followed once its old count is let go of, and nobody is told a delta across that.
+/// A root that counts anew is followed once its old count is let go of, and nobody is sent a delta across that.
 #[test]
-fn a_root_that_counts_anew_is_followed() {
+fn a_root_with_a_new_history_is_followed() {
     let [old, new] = [1, 2].map(|weight| instance(0, 0, weight, Lifecycle::InService));
     let whole = |generation, listed: &Instance| Update {
         generation,
@@ -433,7 +432,7 @@
     let mut log = ChangeLog::new();
     let mut replica = Replica::new();
     log.apply(whole(100, &old)).unwrap();
-    replica.apply(log.since(&Subscription::All, None).unwrap()).unwrap();
+    replica.apply(&log.since(&Subscription::All, None).unwrap()).unwrap();
     log.forget_generation();
     let applied = log.apply(whole(3, &new)).unwrap();
     assert_eq!((applied.generation, applied.changed), (3, 1));
@@ -442,9 +441,9 @@
         assert!(log.since(&Subscription::All, Some(after)).unwrap().reset);
     }
     let update = log.since(&Subscription::All, replica.generation()).unwrap();
-    assert_eq!(replica.apply(update.clone()), Err(ApplyError::Older { held: 100, got: 3 }));
+    assert_eq!(replica.apply(&update), Err(ApplyError::Older { held: 100, got: 3 }));
     replica.forget_generation();
-    assert_eq!(replica.apply(update), Ok(vec![Change::Listed(new)]));
+    assert_eq!(replica.apply(&update), Ok(vec![Change::Listed(new)]));
 }
 
 /// Entries that cannot be read leave the digest unmet for ever: it is not looked at then.
@@ -459,5 +458,5 @@
     let mut log = ChangeLog::new();
     let mut replica = Replica::new();
     assert_eq!(log.apply(update.clone()).unwrap().changed, 1);
-    assert_eq!(replica.apply(update), Ok(vec![Change::Listed(listed)]));
+    assert_eq!(replica.apply(&update), Ok(vec![Change::Listed(listed)]));
 }
--- a/crates/catalog/tests/regions.rs
+++ b/crates/catalog/tests/regions.rs
@@ -20,18 +20,18 @@
     (0..SERVERS, 0..3u8, any_lifecycle()).prop_map(|(id, weight, state)| instance(id, "", weight, state))
 }
 
-/// What a region tells next: changes, or a whole list.
+/// The next update of a region: changes, or a complete list.
 #[derive(Clone, Debug)]
-struct Told {
+struct RegionUpdate {
     region: usize,
     reset: bool,
     instances: Vec<Instance>,
 }
 
-fn any_told() -> impl Strategy<Value = Told> {
+fn any_region_update() -> impl Strategy<Value = RegionUpdate> {
     let reset = prop_oneof![3 => Just(false), 1 => Just(true)];
     (0..REGIONS, reset, prop::collection::vec(any_instance(), 0..4))
-        .prop_map(|(region, reset, instances)| Told { region, reset, instances })
+        .prop_map(|(region, reset, instances)| RegionUpdate { region, reset, instances })
 }
 
 /// The maps of the regions, and the list of all by the rule: the region that comes first counts.
@@ -41,12 +41,12 @@
 }
 
 impl Reference {
-    fn tell(&mut self, told: &Told) {
-        let list = &mut self.regions[told.region];
-        if told.reset {
+    fn apply(&mut self, region_update: &RegionUpdate) {
+        let list = &mut self.regions[region_update.region];
+        if region_update.reset {
             list.clear();
         }
-        for instance in &told.instances {
+        for instance in &region_update.instances {
             list.remove(&instance.instance_id);
             if !instance.is_terminated() {
                 list.insert(instance.instance_id.clone(), instance.clone());
@@ -80,21 +80,21 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Both the list as a whole and the one that follows the changes are what the regions tell, and each region
+    /// Both the list as a whole and the one that follows the changes are the regions' updates make it, and each region
     /// counts its own generations.
     #[test]
-    fn what_is_seen_is_what_the_regions_tell(history in prop::collection::vec(any_told(), 0..40)) {
+    fn the_merged_list_is_that_of_the_regions(history in prop::collection::vec(any_region_update(), 0..40)) {
         let (mut lists, mut reference, mut followed) =
             (RegionLists::new(REGIONS), Reference::default(), List::new());
         let mut generations = [None; REGIONS];
-        for told in &history {
+        for region_update in &history {
             // The first message of a region is a whole list.
-            let told = Told { reset: told.reset || generations[told.region].is_none(), ..told.clone() };
-            let generation = generations[told.region].map_or(told.region as u64 * 100, |held| held + 1);
-            generations[told.region] = Some(generation);
-            let message = update(generation, told.reset, told.instances.clone());
-            let changes = lists.apply(told.region, message).expect("it fits");
-            reference.tell(&told);
+            let region_update = RegionUpdate { reset: region_update.reset || generations[region_update.region].is_none(), ..region_update.clone() };
+            let generation = generations[region_update.region].map_or(region_update.region as u64 * 100, |held| held + 1);
+            generations[region_update.region] = Some(generation);
+            let message = update(generation, region_update.reset, region_update.instances.clone());
+            let changes = lists.apply(region_update.region, &message).expect("it fits");
+            reference.apply(&region_update);
             commit(&mut followed, &changes);
             let seen: List =
                 lists.instances().map(|listed| (listed.instance_id.clone(), listed.clone())).collect();
@@ -110,24 +110,24 @@
 }
 
 #[test]
-fn a_whole_list_of_one_region_takes_nothing_from_another() {
+fn a_complete_list_of_one_region_removes_nothing_of_another() {
     let mut lists = RegionLists::new(2);
-    lists.apply(0, update(5, true, vec![in_service(1)])).expect("a first list");
-    let changes = lists.apply(1, update(90, true, vec![in_service(2)])).expect("a first list");
+    lists.apply(0, &update(5, true, vec![in_service(1)])).expect("a first list");
+    let changes = lists.apply(1, &update(90, true, vec![in_service(2)])).expect("a first list");
     assert_eq!(changes, [Change::Listed(in_service(2))]);
-    let changes = lists.apply(1, update(91, true, Vec::new())).expect("a whole list");
+    let changes = lists.apply(1, &update(91, true, Vec::new())).expect("a whole list");
     assert_eq!(changes, [Change::Removed(in_service(2))]);
     assert_eq!(lists.instances().collect::<Vec<_>>(), [&in_service(1)]);
 }
 
 #[test]
-fn what_a_region_cannot_take_in_changes_nothing() {
+fn an_update_that_a_region_refuses_changes_nothing() {
     let mut lists = RegionLists::new(2);
-    lists.apply(0, update(5, true, vec![in_service(1)])).expect("a first list");
-    let older = lists.apply(0, update(4, true, Vec::new()));
+    lists.apply(0, &update(5, true, vec![in_service(1)])).expect("a first list");
+    let older = lists.apply(0, &update(4, true, Vec::new()));
     assert_eq!(older, Err(ApplyError::Older { held: 5, got: 4 }));
-    assert_eq!(lists.apply(1, update(5, false, Vec::new())), Err(ApplyError::NoList { got: 5 }));
+    assert_eq!(lists.apply(1, &update(5, false, Vec::new())), Err(ApplyError::NoList { got: 5 }));
     assert_eq!((lists.generation(0), lists.generation(1)), (Some(5), None));
     lists.forget_generation(0);
-    assert_eq!(lists.apply(0, update(4, true, Vec::new())), Ok(vec![Change::Removed(in_service(1))]));
+    assert_eq!(lists.apply(0, &update(4, true, Vec::new())), Ok(vec![Change::Removed(in_service(1))]));
 }
--- a/crates/catalog/tests/support/topology.rs
+++ b/crates/catalog/tests/support/topology.rs
@@ -78,10 +78,10 @@
 
 /// How far a relay is: in the zone, in the region, or elsewhere.
 fn distance(child: Place, relay: Place) -> u8 {
-    if child.region != relay.region {
-        2
-    } else {
+    if child.region == relay.region {
         u8::from(child.zone != relay.zone)
+    } else {
+        2
     }
 }
 
--- a/crates/catalog/tests/support/world.rs
+++ b/crates/catalog/tests/support/world.rs
@@ -81,6 +81,7 @@
     updates: u64,
 }
 
+#[allow(clippy::struct_excessive_bools, reason = "each is a fact of its own about a simulated node")]
 pub struct ReplicaNode {
     pub replica: Replica,
     pub services: BTreeSet<String>,
@@ -427,12 +428,11 @@
         let Some(server) = self.server(upstream) else { return };
         let first =
             if trusted { server.open(watch, child, subscription, after, confirmed_ago_ms) } else { None };
-        match first {
-            Some(payload) => self.send(upstream, watch, payload),
-            None => {
-                let at = self.now + self.network.delay(&self.topology, upstream, child);
-                self.queue.push(at, Event::Message { watch, child, payload: Payload::Refused });
-            }
+        if let Some(payload) = first {
+            self.send(upstream, watch, payload);
+        } else {
+            let at = self.now + self.network.delay(&self.topology, upstream, child);
+            self.queue.push(at, Event::Message { watch, child, payload: Payload::Refused });
         }
     }
 
@@ -538,7 +538,7 @@
             Payload::Update(encoded) => {
                 let before = node.replica.generation();
                 self.whole_lists += u64::from(encoded.update.reset);
-                match node.replica.apply(encoded.update.clone()) {
+                match node.replica.apply(&encoded.update) {
                     Ok(_) => {
                         node.follower.sign(watch, now, encoded.update.confirmed_ago_ms, &mut commands);
                         self.note_in_force(index, before);
--- a/crates/catalog/tests/tree.rs
+++ b/crates/catalog/tests/tree.rs
@@ -47,12 +47,13 @@
 
 /// Plays a scenario of an hour in trees of 100 replicas with several seeds.
 fn check_hour(scenario: Scenario, history: usize) -> Outcome {
-    let settings = |seed| Settings { seed, history, ..Settings::of_size(100) };
+    let settings = |seed| Settings { history, seed, ..Settings::of_size(100) };
     check(scenario, settings(1));
     check(scenario, settings(2))
 }
 
 #[test]
+#[allow(clippy::float_cmp, reason = "the share is exactly 0 where no replica was stale")]
 fn changes_reach_every_replica() {
     let outcome = check_sizes(Scenario::Steady);
     assert_eq!((outcome.repairs, outcome.whole_lists), (0, 0), "nothing is lost: {outcome:?}");
--- a/crates/catalog/tests/wire.rs
+++ b/crates/catalog/tests/wire.rs
@@ -16,7 +16,7 @@
 fn instance(id: &str) -> Instance {
     Instance {
         instance_id: id.into(),
-        host_port: "10.0.0.1:8080".parse().unwrap(),
+        host_port: "10.0.0.1:8080".parse().expect("an address"),
         service: String::new(),
         zone: "z1".into(),
         machine_type: "m".into(),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_message_of_discovery_is_read() {
+fn a_message_of_discovery_is_decoded() {
     let text = r#"{"generation":43,"reset":false,"extra":1,"instances":[{"instanceId":"a","hostPort":"10.0.0.1:8080",
         "zone":"z1","machineType":"m","cell":3,"lifecycle":"in_service","weight":1.5,"startedAtMs":1700000000000,"new":{}}]}"#;
     let update: Update = serde_json::from_str(text).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_absent_is_left_out_of_the_text() {
+fn absent_fields_are_not_encoded() {
     let update = Update { generation: 7, instances: vec![instance("a")], ..Update::default() };
     let expected = r#"{"generation":7,"reset":false,"instances":[{"instanceId":"a","hostPort":"10.0.0.1:8080","zone":"z1","machineType":"m","cell":3,"lifecycle":"in_service"}]}"#;
     assert_eq!(serde_json::to_string(&update).unwrap(), expected);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_message_of_which_nothing_can_be_read_is_an_error() {
+fn a_message_without_a_readable_entry_is_an_error() {
     let text = r#"{"generation":1,"reset":true,"instances":[{"instanceId":"a"}]}"#;
     assert!(serde_json::from_str::<Update>(text).is_err());
     let none = r#"{"generation":1,"reset":true,"instances":[]}"#;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_terminated_server_counts_for_nothing() {
+fn a_terminated_server_is_not_in_the_digest() {
     assert_eq!(Digest::of([&instance("a").terminated()]), Digest::default());
     assert_eq!(Digest::of([&instance("a"), &instance("b").terminated()]), Digest::of([&instance("a")]));
 }
@@ -154,7 +154,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn what_is_written_is_read_again(
+    fn encoded_updates_are_decoded_unchanged(
         generation: u64,
         reset: bool,
         instances in prop::collection::vec(any_instance(), 0..4),
--- a/crates/discovery/examples/return_time.rs
+++ b/crates/discovery/examples/return_time.rs
@@ -54,7 +54,7 @@
     );
 }
 
-/// Median and range over the seeds of the time to the limiter of a given rank; a limiter never told ranks last.
+/// Median and range over the seeds of the time to the limiter of a given rank; a limiter never notified ranks last.
 fn over_seeds(outcomes: &[Outcome], rank: impl Fn(usize) -> usize) -> String {
     let mut times: Vec<f64> = outcomes.iter().map(|outcome| time_of_rank(outcome, &rank)).collect();
     times.sort_by(f64::total_cmp);
@@ -64,8 +64,9 @@
 }
 
 fn time_of_rank(outcome: &Outcome, rank: impl Fn(usize) -> usize) -> f64 {
-    let seconds = |told: &Option<Duration>| told.map_or(f64::INFINITY, |told| told.as_secs_f64());
-    let mut times: Vec<f64> = outcome.told_after.iter().map(seconds).collect();
+    let seconds =
+        |notified: &Option<Duration>| notified.map_or(f64::INFINITY, |notified| notified.as_secs_f64());
+    let mut times: Vec<f64> = outcome.notified_after.iter().map(seconds).collect();
     times.sort_by(f64::total_cmp);
     times[rank(times.len())]
 }
--- a/crates/discovery/src/backoff.rs
+++ b/crates/discovery/src/backoff.rs
@@ -3,16 +3,18 @@
 use fastrand::Rng;
 use std::time::Duration;
 
-/// The pause after the first failure, and the longest one. Both are jittered by [`LEAST_PART`].
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
-/// A pause is drawn evenly from this part of it up to the whole.
-const LEAST_PART: f64 = 0.5;
-/// Advice to retry later is followed up to this time: longer outages end unannounced, and a list has expired anyway.
-const LONGEST_ADVICE: Duration = Duration::from_secs(30);
-/// Calls that may be made at once, and how many are earned in a second.
-const BUDGET_DEPTH: f64 = 4.0;
-const BUDGET_RATE: f64 = 0.8;
+/// The backoff after the first failure, before jitter.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// The longest backoff, before jitter.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_500);
+/// Jitter multiplies a backoff by a factor drawn evenly from this one to 1.
+const MIN_JITTER_FACTOR: f64 = 0.5;
+/// A `Retry-After` is respected up to this time: longer outages end unannounced, and a list has expired anyway.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Calls that may be made at once.
+const CALL_BUDGET: f64 = 4.0;
+/// Calls that the budget regains in a second.
+const BUDGET_PER_SECOND: f64 = 0.8;
 
 /// Decides when the next call may begin at the earliest.
 #[derive(Debug)]
@@ -20,7 +22,7 @@
     rng: Rng,
     failures: u32,
     not_before: Duration,
-    /// Calls left in the budget, as of the time beside them.
+    /// Calls left in the budget at `budget_at`.
     budget: f64,
     budget_at: Duration,
 }
@@ -31,7 +33,7 @@
             rng: Rng::with_seed(seed),
             failures: 0,
             not_before: Duration::ZERO,
-            budget: BUDGET_DEPTH,
+            budget: CALL_BUDGET,
             budget_at: Duration::ZERO,
         }
     }
@@ -42,11 +44,12 @@
     }
 
     pub fn call_failed(&mut self, now: Duration, retry_after: Option<Duration>) {
-        let longest = (FIRST_PAUSE * 2u32.saturating_pow(self.failures)).min(LONGEST_PAUSE);
-        let part = LEAST_PART + (1.0 - LEAST_PART) * self.rng.f64();
-        let pause = longest.mul_f64(part);
-        // Those who are told the same time must not all come then.
-        let advised = retry_after.map(|advice| advice.min(LONGEST_ADVICE) + longest.mul_f64(self.rng.f64()));
+        let backoff = (INITIAL_BACKOFF * 2u32.saturating_pow(self.failures)).min(MAX_BACKOFF);
+        let jitter_factor = MIN_JITTER_FACTOR + (1.0 - MIN_JITTER_FACTOR) * self.rng.f64();
+        let pause = backoff.mul_f64(jitter_factor);
+        // Limiters that were given the same time must not all call then.
+        let advised =
+            retry_after.map(|advised| advised.min(MAX_RETRY_AFTER) + backoff.mul_f64(self.rng.f64()));
         self.not_before = self.not_before.max(now + advised.map_or(pause, |advised| advised.max(pause)));
         // More doublings would only overflow.
         self.failures = (self.failures + 1).min(8);
@@ -59,12 +62,12 @@
 
     /// The earliest time of the next call.
     pub fn not_before(&self) -> Duration {
-        let missing = (1.0 - self.budget).max(0.0) / BUDGET_RATE;
+        let missing = (1.0 - self.budget).max(0.0) / BUDGET_PER_SECOND;
         self.not_before.max(self.budget_at + Duration::from_secs_f64(missing))
     }
 
     fn budget_now(&self, now: Duration) -> f64 {
-        let earned = now.saturating_sub(self.budget_at).as_secs_f64() * BUDGET_RATE;
-        (self.budget + earned).min(BUDGET_DEPTH)
+        let earned = now.saturating_sub(self.budget_at).as_secs_f64() * BUDGET_PER_SECOND;
+        (self.budget + earned).min(CALL_BUDGET)
     }
 }
--- a/crates/discovery/src/freshness.rs
+++ b/crates/discovery/src/freshness.rs
@@ -3,10 +3,10 @@
 use crate::{Delivery, Event};
 use std::time::Duration;
 
-/// A change counts as told this long after discovery had it and could be reached, whether or not it arrived. So a
-/// list is good for this long after the last sign of life that confirmed it.
+/// A limiter counts as notified of a change this long after discovery had it and could be reached, whether or not it
+/// arrived. So a list may be used for this long after the last heartbeat that confirmed it.
 pub const EXPIRY: Duration = Duration::from_secs(6);
-/// What another discovery tells counts as told this long after the move to it.
+/// After a move, the limiter counts as notified of what the new discovery service has after this time.
 pub const EXPIRY_AFTER_MOVE: Duration = Duration::from_secs(4);
 /// A change is to be in force everywhere within this time: a list from relays that is older is stale.
 pub const EXPIRY_RELAYED: Duration = Duration::from_secs(8);
@@ -23,7 +23,7 @@
         Freshness { delivery, expires_at: None }
     }
 
-    /// None before the first list, and where lists are pushed: an agent that is silent learns nothing either.
+    /// None before the first list, and where lists are pushed: an agent that is silent has no news either.
     pub fn expires_at(&self) -> Option<Duration> {
         self.expires_at
     }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -9,7 +9,7 @@
 //! refused where the queue is long, and costs the service work even when its caller has gone away. So there is one
 //! call at a time, with exponential backoff, jitter and a retry budget, and a list that cannot be confirmed expires.
 //! [Relays](Delivery::Relayed) are called as sparingly, each time another one; a list from them expires later, which
-//! says that it is stale.
+//! marks it as stale.
 
 mod backoff;
 mod freshness;
@@ -33,7 +33,7 @@
     Relayed,
 }
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// The service refused it, and may have said after what time to retry.
@@ -56,7 +56,7 @@
     CallFailed(CallId, CallFailure),
     /// The first message of a call has come: its watch is followed now, and all other calls were dropped.
     WatchOpened,
-    /// The followed watch gave a sign of life: a whole message, or an empty line.
+    /// The followed watch gave a heartbeat: a complete message, or an empty line.
     Heartbeat,
     /// The followed watch ended or broke.
     WatchClosed,
@@ -72,17 +72,17 @@
 }
 
 impl Follower {
-    /// One that has heard nothing yet. The seed spreads the retries of several limiters.
+    /// A follower that has no list yet. The seed spreads the retries of several limiters.
     pub fn new(delivery: Delivery, seed: u64) -> Self {
         Follower { schedule: Schedule::new(delivery, seed), freshness: Freshness::new(delivery) }
     }
 
-    /// Takes in what happened.
+    /// Records an event.
     pub fn handle(&mut self, now: Duration, event: Event) {
         self.handle_aged(now, event, Duration::ZERO);
     }
 
-    /// The same where a sign of life says that the sender's own list was last confirmed so long ago.
+    /// The same where a heartbeat says that the sender's own list was last confirmed so long ago.
     pub fn handle_aged(&mut self, now: Duration, event: Event, confirmed_ago: Duration) {
         self.freshness.handle(now, event, confirmed_ago);
         self.schedule.handle(now, event);
@@ -93,7 +93,7 @@
         self.schedule.next_call(self.freshness.expires_at())
     }
 
-    /// A watch that gives no sign of life for so long is broken; so is one that begins with none.
+    /// A watch without a heartbeat for this long is broken; so is one that does not begin with one.
     pub fn silence(&self) -> Duration {
         self.schedule.silence()
     }
--- a/crates/discovery/src/schedule.rs
+++ b/crates/discovery/src/schedule.rs
@@ -7,26 +7,26 @@
 /// Number of a call, given by the caller.
 pub type CallId = u64;
 
-/// A watch that has given no sign of life for so long is broken: an empty line comes every 2 s.
+/// A watch without a heartbeat for this long is broken: an empty line comes every 2 s.
 pub const SILENCE: Duration = Duration::from_millis(2_500);
 /// The same for a watch on a relay: one whose own upstream falls silent finds another within 2.5 s and a call, and its
-/// children need not leave it meanwhile.
-pub const SILENCE_RELAYED: Duration = Duration::from_millis(4_000);
+/// subscribers need not leave it meanwhile.
+pub const SILENCE_RELAYED: Duration = Duration::from_secs(4);
 /// How long a pushed watch may take to open, up to the head of its answer: the agent answers at once.
 pub const CALL_TIMEOUT_PUSHED: Duration = Duration::from_millis(800);
 /// The same on request: the service answers or refuses within 2 s, and works on also where the caller has gone.
 pub const CALL_TIMEOUT_ON_REQUEST: Duration = Duration::from_millis(2_500);
 
-/// Pushed: calls begin so long after one another while none has the head of its answer, and where one has.
+/// Pushed: calls begin this long after one another while none has its response head, and where one has.
 const PUSHED_INTERVAL: Duration = Duration::from_millis(200);
 const PUSHED_INTERVAL_ANSWERED: Duration = Duration::from_millis(500);
 /// Pushed: the most calls at once, a guard of the descriptors.
 const PUSHED_CALLS: usize = 10;
 
 /// On request: a second call goes out beside the first one so long before the list expires, and not before the
-/// first one has been out for so long. It leaves a whole wait at the service.
+/// first one has been out for so long. That leaves time for a complete wait in the service's queue.
 const OVERLAP_BEFORE_EXPIRY: Duration = Duration::from_millis(2_500);
-const OVERLAP_AFTER_START: Duration = Duration::from_millis(1_000);
+const OVERLAP_AFTER_START: Duration = Duration::from_secs(1);
 
 /// A call that is out.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
     backoff: Backoff,
     calls: Vec<Call>,
     last_started: Option<Duration>,
-    /// The latest sign of life of the watch that is followed, if there is one.
+    /// The latest heartbeat of the watch that is followed, if there is one.
     watch: Option<Duration>,
 }
 
@@ -96,7 +96,7 @@
                 self.calls.clear();
                 self.watch = None;
                 self.last_started = None;
-                // What the old service refused says nothing of the new one; the budget is the limiter's own.
+                // Refusals of the old service do not hold for the new one; the budget is the limiter's own.
                 self.backoff.succeeded();
             }
         }
--- a/crates/discovery/tests/fleet.rs
+++ b/crates/discovery/tests/fleet.rs
@@ -19,9 +19,9 @@
 
 /// A call that waits 2 s for its turn still ends within the call's time-out of 2.5 s.
 const LONGEST_COST: Duration = Duration::from_millis(500);
-/// The last limiter is told so long after the time of the work. It covers a call that the service holds for 2 s when
+/// The last limiter is notified so long after the time of the work. It covers a call that the service holds for 2 s when
 /// it returns, and the longest backoff of 1.5 s.
-const MARGIN: Duration = Duration::from_millis(4_000);
+const MARGIN: Duration = Duration::from_secs(4);
 /// Calls that may be made at once, and how many more in each second.
 const BUDGET_DEPTH: f64 = 4.0;
 const BUDGET_RATE: f64 = 0.8;
@@ -29,28 +29,28 @@
 const ROUNDING: f64 = 1e-6;
 
 #[test]
-fn all_are_told_soon_after_all_watches_end() {
+fn all_are_notified_soon_after_all_watches_end() {
     check_every_fleet(Scenario::WatchesEnd);
 }
 
 #[test]
-fn all_are_told_soon_after_an_outage() {
+fn all_are_notified_soon_after_an_outage() {
     check_every_fleet(Scenario::Outage);
 }
 
 #[test]
-fn all_are_told_soon_after_an_outage_with_a_slow_return() {
+fn all_are_notified_soon_after_an_outage_with_a_slow_return() {
     check_every_fleet(Scenario::OutageThenSlow);
 }
 
 #[test]
-fn all_are_told_soon_after_all_watches_fall_silent() {
+fn all_are_notified_soon_after_all_watches_fall_silent() {
     check_every_fleet(Scenario::Silence);
 }
 
 /// A single limiter has no queue before it: its call may cost nearly the whole time-out.
 #[test]
-fn one_limiter_is_told_by_a_call_of_two_seconds() {
+fn one_limiter_is_notified_by_a_call_of_two_seconds() {
     for scenario in [Scenario::WatchesEnd, Scenario::Outage, Scenario::Silence] {
         for seed in 0..SEEDS {
             check_fleet(Fleet { limiters: 1, all_calls: Duration::from_secs(2), scenario, seed });
@@ -70,9 +70,9 @@
     }
 }
 
-/// The simulation tells a retry storm from backoff: without it, given-up calls fill the queue and most are never told.
+/// The simulation tells a retry storm from backoff: without it, given-up calls fill the queue and most are never notified.
 #[test]
-fn without_backoff_most_are_never_told() {
+fn without_backoff_most_are_never_notified() {
     let storms = [
         (Scenario::WatchesEnd, 4),
         (Scenario::WatchesEnd, 8),
@@ -86,8 +86,12 @@
             let fleet = Fleet { limiters, all_calls: Duration::from_secs(seconds), scenario, seed: 1 };
             let outcome = play_follower(&fleet);
             let eager = fleet.play(|_| EagerCaller::default());
-            assert!(last_told(&outcome).is_some(), "{fleet:?}");
-            assert!(told(&eager) < limiters / 2, "{fleet:?}: {} told without backoff", told(&eager));
+            assert!(last_notified(&outcome).is_some(), "{fleet:?}");
+            assert!(
+                notified(&eager) < limiters / 2,
+                "{fleet:?}: {} notified without backoff",
+                notified(&eager)
+            );
             assert!(eager.total_calls() > 5 * outcome.total_calls(), "{fleet:?}: calls");
             assert!(eager.refused > 5 * outcome.refused, "{fleet:?}: refused calls");
         }
@@ -109,8 +113,9 @@
 
 fn check_fleet(fleet: Fleet) {
     let outcome = play_follower(&fleet);
-    let last = last_told(&outcome).unwrap_or_else(|| panic!("{fleet:?}: {} told", told(&outcome)));
-    assert!(last <= fleet.least_work() + MARGIN, "{fleet:?}: the last was told after {last:?}");
+    let last =
+        last_notified(&outcome).unwrap_or_else(|| panic!("{fleet:?}: {} notified", notified(&outcome)));
+    assert!(last <= fleet.least_work() + MARGIN, "{fleet:?}: the last was notified after {last:?}");
     for calls in &outcome.calls {
         check_budget(&fleet, calls);
     }
@@ -120,7 +125,7 @@
 fn check_budget(fleet: &Fleet, calls: &[Duration]) {
     for (first, from) in calls.iter().enumerate() {
         for (last, to) in calls.iter().enumerate().skip(first) {
-            let budget = BUDGET_DEPTH + BUDGET_RATE * (*to - *from).as_secs_f64();
+            let budget = BUDGET_DEPTH + BUDGET_RATE * (to.as_secs_f64() - from.as_secs_f64());
             let made = (last - first + 1) as f64;
             assert!(made <= budget + ROUNDING, "{fleet:?}: {made} calls from {from:?} to {to:?}");
         }
@@ -131,12 +136,12 @@
     fleet.play(|seed| Follower::new(Delivery::OnRequest, seed))
 }
 
-fn told(outcome: &Outcome) -> usize {
-    outcome.told_after.iter().flatten().count()
+fn notified(outcome: &Outcome) -> usize {
+    outcome.notified_after.iter().flatten().count()
 }
 
-/// When the last limiter was told; none if one never was.
-fn last_told(outcome: &Outcome) -> Option<Duration> {
-    let times: Option<Vec<Duration>> = outcome.told_after.iter().copied().collect();
+/// When the last limiter was notified; none if one never was.
+fn last_notified(outcome: &Outcome) -> Option<Duration> {
+    let times: Option<Vec<Duration>> = outcome.notified_after.iter().copied().collect();
     times?.into_iter().max()
 }
--- a/crates/discovery/tests/rule.rs
+++ b/crates/discovery/tests/rule.rs
@@ -16,10 +16,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A change counts as told so long after the service had it.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// What another service has at a move to it counts as told so long after the move.
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// A change counts as notified so long after the service had it.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// What another service has at a move to it counts as notified so long after the move.
+const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
 /// A list from relays is stale so long after its last sign of life.
 const STALE_AFTER: Duration = Duration::from_secs(8);
 /// A change is made so long after a tick, so that it never falls together with a sign of life.
@@ -27,7 +27,7 @@
 
 /// A second call may go out so long before the list expires, and so long after the first one.
 const OVERLAP_BEFORE_EXPIRY: Duration = Duration::from_millis(2_500);
-const OVERLAP_AFTER_START: Duration = Duration::from_millis(1_000);
+const OVERLAP_AFTER_START: Duration = Duration::from_secs(1);
 
 /// Pushed: the interval of calls, the same while one has the head of its answer, and the most calls at once.
 const PUSHED_INTERVAL: Duration = Duration::from_millis(200);
@@ -54,9 +54,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A list may be used exactly until a change that it may lack counts as told.
+    /// A list may be used exactly until a change that it may lack counts as notified.
     #[test]
-    fn a_list_is_used_until_a_change_counts_as_told(history in any_history(Delivery::OnRequest)) {
+    fn a_list_is_used_until_a_change_counts_as_notified(history in any_history(Delivery::OnRequest)) {
         let entries = history.play();
         for at in instants() {
             let past = past(&entries, at);
@@ -165,7 +165,7 @@
         for entry in history.play() {
             match entry.event {
                 Event::WatchOpened | Event::Heartbeat => expires_at = Some(entry.at + STALE_AFTER),
-                Event::Moved => expires_at = expires_at.map(|at| at.min(entry.at + TOLD_AFTER_MOVE)),
+                Event::Moved => expires_at = expires_at.map(|at| at.min(entry.at + NOTIFIED_AFTER_MOVE)),
                 _ => {}
             }
             prop_assert_eq!(entry.expires_at, expires_at, "at {:?}", entry.at);
@@ -200,7 +200,8 @@
         follower.next_call().expect("no retry is due")
     };
     let times: BTreeSet<Duration> = (0..SPREAD_LIMITERS).map(retry_time).collect();
-    let spread = *times.last().unwrap() - *times.first().unwrap();
+    let first_and_last = times.first().zip(times.last());
+    let spread = first_and_last.map_or(Duration::ZERO, |(first, last)| last.saturating_sub(*first));
     assert_eq!(times.len() as u64, SPREAD_LIMITERS, "{failure:?}: some retry together");
     assert!(spread >= LEAST_SPREAD, "{failure:?}: all retry within {spread:?}");
 }
@@ -214,22 +215,23 @@
     &entries[..entries.partition_point(|entry| entry.at <= at)]
 }
 
-/// Whether a list may be used: no change that could have been made without its knowledge counts as told.
+/// Whether a list may be used: no change that could have been made without its knowledge counts as notified.
 fn may_use(past: &[Entry], at: Duration) -> bool {
     let Some(confirmed) = past.iter().rposition(Entry::is_sign_of_life) else { return false };
     let confirmed_at = past[confirmed].at;
     let changes = (0..).map(|tick| TICK * tick + AFTER_TICK).take_while(|made_at| *made_at <= at);
-    let told = changes.filter(|made_at| *made_at > confirmed_at).any(|made_at| made_at + TOLD_AFTER <= at);
+    let notified =
+        changes.filter(|made_at| *made_at > confirmed_at).any(|made_at| made_at + NOTIFIED_AFTER <= at);
     let moves = past[confirmed..].iter().filter(|entry| entry.event == Event::Moved);
-    let told_by_another = moves.map(|entry| entry.at + TOLD_AFTER_MOVE).any(|told_at| told_at <= at);
-    !told && !told_by_another
+    let notified_by_another = moves.map(|entry| entry.at + NOTIFIED_AFTER_MOVE).any(|told_at| told_at <= at);
+    !notified && !notified_by_another
 }
 
 /// When the list expires, by the rule.
 fn expiry(situation: &Situation) -> Option<Duration> {
     let confirmed_at = situation.last_sign_of_life?;
-    let moves = situation.moves_since.iter().map(|at| *at + TOLD_AFTER_MOVE);
-    moves.chain([confirmed_at + TOLD_AFTER]).min()
+    let moves = situation.moves_since.iter().map(|at| *at + NOTIFIED_AFTER_MOVE);
+    moves.chain([confirmed_at + NOTIFIED_AFTER]).min()
 }
 
 /// When a call must be due at the latest, as far as the watch, backoff, advice and budget are concerned.
--- a/crates/discovery/tests/rule/history.rs
+++ b/crates/discovery/tests/rule/history.rs
@@ -15,7 +15,7 @@
 
 /// What becomes of a call. Times are ticks from its start.
 #[derive(Clone, Copy, Debug)]
-enum CallFate {
+enum CallOutcome {
     Opens { after: u32 },
     Refused { after: u32, retry_after: Option<Duration> },
     Fails { after: u32 },
@@ -25,7 +25,7 @@
 
 /// What becomes of a watch: signs of life with their distances in ticks, then an end or silence.
 #[derive(Clone, Debug)]
-struct WatchFate {
+struct WatchOutcome {
     heartbeats: Vec<u32>,
     closes_after: Option<u32>,
 }
@@ -35,8 +35,8 @@
 pub struct History {
     delivery: Delivery,
     seed: u64,
-    calls: Vec<CallFate>,
-    watches: Vec<WatchFate>,
+    calls: Vec<CallOutcome>,
+    watches: Vec<WatchOutcome>,
     /// Ticks.
     moves: Vec<u32>,
 }
@@ -62,37 +62,37 @@
     let mixed = (vec(any_call(delivery), 1..30), vec(any_watch(), 1..8));
     let flapping = (vec(any_quick_call(), 1..6), vec(any_brief_watch(), 1..4));
     let piling = (vec(any_pending_call(), 1..6), vec(any_watch(), 1..8));
-    let fates = match delivery {
+    let outcomes = match delivery {
         Delivery::OnRequest | Delivery::Relayed => prop_oneof![3 => mixed, 1 => flapping].boxed(),
         Delivery::Pushed => prop_oneof![3 => mixed, 1 => flapping, 1 => piling].boxed(),
     };
     let moves = vec(0..600_u32, 0..4);
-    (any::<u64>(), fates, moves).prop_map(move |(seed, (calls, watches), mut moves)| {
+    (any::<u64>(), outcomes, moves).prop_map(move |(seed, (calls, watches), mut moves)| {
         moves.sort_unstable();
         History { delivery, seed, calls, watches, moves }
     })
 }
 
 /// Calls and watches that end soon, so that the budget is used up.
-fn any_quick_call() -> impl Strategy<Value = CallFate> {
+fn any_quick_call() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        4 => (0..=1_u32).prop_map(|after| CallFate::Opens { after }),
-        1 => Just(CallFate::Fails { after: 0 }),
+        4 => (0..=1_u32).prop_map(|after| CallOutcome::Opens { after }),
+        1 => Just(CallOutcome::Fails { after: 0 }),
     ]
 }
 
 /// Calls that pend for long after the head of their answer, so that they pile up.
-fn any_pending_call() -> impl Strategy<Value = CallFate> {
+fn any_pending_call() -> impl Strategy<Value = CallOutcome> {
     (0..=2_u32, 50..=90_u32)
-        .prop_map(|(head_after, then_after)| CallFate::FailsAfterHead { head_after, then_after })
+        .prop_map(|(head_after, then_after)| CallOutcome::FailsAfterHead { head_after, then_after })
 }
 
-fn any_brief_watch() -> impl Strategy<Value = WatchFate> {
+fn any_brief_watch() -> impl Strategy<Value = WatchOutcome> {
     let ends = prop_oneof![6 => 0..=2_u32, 1 => 3..=100_u32];
-    ends.prop_map(|after| WatchFate { heartbeats: Vec::new(), closes_after: Some(after) })
+    ends.prop_map(|after| WatchOutcome { heartbeats: Vec::new(), closes_after: Some(after) })
 }
 
-fn any_call(delivery: Delivery) -> impl Strategy<Value = CallFate> {
+fn any_call(delivery: Delivery) -> impl Strategy<Value = CallOutcome> {
     let (latest, longest_tail) = match delivery {
         Delivery::OnRequest | Delivery::Relayed => (23_u32, 25_u32),
         Delivery::Pushed => (6, 90),
@@ -103,20 +103,20 @@
         1 => (5..60_u64).prop_map(|seconds| Some(Duration::from_secs(seconds))),
     ];
     prop_oneof![
-        3 => (0..=latest).prop_map(|after| CallFate::Opens { after }),
+        3 => (0..=latest).prop_map(|after| CallOutcome::Opens { after }),
         3 => (0..=latest, retry_after)
-            .prop_map(|(after, retry_after)| CallFate::Refused { after, retry_after }),
-        3 => (0..=latest).prop_map(|after| CallFate::Fails { after }),
-        3 => Just(CallFate::Hangs),
+            .prop_map(|(after, retry_after)| CallOutcome::Refused { after, retry_after }),
+        3 => (0..=latest).prop_map(|after| CallOutcome::Fails { after }),
+        3 => Just(CallOutcome::Hangs),
         2 => (0..=latest, 0..=longest_tail)
-            .prop_map(|(head_after, then_after)| CallFate::FailsAfterHead { head_after, then_after }),
+            .prop_map(|(head_after, then_after)| CallOutcome::FailsAfterHead { head_after, then_after }),
     ]
 }
 
-fn any_watch() -> impl Strategy<Value = WatchFate> {
+fn any_watch() -> impl Strategy<Value = WatchOutcome> {
     let heartbeat = prop_oneof![6 => 1..=24_u32, 1 => 25..=70_u32];
     (vec(heartbeat, 0..6), proptest::option::of(0..=40_u32))
-        .prop_map(|(heartbeats, closes_after)| WatchFate { heartbeats, closes_after })
+        .prop_map(|(heartbeats, closes_after)| WatchOutcome { heartbeats, closes_after })
 }
 
 impl History {
@@ -197,7 +197,7 @@
         self.moves.pop_front();
         self.calls_out.clear();
         self.watch.clear();
-        self.tell(Event::Moved);
+        self.notify(Event::Moved);
     }
 
     fn watch_continues(&mut self) {
@@ -205,7 +205,7 @@
         if event == Event::Heartbeat {
             self.calls_out.clear();
         }
-        self.tell(event);
+        self.notify(event);
     }
 
     fn call_continues(&mut self, position: usize) {
@@ -215,45 +215,45 @@
             Event::WatchOpened => self.watch_opens(),
             _ => {}
         }
-        self.tell(event);
+        self.notify(event);
     }
 
     fn watch_opens(&mut self) {
         self.calls_out.clear();
-        let fate = &self.history.watches[self.watches_opened % self.history.watches.len()];
+        let outcome = &self.history.watches[self.watches_opened % self.history.watches.len()];
         self.watches_opened += 1;
         let mut at = self.now;
         self.watch.clear();
-        for distance in &fate.heartbeats {
+        for distance in &outcome.heartbeats {
             at += TICK * *distance;
             self.watch.push_back((at, Event::Heartbeat));
         }
-        let closing = fate.closes_after.map(|after| (at + TICK * after, Event::WatchClosed));
+        let closing = outcome.closes_after.map(|after| (at + TICK * after, Event::WatchClosed));
         self.watch.extend(closing);
     }
 
     fn call_starts(&mut self) {
-        let fate = self.history.calls[self.calls_started % self.history.calls.len()];
+        let outcome = self.history.calls[self.calls_started % self.history.calls.len()];
         self.calls_started += 1;
         let id = self.calls_started as CallId;
-        self.calls_out.push(self.plan(id, fate).into());
-        self.tell(Event::CallStarted(id));
+        self.calls_out.push(self.plan(id, outcome).into());
+        self.notify(Event::CallStarted(id));
     }
 
-    fn plan(&self, id: CallId, fate: CallFate) -> Vec<Coming> {
+    fn plan(&self, id: CallId, outcome: CallOutcome) -> Vec<Coming> {
         let failed = Event::CallFailed(id, CallFailure::Failed);
-        match fate {
-            CallFate::Opens { after } => {
+        match outcome {
+            CallOutcome::Opens { after } => {
                 let at = self.tick_after(after);
                 vec![(at, Event::CallAnswered(id)), (at, Event::WatchOpened)]
             }
-            CallFate::Refused { after, retry_after } => {
+            CallOutcome::Refused { after, retry_after } => {
                 let refused = Event::CallFailed(id, CallFailure::Refused { retry_after });
                 vec![(self.tick_after(after), refused)]
             }
-            CallFate::Fails { after } => vec![(self.tick_after(after), failed)],
-            CallFate::Hangs => vec![(self.now + self.follower.call_timeout(), failed)],
-            CallFate::FailsAfterHead { head_after, then_after } => {
+            CallOutcome::Fails { after } => vec![(self.tick_after(after), failed)],
+            CallOutcome::Hangs => vec![(self.now + self.follower.call_timeout(), failed)],
+            CallOutcome::FailsAfterHead { head_after, then_after } => {
                 let head_at = self.tick_after(head_after);
                 vec![(head_at, Event::CallAnswered(id)), (head_at + TICK * then_after, failed)]
             }
@@ -266,7 +266,7 @@
         TICK * (passed as u32 + ticks)
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         self.follower.handle(self.now, event);
         self.entries.push(Entry {
             at: self.now,
--- a/crates/discovery/tests/support/mod.rs
+++ b/crates/discovery/tests/support/mod.rs
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// For each limiter, the time from the service's return until its list was confirmed; none if it never was.
-    pub told_after: Vec<Option<Duration>>,
+    pub notified_after: Vec<Option<Duration>>,
     /// For each limiter, when it began calls.
     pub calls: Vec<Vec<Duration>>,
     /// Calls that were refused.
@@ -131,7 +131,7 @@
     calls_out: Vec<CallId>,
     watch: Option<CallId>,
     call_times: Vec<Duration>,
-    told_at: Option<Duration>,
+    notified_at: Option<Duration>,
     expired: Duration,
 }
 
@@ -142,7 +142,7 @@
     planned: u64,
     last_call: CallId,
     refused: usize,
-    /// Limiters that have not been told since the fault.
+    /// Limiters that have not been notified since the fault.
     untold: usize,
     rng: Rng,
     returned_at: Duration,
@@ -156,13 +156,13 @@
             .map(|_| {
                 let mut policy = new_policy(rng.u64(..));
                 let phase = HEARTBEAT_INTERVAL.mul_f64(rng.f64());
-                policy.handle(FAULT_AT - phase, Event::WatchOpened);
+                policy.handle(FAULT_AT.saturating_sub(phase), Event::WatchOpened);
                 Limiter {
                     policy,
                     calls_out: Vec::new(),
                     watch: None,
                     call_times: Vec::new(),
-                    told_at: None,
+                    notified_at: None,
                     expired: Duration::ZERO,
                 }
             })
@@ -186,7 +186,7 @@
         for limiter in order {
             match scenario {
                 Scenario::Silence => self.plan_wake(FAULT_AT, limiter),
-                _ => self.tell(FAULT_AT, limiter, Event::WatchClosed),
+                _ => self.notify(FAULT_AT, limiter, Event::WatchClosed),
             }
         }
     }
@@ -212,14 +212,14 @@
             Action::Reply(call, Reply::Refused) if self.take_call(limiter, call) => {
                 self.refused += 1;
                 let refusal = CallFailure::Refused { retry_after: None };
-                self.tell(at, limiter, Event::CallFailed(call, refusal));
+                self.notify(at, limiter, Event::CallFailed(call, refusal));
             }
             Action::GiveUp(call) if self.take_call(limiter, call) => {
-                self.tell(at, limiter, Event::CallFailed(call, CallFailure::Failed));
+                self.notify(at, limiter, Event::CallFailed(call, CallFailure::Failed));
             }
             Action::Heartbeat(watch) if self.limiters[limiter].watch == Some(watch) => {
                 self.limiters[limiter].calls_out.clear();
-                self.tell(at, limiter, Event::Heartbeat);
+                self.notify(at, limiter, Event::Heartbeat);
                 self.plan(at + HEARTBEAT_INTERVAL, limiter, action);
             }
             Action::Reply(..) | Action::GiveUp(_) | Action::Heartbeat(_) => {}
@@ -247,23 +247,23 @@
         let (reply_at, reply) = self.service.call(now);
         self.plan(reply_at, limiter, Action::Reply(call, reply));
         self.plan(give_up_at, limiter, Action::GiveUp(call));
-        self.tell(now, limiter, Event::CallStarted(call));
+        self.notify(now, limiter, Event::CallStarted(call));
     }
 
     fn open_watch(&mut self, now: Duration, limiter: usize, call: CallId) {
         let caller = &mut self.limiters[limiter];
         caller.calls_out.clear();
         caller.watch = Some(call);
-        if caller.told_at.is_none() {
-            caller.told_at = Some(now);
+        if caller.notified_at.is_none() {
+            caller.notified_at = Some(now);
             self.untold -= 1;
             caller.expired = expired_until(now, &caller.policy);
         }
         self.plan(now + HEARTBEAT_INTERVAL, limiter, Action::Heartbeat(call));
-        self.tell(now, limiter, Event::WatchOpened);
+        self.notify(now, limiter, Event::WatchOpened);
     }
 
-    fn tell(&mut self, now: Duration, limiter: usize, event: Event) {
+    fn notify(&mut self, now: Duration, limiter: usize, event: Event) {
         self.limiters[limiter].policy.handle(now, event);
         self.plan_wake(now, limiter);
     }
@@ -281,12 +281,16 @@
 
     fn outcome(self) -> Outcome {
         let returned_at = self.returned_at;
-        let expired = |limiter: &Limiter<P>| match limiter.told_at {
+        let notified_after = |limiter: &Limiter<P>| {
+            let after = |at: Duration| at.checked_sub(returned_at).expect("notified after the return");
+            limiter.notified_at.map(after)
+        };
+        let expired = |limiter: &Limiter<P>| match limiter.notified_at {
             Some(_) => limiter.expired,
             None => expired_until(returned_at + HORIZON, &limiter.policy),
         };
         Outcome {
-            told_after: self.limiters.iter().map(|l| l.told_at.map(|at| at - returned_at)).collect(),
+            notified_after: self.limiters.iter().map(notified_after).collect(),
             expired: self.limiters.iter().map(expired).collect(),
             calls: self.limiters.into_iter().map(|limiter| limiter.call_times).collect(),
             refused: self.refused,
--- a/crates/discovery/tests/support/service.rs
+++ b/crates/discovery/tests/support/service.rs
@@ -35,7 +35,7 @@
             return (now + LONGEST_WAIT, Reply::Refused);
         }
         let begins_at = self.busy_until.max(now);
-        if begins_at - now > LONGEST_WAIT {
+        if begins_at.saturating_sub(now) > LONGEST_WAIT {
             return (now, Reply::Refused);
         }
         self.busy_until = begins_at + self.call_cost;
