--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,265 +1,160 @@
-//! A log of entries: each framed, numbered and checked, so that what is read back was written, whole and in that order.
+//! An append-only log. Entries are framed, numbered and checksummed, so that recovered entries are complete and in order.
 
-use crate::{array, Disk, Fault, Result};
-use std::io::{Error, ErrorKind};
-
-/// The longest entry, in bytes: what says of itself that it is longer was not written by a log.
-pub const LONGEST_ENTRY: usize = 16 * 1024 * 1024;
+mod encoding;
+mod recovery;
 
-const MAGIC: &[u8; 4] = b"LRlg";
-const VERSION: u16 = 1;
-/// Magic, version, kind, and the check of these.
-const HEAD: usize = 4 + 2 + 4 + 4;
-/// Length, number, and the check of these and the bytes.
-const FRAME: usize = 4 + 8 + 4;
+pub use encoding::MAX_ENTRY_BYTES;
+pub use recovery::{LogCorruption, LogRecovery, LogTail};
 
-/// How a log that was found ends.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Tail {
-    /// With its last entry.
-    Whole,
-    /// With a part of one that was being written: so many bytes from a place on. Nothing that was made to last is missing,
-    /// if the disk told the truth.
-    Torn {
-        /// The byte at which it begins.
-        at: u64,
-        /// How many there are.
-        bytes: u64,
-    },
-    /// In its midst: there are whole entries behind what cannot be read, or the head is another's. What follows is not given.
-    Broken {
-        /// The byte.
-        at: u64,
-        /// What was found, and what was expected.
-        what: String,
-    },
+use crate::{Result, Storage, StorageError};
+use encoding::HEADER_BYTES;
+use std::io::{Error, ErrorKind};
+use thiserror::Error as ThisError;
+
+/// Why a log takes no further entries.
+#[derive(Clone, Debug, PartialEq, Eq, ThisError)]
+enum NotWritable {
+    #[error("broken at byte {offset}: {cause}")]
+    Corrupt { offset: u64, cause: LogCorruption },
+    /// A write or sync failed, so that the content of the file is not known.
+    #[error("it failed before: {error}")]
+    Failed { error: String },
 }
 
-/// What was found at the start.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
-    /// The entries, up to where the log breaks.
-    pub entries: Vec<Vec<u8>>,
-    /// The number of the first of them.
-    pub first: u64,
-    /// How it ends.
-    pub tail: Tail,
+#[derive(Debug, ThisError)]
+#[error("an entry of {len} bytes, expected {MAX_ENTRY_BYTES} at most")]
+struct EntryTooLong {
+    len: usize,
 }
 
-/// A log that is being written.
+/// A log opened for appending.
 #[derive(Debug)]
 pub struct Log {
     name: String,
     kind: u32,
-    next: u64,
+    next_sequence: u64,
     len: u64,
-    /// That the file is there lasts.
-    made: bool,
-    /// Something could not be written or made to last, or the log is broken: nothing more is written until it is opened anew.
-    failed: Option<String>,
-}
-
-fn head(kind: u32) -> Vec<u8> {
-    let mut bytes = [&MAGIC[..], &VERSION.to_le_bytes(), &kind.to_le_bytes()].concat();
-    bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
-    bytes
-}
-
-fn frame(number: u64, entry: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(FRAME + entry.len());
-    bytes.extend((entry.len() as u32).to_le_bytes());
-    bytes.extend(number.to_le_bytes());
-    let mut check = crc32fast::Hasher::new();
-    check.update(&bytes);
-    check.update(entry);
-    bytes.extend(check.finalize().to_le_bytes());
-    bytes.extend(entry);
-    bytes
-}
-
-/// The entry at a place, with its number and where the next begins.
-fn entry(bytes: &[u8], at: usize) -> Option<(u64, &[u8], usize)> {
-    let len = u32::from_le_bytes(array(bytes, at)?) as usize;
-    if len > LONGEST_ENTRY {
-        return None;
-    }
-    let number = u64::from_le_bytes(array(bytes, at + 4)?);
-    let said = u32::from_le_bytes(array(bytes, at + 12)?);
-    let body = bytes.get(at + FRAME..at + FRAME + len)?;
-    let mut check = crc32fast::Hasher::new();
-    check.update(&bytes[at..at + 12]);
-    check.update(body);
-    (check.finalize() == said).then_some((number, body, at + FRAME + len))
-}
-
-/// Reads the whole of a log.
-fn read(bytes: &[u8], kind: u32) -> Found {
-    let mut found = Found { entries: Vec::new(), first: 0, tail: Tail::Whole };
-    let expected = head(kind);
-    if bytes.len() < HEAD && expected.starts_with(bytes) {
-        if !bytes.is_empty() {
-            found.tail = Tail::Torn { at: 0, bytes: bytes.len() as u64 };
-        }
-        return found;
-    }
-    if !bytes.starts_with(&expected) {
-        found.tail = Tail::Broken { at: 0, what: foreign(bytes, kind) };
-        return found;
-    }
-    let (mut at, mut next) = (HEAD, None);
-    while at < bytes.len() {
-        match entry(bytes, at) {
-            Some((number, body, behind)) if next.is_none_or(|next| next == number) => {
-                if next.is_none() {
-                    found.first = number;
-                }
-                found.entries.push(body.to_vec());
-                (next, at) = (Some(number + 1), behind);
-            }
-            Some((number, ..)) => {
-                let what = format!("entry {number}, expected {}", next.unwrap_or_default());
-                found.tail = Tail::Broken { at: at as u64, what };
-                return found;
-            }
-            None => {
-                found.tail = ends(bytes, at, next);
-                return found;
-            }
-        }
-    }
-    found
-}
-
-/// What it is that cannot be read: the last entry, half written, or one with others behind it.
-fn ends(bytes: &[u8], at: usize, next: Option<u64>) -> Tail {
-    let behind = (at + 1..bytes.len()).find_map(|n| Some((n, entry(bytes, n)?.0)));
-    match behind {
-        Some((n, number)) if next.is_none_or(|next| number >= next) => {
-            let expected = next.map_or("the first entry".into(), |next| format!("entry {next}"));
-            let what =
-                format!("{} bytes that are no entry before entry {number}, expected {expected}", n - at);
-            Tail::Broken { at: at as u64, what }
-        }
-        _ => Tail::Torn { at: at as u64, bytes: (bytes.len() - at) as u64 },
-    }
-}
-
-fn foreign(bytes: &[u8], kind: u32) -> String {
-    if !bytes.starts_with(MAGIC) {
-        return "it does not begin as a log does".into();
-    }
-    let version = array(bytes, 4).map(u16::from_le_bytes);
-    match (version, array(bytes, 6).map(u32::from_le_bytes)) {
-        (Some(version), _) if version != VERSION => format!("a log of version {version}, expected {VERSION}"),
-        (_, Some(other)) if other != kind => format!("a log of kind {other}, expected {kind}"),
-        _ => "its head is damaged".into(),
-    }
+    /// Whether the file's name is durable.
+    name_durable: bool,
+    /// Set by damage or a failed write; cleared only by opening the log again or by [`Log::quarantine`].
+    not_writable: Option<NotWritable>,
 }
 
 impl Log {
-    /// Opens a log, or makes one. A torn tail is cut off; a broken log is left as it is and can't be written: see
-    /// [`Log::set_aside`].
+    /// Opens a log and recovers its entries; a file that does not exist is an empty log. A torn tail is truncated. A corrupt
+    /// log is left as it is and takes no entries: see [`Log::quarantine`].
     ///
     /// # Errors
-    /// It cannot be read, or the tail not be cut.
-    pub fn open(disk: &mut dyn Disk, name: &str, kind: u32) -> Result<(Log, Found)> {
-        let bytes = disk.read(name)?;
-        let made = bytes.as_ref().is_some_and(|bytes| bytes.len() >= HEAD);
+    /// The log cannot be read, or its torn tail cannot be truncated.
+    pub fn open(storage: &mut dyn Storage, name: &str, kind: u32) -> Result<(Log, LogRecovery)> {
+        let bytes = storage.read(name)?;
+        let name_durable = bytes.as_ref().is_some_and(|bytes| bytes.len() >= HEADER_BYTES);
         let bytes = bytes.unwrap_or_default();
-        let found = read(&bytes, kind);
-        let next = found.first + found.entries.len() as u64;
-        let mut log = Log { name: name.into(), kind, next, len: bytes.len() as u64, made, failed: None };
-        match &found.tail {
-            Tail::Whole => {}
-            Tail::Torn { at, .. } => {
-                disk.cut(name, *at)?;
-                disk.sync(name)?;
-                (log.len, log.made) = (*at, *at > 0);
+        let recovery = recovery::recover(&bytes, kind);
+        let next_sequence = recovery.first_sequence + recovery.entries.len() as u64;
+        let len = bytes.len() as u64;
+        let mut log = Log { name: name.into(), kind, next_sequence, len, name_durable, not_writable: None };
+        match &recovery.tail {
+            LogTail::Complete => {}
+            LogTail::Torn { offset, .. } => {
+                storage.truncate(name, *offset)?;
+                storage.sync(name)?;
+                log.len = *offset;
+                log.name_durable = *offset > 0;
+            }
+            LogTail::Corrupt { offset, cause } => {
+                log.not_writable = Some(NotWritable::Corrupt { offset: *offset, cause: cause.clone() });
             }
-            Tail::Broken { at, what } => log.failed = Some(format!("broken at byte {at}: {what}")),
         }
-        Ok((log, found))
+        Ok((log, recovery))
     }
 
-    /// The number that the next entry gets.
-    pub fn next(&self) -> u64 {
-        self.next
+    /// The sequence number of the next entry.
+    pub fn next_sequence(&self) -> u64 {
+        self.next_sequence
     }
 
-    /// How many bytes there are.
-    pub fn bytes(&self) -> u64 {
+    /// Length of the log, in bytes.
+    pub fn len_bytes(&self) -> u64 {
         self.len
     }
 
-    /// The next entry gets this number, if the log has none yet: it goes on where another was set aside or thrown away.
-    pub fn go_on_from(&mut self, number: u64) {
-        if self.len <= HEAD as u64 {
-            self.next = number;
+    /// Sets the sequence number of the first entry; has no effect on a log that has entries. A log that replaces a
+    /// quarantined or removed one continues its numbers so.
+    pub fn continue_from(&mut self, sequence: u64) {
+        if self.len <= HEADER_BYTES as u64 {
+            self.next_sequence = sequence;
         }
     }
 
-    fn usable(&self, doing: &'static str) -> Result<()> {
-        match &self.failed {
+    fn check_writable(&self, operation: &'static str) -> Result<()> {
+        match &self.not_writable {
             None => Ok(()),
-            Some(why) => Err(Fault::of(doing, &self.name, Error::new(ErrorKind::InvalidData, why.clone()))),
+            Some(cause) => {
+                let source = Error::new(ErrorKind::InvalidData, cause.clone());
+                Err(StorageError::new(operation, &self.name, source))
+            }
         }
     }
 
-    /// Notes a failure, after which the log must be opened anew: what it holds is not known.
-    fn failing(&mut self, done: Result<()>) -> Result<()> {
-        if let Err(fault) = &done {
-            self.failed = Some(format!("it failed before: {fault}"));
+    /// Blocks further writes after a failure: how much of the write reached the file is not known until it is opened again.
+    fn block_after_failure(&mut self, result: Result<()>) -> Result<()> {
+        if let Err(error) = &result {
+            self.not_writable = Some(NotWritable::Failed { error: error.to_string() });
         }
-        done
+        result
     }
 
-    /// Puts an entry behind the others. It lasts once [`Log::sync`] has said yes.
+    /// Appends an entry and returns its sequence number. It is durable once [`Log::sync`] has succeeded.
     ///
     /// # Errors
-    /// It cannot be written, or is too long (which leaves the log as it is).
-    pub fn append(&mut self, disk: &mut dyn Disk, entry: &[u8]) -> Result<u64> {
-        self.usable("append to")?;
-        if entry.len() > LONGEST_ENTRY {
-            let what = format!("an entry of {} bytes, expected {LONGEST_ENTRY} at most", entry.len());
-            return Err(Fault::of("append to", &self.name, Error::new(ErrorKind::InvalidInput, what)));
+    /// The entry is longer than [`MAX_ENTRY_BYTES`], which leaves the log as it is, or cannot be written.
+    pub fn append(&mut self, storage: &mut dyn Storage, entry: &[u8]) -> Result<u64> {
+        self.check_writable("append to")?;
+        if entry.len() > MAX_ENTRY_BYTES {
+            let source = Error::new(ErrorKind::InvalidInput, EntryTooLong { len: entry.len() });
+            return Err(StorageError::new("append to", &self.name, source));
         }
-        let mut bytes = if self.len > 0 { Vec::new() } else { head(self.kind) };
-        bytes.extend(frame(self.next, entry));
-        let done = disk.append(&self.name, &bytes);
-        self.failing(done)?;
+        let mut bytes = if self.len > 0 { Vec::new() } else { encoding::header(self.kind) };
+        bytes.extend(encoding::frame(self.next_sequence, entry));
+        let result = storage.append(&self.name, &bytes);
+        self.block_after_failure(result)?;
         self.len += bytes.len() as u64;
-        self.next += 1;
-        Ok(self.next - 1)
+        self.next_sequence += 1;
+        Ok(self.next_sequence - 1)
     }
 
-    /// What was appended lasts from now on.
+    /// Makes all appended entries durable.
     ///
     /// # Errors
-    /// It may not: the log must be opened anew, which tells what is there.
-    pub fn sync(&mut self, disk: &mut dyn Disk) -> Result<()> {
-        self.usable("sync")?;
+    /// Durability is not known: opening the log again tells which entries are there.
+    pub fn sync(&mut self, storage: &mut dyn Storage) -> Result<()> {
+        self.check_writable("sync")?;
         if self.len == 0 {
             return Ok(());
         }
-        let mut done = disk.sync(&self.name);
-        if done.is_ok() && !self.made {
-            done = disk.sync_folder();
+        let mut result = storage.sync(&self.name);
+        if result.is_ok() && !self.name_durable {
+            result = storage.sync_directory();
         }
-        self.made = true;
-        self.failing(done)
+        self.name_durable = true;
+        self.block_after_failure(result)
     }
 
-    /// Gives a broken log another name, under which nothing touches it, and goes on with an empty one.
+    /// Renames a corrupt log, so that nothing overwrites it, and continues with an empty one. Returns the new name.
     ///
     /// # Errors
-    /// It cannot be renamed.
-    pub fn set_aside(&mut self, disk: &mut dyn Disk) -> Result<String> {
-        let names = disk.list()?;
-        let free = (1u64..).map(|n| format!("{}.damaged-{n}", self.name)).find(|name| !names.contains(name));
-        let aside = free.unwrap_or_default();
-        disk.rename(&self.name, &aside)?;
-        disk.sync_folder()?;
-        (self.len, self.made, self.failed) = (0, false, None);
-        Ok(aside)
+    /// The file cannot be renamed.
+    pub fn quarantine(&mut self, storage: &mut dyn Storage) -> Result<String> {
+        let names = storage.list()?;
+        let unused =
+            (1..=u64::MAX).map(|n| format!("{}.damaged-{n}", self.name)).find(|name| !names.contains(name));
+        let quarantined = unused.unwrap_or_default();
+        storage.rename(&self.name, &quarantined)?;
+        storage.sync_directory()?;
+        self.len = 0;
+        self.name_durable = false;
+        self.not_writable = None;
+        Ok(quarantined)
     }
 }
--- /dev/null
+++ b/crates/storage/src/log/recovery.rs
@@ -0,0 +1,150 @@
+//! Reads the entries of a log and tells an interrupted last write from damage.
+
+use super::encoding::{
+    decode_frame, header, header_kind, header_version, Frame, FORMAT_VERSION, HEADER_BYTES, MAGIC,
+};
+use thiserror::Error;
+
+/// How a recovered log ends.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LogTail {
+    /// With its last entry.
+    Complete,
+    /// With a part of an entry whose write was interrupted. No synced entry is missing, provided that the disk reported its
+    /// syncs truthfully.
+    Torn {
+        /// Where the part begins.
+        offset: u64,
+        /// Length of the part, in bytes.
+        bytes: u64,
+    },
+    /// With damage that is not an interrupted last write. Entries behind the damage are not recovered.
+    Corrupt {
+        /// Where the damage begins.
+        offset: u64,
+        /// What was found there.
+        cause: LogCorruption,
+    },
+}
+
+/// The damage found in a log: what was found, and what was expected.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum LogCorruption {
+    /// The file is no log.
+    #[error("it does not begin as a log does")]
+    NotALog,
+    /// The log has another format.
+    #[error("a log of version {found}, expected {FORMAT_VERSION}")]
+    Version {
+        /// The version in the header.
+        found: u16,
+    },
+    /// The log belongs to another store.
+    #[error("a log of kind {found}, expected {expected}")]
+    Kind {
+        /// The kind in the header.
+        found: u32,
+        /// The kind that the log was opened with.
+        expected: u32,
+    },
+    /// The header does not match its checksum.
+    #[error("its head is damaged")]
+    Header,
+    /// Entries are missing, or stand twice.
+    #[error("entry {found}, expected {expected}")]
+    Sequence {
+        /// The sequence number found.
+        found: u64,
+        /// The one that follows the entry before.
+        expected: u64,
+    },
+    /// Undamaged entries follow bytes that cannot be decoded.
+    #[error("{bytes} bytes that are no entry before entry {following}, expected {}", expected_entry(*.expected))]
+    Gap {
+        /// Length of the damaged part.
+        bytes: usize,
+        /// Sequence number of the first undamaged entry behind it.
+        following: u64,
+        /// The sequence number expected in its place; `None` before the first entry.
+        expected: Option<u64>,
+    },
+}
+
+fn expected_entry(sequence: Option<u64>) -> String {
+    sequence.map_or("the first entry".into(), |sequence| format!("entry {sequence}"))
+}
+
+/// What was recovered from a log when it was opened.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LogRecovery {
+    /// The entries up to the first damage.
+    pub entries: Vec<Vec<u8>>,
+    /// The sequence number of the first of them.
+    pub first_sequence: u64,
+    /// How the log ends.
+    pub tail: LogTail,
+}
+
+/// Recovers the entries from the content of a log file.
+pub fn recover(bytes: &[u8], kind: u32) -> LogRecovery {
+    let mut recovery = LogRecovery { entries: Vec::new(), first_sequence: 0, tail: LogTail::Complete };
+    let expected_header = header(kind);
+    if bytes.len() < HEADER_BYTES && expected_header.starts_with(bytes) {
+        if !bytes.is_empty() {
+            recovery.tail = LogTail::Torn { offset: 0, bytes: bytes.len() as u64 };
+        }
+        return recovery;
+    }
+    if !bytes.starts_with(&expected_header) {
+        recovery.tail = LogTail::Corrupt { offset: 0, cause: header_corruption(bytes, kind) };
+        return recovery;
+    }
+    recovery.tail = recover_entries(bytes, &mut recovery);
+    recovery
+}
+
+fn recover_entries(bytes: &[u8], recovery: &mut LogRecovery) -> LogTail {
+    let mut offset = HEADER_BYTES;
+    let mut expected = None;
+    while offset < bytes.len() {
+        let Some(Frame { sequence, entry, end }) = decode_frame(bytes, offset) else {
+            return undecodable_tail(bytes, offset, expected);
+        };
+        match expected {
+            None => recovery.first_sequence = sequence,
+            Some(expected) if expected != sequence => {
+                let cause = LogCorruption::Sequence { found: sequence, expected };
+                return LogTail::Corrupt { offset: offset as u64, cause };
+            }
+            Some(_) => {}
+        }
+        recovery.entries.push(entry.to_vec());
+        expected = Some(sequence + 1);
+        offset = end;
+    }
+    LogTail::Complete
+}
+
+/// Bytes that cannot be decoded are an interrupted write only if no later entry follows them.
+fn undecodable_tail(bytes: &[u8], offset: usize, expected: Option<u64>) -> LogTail {
+    let following = (offset + 1..bytes.len())
+        .find_map(|candidate| Some((candidate, decode_frame(bytes, candidate)?.sequence)));
+    match following {
+        Some((start, following)) if expected.is_none_or(|expected| following >= expected) => {
+            let cause = LogCorruption::Gap { bytes: start - offset, following, expected };
+            LogTail::Corrupt { offset: offset as u64, cause }
+        }
+        _ => LogTail::Torn { offset: offset as u64, bytes: (bytes.len() - offset) as u64 },
+    }
+}
+
+fn header_corruption(bytes: &[u8], expected: u32) -> LogCorruption {
+    if !bytes.starts_with(MAGIC) {
+        return LogCorruption::NotALog;
+    }
+    match (header_version(bytes), header_kind(bytes)) {
+        (Some(found), _) if found != FORMAT_VERSION => LogCorruption::Version { found },
+        (_, Some(found)) if found != expected => LogCorruption::Kind { found, expected },
+        _ => LogCorruption::Header,
+    }
+}
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,168 +1,187 @@
-//! A disk in memory, whose power can be cut at any step.
+//! Storage in memory whose power can be cut at any step.
 
-use crate::{Disk, Fault, Result};
+use crate::{Result, Storage, StorageError};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind};
 
-/// One step that has not been made to last: what a power cut may or may not leave of it.
+/// Identifies a file independently of its name, as an inode does.
+type FileId = u64;
+
+/// The directory: file by name.
+type Names = BTreeMap<String, FileId>;
+
+/// A change that is not durable yet: a power loss keeps all of it, a part, or nothing.
 #[derive(Clone, Debug)]
-enum Step {
-    /// A file is these bytes; the number it has had since it was made.
-    Write(u64, Vec<u8>),
-    Append(u64, Vec<u8>),
-    Cut(u64, u64),
+enum Change {
+    Write(FileId, Vec<u8>),
+    Append(FileId, Vec<u8>),
+    Truncate(FileId, u64),
 }
 
-/// What is there, by name: the number of the file.
-type Names = BTreeMap<String, u64>;
+impl Change {
+    fn file(&self) -> FileId {
+        match self {
+            Change::Write(file, _) | Change::Append(file, _) | Change::Truncate(file, _) => *file,
+        }
+    }
+}
 
-/// A disk in memory. What was not synced may be lost in a power cut: whole, in part, or not at all, by draws from a seed.
+/// Storage in memory. What was not synced may be lost on a power loss: all of it, a part, or nothing, drawn from a seed.
 #[derive(Clone, Debug)]
-pub struct Memory {
-    /// As a reader sees it, and as it would be after the worst power cut.
+pub struct MemoryStorage {
     names: Names,
-    kept_names: Names,
-    files: BTreeMap<u64, Vec<u8>>,
-    kept_files: BTreeMap<u64, Vec<u8>>,
-    /// What has been done since, by order.
-    open: Vec<Step>,
-    next: u64,
+    durable_names: Names,
+    files: BTreeMap<FileId, Vec<u8>>,
+    durable_files: BTreeMap<FileId, Vec<u8>>,
+    /// Changes since the files were last synced, in order.
+    unsynced: Vec<Change>,
+    last_file: FileId,
     rng: fastrand::Rng,
-    steps: u64,
-    /// After so many further steps everything fails, as for a process that is killed there.
-    pub dies_after: Option<u64>,
+    operations: u64,
+    /// After this many further operations every operation fails, as if the process had been killed there.
+    pub fails_after: Option<u64>,
 }
 
-impl Memory {
-    /// An empty one; power cuts are drawn from the seed.
-    pub fn new(seed: u64) -> Memory {
-        Memory {
+impl MemoryStorage {
+    /// Empty storage; the effects of power losses are drawn from the seed.
+    pub fn new(seed: u64) -> MemoryStorage {
+        MemoryStorage {
             names: Names::new(),
-            kept_names: Names::new(),
+            durable_names: Names::new(),
             files: BTreeMap::new(),
-            kept_files: BTreeMap::new(),
-            open: Vec::new(),
-            next: 0,
+            durable_files: BTreeMap::new(),
+            unsynced: Vec::new(),
+            last_file: 0,
             rng: fastrand::Rng::with_seed(seed),
-            steps: 0,
-            dies_after: None,
+            operations: 0,
+            fails_after: None,
         }
     }
 
-    /// Steps that changed something or made it last, so far.
-    pub fn steps(&self) -> u64 {
-        self.steps
+    /// Successful operations so far that changed something or made it durable.
+    pub fn operations(&self) -> u64 {
+        self.operations
     }
 
-    /// The power is cut and comes back: what was made to last is there; of the rest each step may be there, in part, or not.
-    pub fn power_cut(&mut self) {
-        self.dies_after = None;
-        let mut files = std::mem::take(&mut self.kept_files);
-        for step in std::mem::take(&mut self.open) {
-            match (step, self.rng.u8(0..3)) {
+    /// Cuts the power and restores it. Synced data is there; of the rest each change may be there, in part, or not.
+    pub fn power_loss(&mut self) {
+        self.fails_after = None;
+        let mut files = std::mem::take(&mut self.durable_files);
+        for change in std::mem::take(&mut self.unsynced) {
+            match (change, self.rng.u8(0..3)) {
                 (_, 0) => {}
-                (Step::Write(n, bytes), all) => {
-                    let part = if all == 1 { bytes.len() } else { self.rng.usize(0..=bytes.len()) };
-                    files.insert(n, bytes[..part].to_vec());
+                (Change::Write(file, bytes), extent) => {
+                    let kept = self.surviving_len(extent, bytes.len());
+                    files.insert(file, bytes[..kept].to_vec());
                 }
-                (Step::Append(n, bytes), all) => {
-                    let part = if all == 1 { bytes.len() } else { self.rng.usize(0..=bytes.len()) };
-                    files.entry(n).or_default().extend_from_slice(&bytes[..part]);
+                (Change::Append(file, bytes), extent) => {
+                    let kept = self.surviving_len(extent, bytes.len());
+                    files.entry(file).or_default().extend_from_slice(&bytes[..kept]);
                 }
-                (Step::Cut(n, len), _) => files.entry(n).or_default().truncate(len as usize),
+                (Change::Truncate(file, len), _) => files.entry(file).or_default().truncate(len as usize),
             }
         }
-        // Names come to the disk in their order or not at all: the folder is written as one.
+        // The directory is written as one: its changes survive in their order or not at all.
         if self.rng.bool() {
-            self.kept_names = self.names.clone();
+            self.durable_names = self.names.clone();
         }
-        self.names = self.kept_names.clone();
-        files.retain(|n, _| self.names.values().any(|m| m == n));
-        for n in self.names.values() {
-            files.entry(*n).or_default();
+        self.names = self.durable_names.clone();
+        files.retain(|file, _| self.names.values().any(|named| named == file));
+        for file in self.names.values() {
+            files.entry(*file).or_default();
         }
         self.files = files.clone();
-        self.kept_files = files;
+        self.durable_files = files;
+    }
+
+    /// How many of `len` written bytes survive: all of them for an extent of 1, otherwise a random part.
+    fn surviving_len(&mut self, extent: u8, len: usize) -> usize {
+        if extent == 1 {
+            len
+        } else {
+            self.rng.usize(0..=len)
+        }
     }
 
-    fn step(&mut self, doing: &'static str, name: &str) -> Result<()> {
-        if self.dies_after == Some(0) {
-            return Err(Fault::of(doing, name, Error::new(ErrorKind::Interrupted, "the process is dead")));
+    fn count_operation(&mut self, operation: &'static str, name: &str) -> Result<()> {
+        if self.fails_after == Some(0) {
+            let source = Error::new(ErrorKind::Interrupted, "the process is dead");
+            return Err(StorageError::new(operation, name, source));
         }
-        self.dies_after = self.dies_after.map(|left| left - 1);
-        self.steps += 1;
+        self.fails_after = self.fails_after.map(|left| left - 1);
+        self.operations += 1;
         Ok(())
     }
 
-    fn missing(doing: &'static str, name: &str) -> Fault {
-        Fault::of(doing, name, Error::new(ErrorKind::NotFound, "it is not there"))
+    fn existing(&self, operation: &'static str, name: &str) -> Result<FileId> {
+        let missing =
+            || StorageError::new(operation, name, Error::new(ErrorKind::NotFound, "it is not there"));
+        self.names.get(name).copied().ok_or_else(missing)
     }
 
-    fn number(&mut self, name: &str) -> u64 {
-        let next = &mut self.next;
+    fn existing_or_new(&mut self, name: &str) -> FileId {
+        let last_file = &mut self.last_file;
         *self.names.entry(name.into()).or_insert_with(|| {
-            *next += 1;
-            *next
+            *last_file += 1;
+            *last_file
         })
     }
 }
 
-impl Disk for Memory {
+impl Storage for MemoryStorage {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>> {
-        Ok(self.names.get(name).map(|n| self.files.get(n).cloned().unwrap_or_default()))
+        Ok(self.names.get(name).map(|file| self.files.get(file).cloned().unwrap_or_default()))
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.step("write", name)?;
-        let n = self.number(name);
-        self.files.insert(n, bytes.to_vec());
-        self.open.push(Step::Write(n, bytes.to_vec()));
+        self.count_operation("write", name)?;
+        let file = self.existing_or_new(name);
+        self.files.insert(file, bytes.to_vec());
+        self.unsynced.push(Change::Write(file, bytes.to_vec()));
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.step("append to", name)?;
-        let n = self.number(name);
-        self.files.entry(n).or_default().extend_from_slice(bytes);
-        self.open.push(Step::Append(n, bytes.to_vec()));
+        self.count_operation("append to", name)?;
+        let file = self.existing_or_new(name);
+        self.files.entry(file).or_default().extend_from_slice(bytes);
+        self.unsynced.push(Change::Append(file, bytes.to_vec()));
         Ok(())
     }
 
-    fn cut(&mut self, name: &str, len: u64) -> Result<()> {
-        self.step("cut", name)?;
-        let n = *self.names.get(name).ok_or_else(|| Self::missing("cut", name))?;
-        let file = self.files.entry(n).or_default();
-        file.resize(len as usize, 0);
-        self.open.push(Step::Cut(n, len));
+    fn truncate(&mut self, name: &str, len: u64) -> Result<()> {
+        self.count_operation("cut", name)?;
+        let file = self.existing("cut", name)?;
+        self.files.entry(file).or_default().resize(len as usize, 0);
+        self.unsynced.push(Change::Truncate(file, len));
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        self.step("sync", name)?;
-        let n = *self.names.get(name).ok_or_else(|| Self::missing("sync", name))?;
-        let now = self.files.get(&n).cloned().unwrap_or_default();
-        self.kept_files.insert(n, now);
-        self.open.retain(
-            |step| !matches!(step, Step::Write(m, _) | Step::Append(m, _) | Step::Cut(m, _) if *m == n),
-        );
+        self.count_operation("sync", name)?;
+        let file = self.existing("sync", name)?;
+        let content = self.files.get(&file).cloned().unwrap_or_default();
+        self.durable_files.insert(file, content);
+        self.unsynced.retain(|change| change.file() != file);
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> Result<()> {
-        self.step("sync", "")?;
-        self.kept_names = self.names.clone();
+    fn sync_directory(&mut self) -> Result<()> {
+        self.count_operation("sync", "")?;
+        self.durable_names = self.names.clone();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.step("rename", from)?;
-        let n = self.names.remove(from).ok_or_else(|| Self::missing("rename", from))?;
-        self.names.insert(to.into(), n);
+        self.count_operation("rename", from)?;
+        let file = self.existing("rename", from)?;
+        self.names.remove(from);
+        self.names.insert(to.into(), file);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> Result<()> {
-        self.step("remove", name)?;
+        self.count_operation("remove", name)?;
         self.names.remove(name);
         Ok(())
     }
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,162 +1,271 @@
-//! Snapshots in two generations: a new one takes the place of the older, so that the newer is there whatever happens.
+//! Snapshots in two generations: a new one replaces the older, so that the newer survives a failure at any step.
+//!
+//! File format, integers little-endian: magic, format version (u16), kind (u32), content version (u16), generation (u64),
+//! length (u64), the content, CRC-32 of all before it.
 
-use crate::{array, Disk, Fault, Result};
+use crate::little_endian::{u16_at, u32_at, u64_at};
+use crate::{Result, Storage, StorageError};
 use std::io::{Error, ErrorKind};
+use thiserror::Error as ThisError;
 
 const MAGIC: &[u8; 4] = b"LRsn";
-const VERSION: u16 = 1;
-/// Magic, format's version, kind, the kind's own version, generation, length.
-const HEAD: usize = 4 + 2 + 4 + 2 + 8 + 8;
+const FORMAT_VERSION: u16 = 1;
+const FORMAT_VERSION_OFFSET: usize = 4;
+const KIND_OFFSET: usize = 6;
+const CONTENT_VERSION_OFFSET: usize = 10;
+const GENERATION_OFFSET: usize = 12;
+const LENGTH_OFFSET: usize = 20;
+const HEADER_BYTES: usize = 28;
+const CHECKSUM_BYTES: usize = 4;
+const MIN_FILE_BYTES: usize = HEADER_BYTES + CHECKSUM_BYTES;
 
-/// Snapshots of one kind, under one name.
+/// The snapshots of one store, under one name.
 #[derive(Debug)]
-pub struct Snapshots {
+pub struct SnapshotStore {
     name: String,
     kind: u32,
     version: u16,
-    /// The generation of the last one that is known.
-    last: u64,
+    /// The newest generation that was saved or loaded.
+    newest_generation: u64,
 }
 
-/// A snapshot that was found whole.
+/// An undamaged snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
-    /// Counts up from 1 with each that is stored.
+pub struct Snapshot {
+    /// Counts up from 1 with each snapshot saved.
     pub generation: u64,
-    /// What was stored.
+    /// The content.
     pub bytes: Vec<u8>,
 }
 
-/// One that was refused, whole.
+/// A snapshot file that was not loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct RejectedSnapshot {
     /// The file.
     pub file: String,
-    /// What was found, and what was expected.
-    pub what: String,
+    /// Why it was rejected.
+    pub cause: SnapshotRejection,
 }
 
-/// So many bytes of what is known to be long enough.
-fn word<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
-    array(bytes, at).unwrap_or([0; N])
+/// Why a snapshot file was rejected: what was found, and what was expected.
+#[derive(Clone, Debug, PartialEq, Eq, ThisError)]
+pub enum SnapshotRejection {
+    /// The file is shorter than any snapshot.
+    #[error("{found} bytes, expected {MIN_FILE_BYTES} at least: it is torn")]
+    TooShort {
+        /// Length of the file, in bytes.
+        found: usize,
+    },
+    /// The file is no snapshot.
+    #[error("it does not begin as a snapshot does")]
+    NotASnapshot,
+    /// The file has another format.
+    #[error("a snapshot of format {found}, expected {FORMAT_VERSION}")]
+    Format {
+        /// The format version in the header.
+        found: u16,
+    },
+    /// The file is not as long as its header says.
+    #[error("{found} bytes, expected {expected}: it is torn")]
+    Torn {
+        /// Length of the file, in bytes.
+        found: usize,
+        /// The length by the header.
+        expected: u64,
+    },
+    /// The content does not match its checksum.
+    #[error("its checksum is {found:08x}, expected {expected:08x}: bytes of it are changed")]
+    Checksum {
+        /// Computed from the file.
+        found: u32,
+        /// Stored in the file.
+        expected: u32,
+    },
+    /// The snapshot belongs to another store.
+    #[error("a snapshot of kind {found}, expected {expected}: it is another store's")]
+    Kind {
+        /// The kind in the header.
+        found: u32,
+        /// The kind of this store.
+        expected: u32,
+    },
+    /// The content was written by another version of the program.
+    #[error(
+        "it is of version {found}, expected {expected}: {} program's",
+        if .found > .expected { "a later" } else { "an earlier" }
+    )]
+    Version {
+        /// The content version in the header.
+        found: u16,
+        /// The content version of this store.
+        expected: u16,
+    },
+    /// The generation does not belong under this name: an old copy was put back.
+    #[error("generation {generation} under this name: it is misplaced")]
+    Misplaced {
+        /// The generation in the header.
+        generation: u64,
+    },
 }
 
-impl Snapshots {
-    /// Those under a name. `kind` tells them from other stores', `version` from those of other versions of the program.
-    pub fn new(name: &str, kind: u32, version: u16) -> Snapshots {
-        Snapshots { name: name.into(), kind, version, last: 0 }
+/// What was found when snapshots were loaded.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct LoadedSnapshots {
+    /// The newest undamaged snapshot.
+    pub newest: Option<Snapshot>,
+    /// Files that were not loaded.
+    pub rejected: Vec<RejectedSnapshot>,
+}
+
+#[derive(Debug, ThisError)]
+enum VerificationError {
+    #[error("what was written is not what is there")]
+    ContentDiffers,
+    #[error("the rename said yes and did nothing")]
+    RenameLost,
+}
+
+impl SnapshotStore {
+    /// The snapshots under a name. `kind` tells them from those of other stores, `version` from those of other versions of
+    /// the program.
+    pub fn new(name: &str, kind: u32, version: u16) -> SnapshotStore {
+        SnapshotStore { name: name.into(), kind, version, newest_generation: 0 }
     }
 
+    /// The file of a generation: even and odd generations have one each.
     fn file(&self, generation: u64) -> String {
         format!("{}.{}", self.name, generation % 2)
     }
 
-    fn whole(&self, generation: u64, bytes: &[u8]) -> Vec<u8> {
-        let mut all = Vec::with_capacity(HEAD + bytes.len() + 4);
-        all.extend(MAGIC);
-        all.extend(VERSION.to_le_bytes());
-        all.extend(self.kind.to_le_bytes());
-        all.extend(self.version.to_le_bytes());
-        all.extend(generation.to_le_bytes());
-        all.extend((bytes.len() as u64).to_le_bytes());
-        all.extend(bytes);
-        all.extend(crc32fast::hash(&all).to_le_bytes());
-        all
+    fn encode(&self, generation: u64, content: &[u8]) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(MIN_FILE_BYTES + content.len());
+        bytes.extend(MAGIC);
+        bytes.extend(FORMAT_VERSION.to_le_bytes());
+        bytes.extend(self.kind.to_le_bytes());
+        bytes.extend(self.version.to_le_bytes());
+        bytes.extend(generation.to_le_bytes());
+        bytes.extend((content.len() as u64).to_le_bytes());
+        bytes.extend(content);
+        bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
+        bytes
     }
 
-    /// What a file holds, or why it is refused.
-    fn check(&self, all: &[u8]) -> std::result::Result<Whole, String> {
-        if all.len() < HEAD + 4 {
-            return Err(format!("{} bytes, expected {} at least: it is torn", all.len(), HEAD + 4));
-        }
-        if !all.starts_with(MAGIC) {
-            return Err("it does not begin as a snapshot does".into());
-        }
-        let version = u16::from_le_bytes(word(all, 4));
-        if version != VERSION {
-            return Err(format!("a snapshot of format {version}, expected {VERSION}"));
-        }
-        let len = u64::from_le_bytes(word(all, 20));
-        let expected = len.saturating_add(HEAD as u64 + 4);
-        if all.len() as u64 != expected {
-            return Err(format!("{} bytes, expected {expected}: it is torn", all.len()));
-        }
-        let said = u32::from_le_bytes(word(all, all.len() - 4));
-        let found = crc32fast::hash(&all[..all.len() - 4]);
-        if said != found {
-            return Err(format!("its checksum is {found:08x}, expected {said:08x}: bytes of it are changed"));
-        }
-        let kind = u32::from_le_bytes(word(all, 6));
+    fn decode(&self, bytes: &[u8]) -> std::result::Result<Snapshot, SnapshotRejection> {
+        check_integrity(bytes)?;
+        let kind = u32_at(bytes, KIND_OFFSET).unwrap_or_default();
         if kind != self.kind {
-            return Err(format!("a snapshot of kind {kind}, expected {}: it is another store's", self.kind));
+            return Err(SnapshotRejection::Kind { found: kind, expected: self.kind });
         }
-        let version = u16::from_le_bytes(word(all, 10));
+        let version = u16_at(bytes, CONTENT_VERSION_OFFSET).unwrap_or_default();
         if version != self.version {
-            let which = if version > self.version { "a later" } else { "an earlier" };
-            return Err(format!("it is of version {version}, expected {}: {which} program's", self.version));
+            return Err(SnapshotRejection::Version { found: version, expected: self.version });
+        }
+        let generation = u64_at(bytes, GENERATION_OFFSET).unwrap_or_default();
+        let content = bytes[HEADER_BYTES..bytes.len() - CHECKSUM_BYTES].to_vec();
+        Ok(Snapshot { generation, bytes: content })
+    }
+
+    /// Decodes the file of the even (0) or odd (1) generations.
+    fn decode_file(&self, bytes: &[u8], parity: u64) -> std::result::Result<Snapshot, SnapshotRejection> {
+        let snapshot = self.decode(bytes)?;
+        if snapshot.generation % 2 == parity {
+            Ok(snapshot)
+        } else {
+            Err(SnapshotRejection::Misplaced { generation: snapshot.generation })
         }
-        let generation = u64::from_le_bytes(word(all, 12));
-        Ok(Whole { generation, bytes: all[HEAD..all.len() - 4].to_vec() })
     }
 
-    /// The newest that is whole, and all that are refused. Whether a disk gave back an old one as the newest, it alone cannot
-    /// tell: hold the generation against what others know.
+    /// Loads the newest undamaged snapshot. A disk that returns an old file as the newest is not detected here: compare the
+    /// generation with what other processes know.
     ///
     /// # Errors
-    /// A file cannot be read, and no other is whole.
-    pub fn load(&mut self, disk: &mut dyn Disk) -> Result<(Option<Whole>, Vec<Refused>)> {
-        let (mut newest, mut refused, mut failed) = (None::<Whole>, Vec::new(), None);
+    /// A file cannot be read, and there is no undamaged snapshot in the other.
+    pub fn load(&mut self, storage: &mut dyn Storage) -> Result<LoadedSnapshots> {
+        let mut loaded = LoadedSnapshots::default();
+        let mut read_error = None;
         for parity in 0..2 {
             let file = self.file(parity);
-            match disk.read(&file) {
-                Ok(None) => {}
-                Ok(Some(all)) => match self.check(&all) {
-                    Ok(whole) if whole.generation % 2 != parity => {
-                        let what =
-                            format!("generation {} under this name: it is misplaced", whole.generation);
-                        refused.push(Refused { file, what });
-                    }
-                    Ok(whole) => {
-                        if newest.as_ref().is_none_or(|n| whole.generation > n.generation) {
-                            newest = Some(whole);
-                        }
+            let bytes = match storage.read(&file) {
+                Ok(Some(bytes)) => bytes,
+                Ok(None) => continue,
+                Err(error) => {
+                    read_error = Some(error);
+                    continue;
+                }
+            };
+            match self.decode_file(&bytes, parity) {
+                Ok(snapshot) => {
+                    if loaded.newest.as_ref().is_none_or(|newest| snapshot.generation > newest.generation) {
+                        loaded.newest = Some(snapshot);
                     }
-                    Err(what) => refused.push(Refused { file, what }),
-                },
-                Err(fault) => failed = Some(fault),
+                }
+                Err(cause) => loaded.rejected.push(RejectedSnapshot { file, cause }),
             }
         }
-        self.last = self.last.max(newest.as_ref().map_or(0, |whole| whole.generation));
-        match (newest, failed) {
-            (None, Some(fault)) => Err(fault),
-            (newest, _) => Ok((newest, refused)),
+        let generation = loaded.newest.as_ref().map_or(0, |snapshot| snapshot.generation);
+        self.newest_generation = self.newest_generation.max(generation);
+        match read_error {
+            Some(error) if loaded.newest.is_none() => Err(error),
+            _ => Ok(loaded),
         }
     }
 
-    /// Stores one in place of the older of two; gives its generation. It is read back before it takes the place, so that a
-    /// write that said yes and tore leaves both as they were.
+    /// Saves a snapshot in place of the older of two and returns its generation. It is read back before it replaces
+    /// anything, so that a torn write that was reported as successful leaves both as they were.
     ///
     /// # Errors
-    /// It cannot be written, made to last or read back. The newer of the two is there as before.
-    pub fn store(&mut self, disk: &mut dyn Disk, bytes: &[u8]) -> Result<u64> {
-        let generation = self.last + 1;
-        let (all, new) = (self.whole(generation, bytes), format!("{}.new", self.name));
-        disk.write(&new, &all)?;
-        disk.sync(&new)?;
-        if disk.read(&new)?.as_deref() != Some(&all[..]) {
-            let what = "what was written is not what is there";
-            return Err(Fault::of("store", &new, Error::new(ErrorKind::InvalidData, what)));
-        }
+    /// The snapshot cannot be written, made durable or read back. The newer of the two is there as before.
+    pub fn save(&mut self, storage: &mut dyn Storage, content: &[u8]) -> Result<u64> {
+        let generation = self.newest_generation + 1;
+        let bytes = self.encode(generation, content);
+        let temporary = format!("{}.new", self.name);
+        storage.write(&temporary, &bytes)?;
+        storage.sync(&temporary)?;
+        verify(storage, &temporary, &bytes, VerificationError::ContentDiffers)?;
         let file = self.file(generation);
-        disk.rename(&new, &file)?;
-        disk.sync_folder()?;
-        // A rename that said yes and did nothing would leave two old ones, and the next store would replace the newer.
-        let there = disk.read(&file)?.is_some_and(|there| there == all);
-        if !there {
-            let what = "the rename said yes and did nothing";
-            return Err(Fault::of("store", &file, Error::new(ErrorKind::InvalidData, what)));
-        }
-        self.last = generation;
+        storage.rename(&temporary, &file)?;
+        storage.sync_directory()?;
+        // A lost rename would leave two old generations, and the next save would replace the newer of them.
+        verify(storage, &file, &bytes, VerificationError::RenameLost)?;
+        self.newest_generation = generation;
         Ok(generation)
     }
 }
+
+/// Checks length, format and checksum.
+fn check_integrity(bytes: &[u8]) -> std::result::Result<(), SnapshotRejection> {
+    if bytes.len() < MIN_FILE_BYTES {
+        return Err(SnapshotRejection::TooShort { found: bytes.len() });
+    }
+    if !bytes.starts_with(MAGIC) {
+        return Err(SnapshotRejection::NotASnapshot);
+    }
+    let format = u16_at(bytes, FORMAT_VERSION_OFFSET).unwrap_or_default();
+    if format != FORMAT_VERSION {
+        return Err(SnapshotRejection::Format { found: format });
+    }
+    let content_len = u64_at(bytes, LENGTH_OFFSET).unwrap_or_default();
+    let expected_len = content_len.saturating_add(MIN_FILE_BYTES as u64);
+    if bytes.len() as u64 != expected_len {
+        return Err(SnapshotRejection::Torn { found: bytes.len(), expected: expected_len });
+    }
+    let checked = bytes.len() - CHECKSUM_BYTES;
+    let expected = u32_at(bytes, checked).unwrap_or_default();
+    let found = crc32fast::hash(&bytes[..checked]);
+    if found != expected {
+        return Err(SnapshotRejection::Checksum { found, expected });
+    }
+    Ok(())
+}
+
+fn verify(
+    storage: &mut dyn Storage,
+    file: &str,
+    expected: &[u8],
+    otherwise: VerificationError,
+) -> Result<()> {
+    if storage.read(file)?.as_deref() == Some(expected) {
+        return Ok(());
+    }
+    Err(StorageError::new("store", file, Error::new(ErrorKind::InvalidData, otherwise)))
+}
