--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,23 +1,30 @@
 //! The command line.
 
 use crate::cluster;
-use crate::config::read_setup;
-use crate::discovery::file;
+use crate::config::{read_setup, ConfigError};
+use crate::discovery::inventory_command::{self, InventoryFileError};
 use crate::discovery::upstream::Upstream;
 use crate::log;
-use crate::operator::{self, Operator};
+use crate::operator::{self, Operator, OperatorError};
 use crate::relay::{self, RelaySetup};
-use crate::serve::run;
+use crate::serve::{self, ServeError};
+use crate::startup::StartupError;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use liftrouter_catalog::Subscription;
 use liftrouter_discovery::Delivery;
 use liftrouter_inventory::Form;
+use std::error::Error as StdError;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
+
+/// Exit code of a command that could not do its work.
+const COMMAND_FAILED: u8 = 2;
 
 /// A quota-keeping rate limiter on real sockets. Without a command it runs by the deployment's variables
 /// (ROUTER_CONFIG and others).
+#[allow(clippy::doc_markdown, reason = "clap prints this text as help")]
 #[derive(Parser)]
 #[command(name = "liftrouter", version)]
 struct Cli {
@@ -69,7 +76,7 @@
 impl RelayArgs {
     fn setup(self) -> RelaySetup {
         let upstream = match self.discovery {
-            // Sparing calls suit an agent too, and what it tells expires.
+            // Few calls suit an agent too, and its lists expire.
             Some(address) => Upstream::discovery(address, Delivery::OnRequest),
             None => Upstream::relays(self.relay, Subscription::All, self.seed),
         };
@@ -113,37 +120,76 @@
     Yaml,
 }
 
-/// Reads the command line and does what it says.
+impl From<To> for Form {
+    fn from(to: To) -> Self {
+        match to {
+            To::Csv => Form::Csv,
+            To::Yaml => Form::Yaml,
+        }
+    }
+}
+
+/// Why the limiter or a command came to no good end.
+#[derive(Debug, Error)]
+enum CliError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Operator(#[from] OperatorError),
+    #[error(transparent)]
+    Serve(#[from] ServeError),
+    #[error(transparent)]
+    Startup(#[from] StartupError),
+    #[error(transparent)]
+    Inventory(#[from] InventoryFileError),
+    #[error("{0}")]
+    ClusterStatus(Box<dyn StdError + Send + Sync>),
+}
+
+/// Reads the command line and runs what it names.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     log::start(cli.log);
-    if let Some(command) = cli.command {
-        let done = match command {
-            Command::Inventory(InventoryCommand::Check { file, json }) => file::check(&file, json),
-            Command::Inventory(InventoryCommand::Convert { file, to: To::Csv }) => {
-                file::convert(&file, Form::Csv)
+    let Some(command) = cli.command else {
+        return match run_limiter(cli.operator.as_deref()) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                log("liftrouter", error);
+                ExitCode::FAILURE
             }
-            Command::Inventory(InventoryCommand::Convert { file, to: To::Yaml }) => {
-                file::convert(&file, Form::Yaml)
-            }
-            Command::Inventory(InventoryCommand::Diff { old, new, json }) => file::compare(&old, &new, json),
-            Command::Relay(args) => relay::run(args.setup()).map(|()| 0),
-            Command::Members { at, json } => cluster::show(&at, json).map(|text| {
-                print!("{text}");
-                0
-            }),
         };
-        return ExitCode::from(done.unwrap_or_else(|fault| {
-            log("liftrouter", fault);
-            2
-        }));
-    }
-    let operator = cli.operator.map_or(Ok(Operator::default()), |path| operator::read(&path));
-    match operator.and_then(|operator| run(read_setup()?, operator)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            log("liftrouter", &fault);
-            ExitCode::FAILURE
+    };
+    ExitCode::from(run_command(command).unwrap_or_else(|error| {
+        log("liftrouter", error);
+        COMMAND_FAILED
+    }))
+}
+
+fn run_limiter(operator: Option<&Path>) -> Result<(), CliError> {
+    let operator = operator.map_or(Ok(Operator::default()), operator::read)?;
+    Ok(serve::run(read_setup()?, operator)?)
+}
+
+/// Runs a command; gives its exit code.
+fn run_command(command: Command) -> Result<u8, CliError> {
+    match command {
+        Command::Inventory(command) => Ok(run_inventory_command(command)?),
+        Command::Relay(args) => {
+            relay::run(args.setup())?;
+            Ok(0)
         }
+        Command::Members { at, json } => {
+            let status = cluster::show(&at, json).map_err(|error| CliError::ClusterStatus(error.into()))?;
+            print!("{status}");
+            Ok(0)
+        }
+    }
+}
+
+fn run_inventory_command(command: InventoryCommand) -> Result<u8, InventoryFileError> {
+    match command {
+        InventoryCommand::Check { file, json } => inventory_command::check(&file, json),
+        InventoryCommand::Convert { file, to } => inventory_command::convert(&file, to.into()),
+        InventoryCommand::Diff { old, new, json } => inventory_command::compare(&old, &new, json),
     }
 }
--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -1,6 +1,6 @@
-//! The list of servers from discovery or from relays, as the other parts see it.
+//! The client of discovery or of relays, as the other parts of the limiter hold it.
 
-use super::host_list::{HeldList, PushedList};
+use super::host_list::{CachedList, PushedList};
 use super::session::Session;
 use super::upstream::Upstream;
 use crate::events::EventQueue;
@@ -12,33 +12,34 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// One root of lists, and who is told of its signs of life.
+/// One source of lists.
 struct Source {
     upstream: Rc<Upstream>,
-    heard: Rc<Notify>,
+    /// Notified of each heartbeat once there is a list.
+    heartbeat: Rc<Notify>,
 }
 
 impl Source {
     fn new(upstream: Upstream) -> Self {
-        Source { upstream: Rc::new(upstream), heard: Rc::default() }
+        Source { upstream: Rc::new(upstream), heartbeat: Rc::default() }
     }
 }
 
-/// A handle of the list.
-pub struct Discovery {
+/// Follows the endpoint list of discovery, or of the relays of one region or several.
+pub struct DiscoveryClient {
     /// One, or the relays of each region.
     sources: Vec<Source>,
 }
 
-impl Discovery {
-    /// The whole list from one address.
+impl DiscoveryClient {
+    /// The complete list from one address.
     pub fn new(address: SocketAddr, delivery: Delivery) -> Self {
-        Discovery { sources: vec![Source::new(Upstream::discovery(address, delivery))] }
+        DiscoveryClient { sources: vec![Source::new(Upstream::discovery(address, delivery))] }
     }
 
     /// The servers of some services from relays.
-    pub fn by_relays(addresses: Vec<SocketAddr>, subscription: Subscription, seed: u64) -> Self {
-        Discovery::by_regions([(String::new(), addresses)], &subscription, seed)
+    pub fn by_relays(addresses: Vec<SocketAddr>, subscription: &Subscription, seed: u64) -> Self {
+        DiscoveryClient::by_regions([(String::new(), addresses)], subscription, seed)
     }
 
     /// The same from the relays of several regions, each of which has a list of its own and a name for the log.
@@ -50,7 +51,7 @@
         let upstream = |(name, addresses)| {
             Source::new(Upstream::relays(addresses, subscription.clone(), seed).of_region(name))
         };
-        Discovery { sources: regions.into_iter().map(upstream).collect() }
+        DiscoveryClient { sources: regions.into_iter().map(upstream).collect() }
     }
 
     /// Where the lists come from.
@@ -63,44 +64,44 @@
         &self.sources[region].upstream
     }
 
-    /// Whether any list has been heard.
+    /// Whether any list has come.
     pub fn has_list(&self) -> bool {
         self.upstreams().any(|upstream| upstream.revision().is_some())
     }
 
-    /// Whether a list that was known before may be used while none has been heard.
+    /// Whether a list that was known before may be used while none has come.
     pub fn trusts_known_list(&self) -> bool {
         self.upstreams().all(|upstream| upstream.delivery() != Delivery::OnRequest)
     }
 
     /// Follows the list at another address from now on. The watch on the old one is dropped at once: what it
-    /// would still tell, the new one tells too, since it is asked for all after the last revision.
+    /// would still announce, the new one announces too, since the new watch continues after the last revision.
     pub fn move_to(&self, address: SocketAddr) {
         self.upstreams().for_each(|upstream| upstream.move_to(address));
     }
 
-    /// Waits for the first sign of life of each region.
-    pub async fn heard(&self) {
+    /// Waits for the first heartbeat of each region.
+    pub async fn first_heartbeats(&self) {
         for source in &self.sources {
-            source.heard.notified().await;
+            source.heartbeat.notified().await;
         }
     }
 
-    /// Follows the list for as long as the program runs. It begins with a whole list, whatever was known before:
-    /// with nothing changed since that, a watch would say nothing for seconds.
+    /// Follows the list for as long as the program runs. It begins with a complete list, whatever was known before:
+    /// with nothing changed since that, a watch would be silent for seconds.
     pub async fn watch(self: Rc<Self>, events: Rc<EventQueue>, seed: u64) {
         let lists = Rc::new(RefCell::new(RegionLists::new(self.sources.len())));
         let mut sessions = JoinSet::new();
-        for (region, Source { upstream, heard }) in self.sources.iter().enumerate() {
-            let (upstream, heard) = (upstream.clone(), heard.clone());
+        for (region, Source { upstream, heartbeat }) in self.sources.iter().enumerate() {
+            let (upstream, heartbeat) = (upstream.clone(), heartbeat.clone());
             match upstream.delivery() {
                 Delivery::Pushed => {
                     let list = PushedList::new(events.clone());
-                    sessions.spawn_local(Session::new(upstream, list, heard, seed).run());
+                    sessions.spawn_local(Session::new(upstream, list, heartbeat, seed).run());
                 }
                 Delivery::OnRequest | Delivery::Relayed => {
-                    let list = HeldList::new(events.clone(), upstream.clone(), lists.clone(), region);
-                    sessions.spawn_local(Session::new(upstream, list, heard, seed).run());
+                    let list = CachedList::new(events.clone(), upstream.clone(), lists.clone(), region);
+                    sessions.spawn_local(Session::new(upstream, list, heartbeat, seed).run());
                 }
             }
         }
--- a/crates/daemon/src/discovery/endpoint.rs
+++ b/crates/daemon/src/discovery/endpoint.rs
@@ -5,14 +5,16 @@
 use liftrouter_catalog::{Instance, Lifecycle, Update};
 use liftrouter_decision::{EndpointEntry, EndpointState};
 
-/// A server of the list.
-pub fn listed(instance: &Instance) -> ListedEndpoint {
+const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
+
+/// A server of the list as an endpoint.
+pub fn listed_endpoint(instance: &Instance) -> ListedEndpoint {
     ListedEndpoint { entry: entry(instance), address: instance.host_port }
 }
 
 /// The same in another state.
-pub fn listed_as(instance: &Instance, state: EndpointState) -> ListedEndpoint {
-    let mut listed = listed(instance);
+pub fn listed_endpoint_in(state: EndpointState, instance: &Instance) -> ListedEndpoint {
+    let mut listed = listed_endpoint(instance);
     listed.entry.state = state;
     listed
 }
@@ -29,11 +31,11 @@
             Lifecycle::Terminated => EndpointState::Removed,
         },
         weight: instance.weight.unwrap_or(1.0),
-        started: instance.started_at_ms.filter(|at| *at > 0.0).map(|at| at / 1000.0),
+        started: instance.started_at_ms.filter(|at| *at > 0.0).map(|at| at / MILLISECONDS_PER_SECOND),
     }
 }
 
-/// Tells of the entries of a message that could not be read.
+/// Logs the entries of an update that could not be read.
 pub fn log_unreadable(update: &Update) {
     for reason in &update.unreadable {
         log("discovery", format_args!("an entry cannot be read: {reason}"));
--- a/crates/daemon/src/discovery/host_list.rs
+++ b/crates/daemon/src/discovery/host_list.rs
@@ -1,7 +1,7 @@
-//! The list of servers as the host is told it.
+//! The endpoint list as the host is notified of it.
 
-use super::sink::{ListSink, SignOfLife};
-use super::update::{listed, listed_as, log_unreadable};
+use super::endpoint::{listed_endpoint, listed_endpoint_in, log_unreadable};
+use super::sink::{Heartbeat, ListSink};
 use super::upstream::Upstream;
 use crate::events::{EventQueue, HostEvent, ListedEndpoint};
 use liftrouter_catalog::{ApplyError, Change, RegionIndex, RegionLists, Update};
@@ -11,13 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where lists are pushed: every message goes on as it comes, and nothing is kept.
+/// Where lists are pushed: every update is forwarded as it comes, and nothing is cached.
 pub struct PushedList {
     events: Rc<EventQueue>,
     revision: Option<u64>,
 }
 
 impl PushedList {
+    /// A list that forwards to this queue.
     pub fn new(events: Rc<EventQueue>) -> Self {
         PushedList { events, revision: None }
     }
@@ -31,7 +32,7 @@
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
         log_unreadable(&update);
         self.revision = Some(update.generation);
-        push(&self.events, update.reset, update.instances.iter().map(listed).collect());
+        push(&self.events, update.reset, update.instances.iter().map(listed_endpoint).collect());
         Ok(())
     }
 
@@ -39,7 +40,7 @@
         self.revision = None;
     }
 
-    fn heartbeat(&mut self, _: SignOfLife) {}
+    fn heartbeat(&mut self, _: Heartbeat) {}
 
     fn disconnected(&mut self) {
         self.events.push(HostEvent::WatchFailed);
@@ -50,53 +51,54 @@
     fn confirmed(&mut self) {}
 }
 
-/// Where lists come from a shared service or from relays: the list is kept, so that it can expire and be compared
-/// with digests. The lists of several regions are one to the host.
-pub struct HeldList {
+/// Where lists come from a shared service or from relays: the list is cached, so that it can expire and be compared
+/// with digests. The host sees one list, merged from those of all regions.
+pub struct CachedList {
     events: Rc<EventQueue>,
     upstream: Rc<Upstream>,
     /// The lists of all regions, and which of them this one is.
     lists: Rc<RefCell<RegionLists>>,
     region: RegionIndex,
-    expired: bool,
+    is_expired: bool,
 }
 
-impl HeldList {
+impl CachedList {
+    /// The list of one region, whose source is this upstream.
     pub fn new(
         events: Rc<EventQueue>,
         upstream: Rc<Upstream>,
         lists: Rc<RefCell<RegionLists>>,
         region: RegionIndex,
     ) -> Self {
-        HeldList { events, upstream, lists, region, expired: false }
+        CachedList { events, upstream, lists, region, is_expired: false }
     }
 
-    fn push_whole(&self) {
-        push(&self.events, true, self.lists.borrow().instances().map(listed).collect());
+    fn push_complete(&self) {
+        push(&self.events, true, self.lists.borrow().instances().map(listed_endpoint).collect());
     }
 
-    /// Nothing new may be sent by a list that expired, unless it comes by relays: see [`ListSink::expired`].
+    /// An expired list may not be used for new requests, unless it comes from relays: see [`ListSink::expired`].
     fn stops_when_expired(&self) -> bool {
         self.upstream.delivery() == Delivery::OnRequest
     }
 }
 
-impl ListSink for HeldList {
+impl ListSink for CachedList {
     fn revision(&self) -> Option<u64> {
         self.lists.borrow().generation(self.region)
     }
 
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
         log_unreadable(&update);
-        let whole = update.reset;
-        let changes = self.lists.borrow_mut().apply(self.region, update)?;
-        if self.expired && self.stops_when_expired() {
+        let is_complete = update.reset;
+        let changes = self.lists.borrow_mut().apply(self.region, &update)?;
+        if self.is_expired && self.stops_when_expired() {
             return Ok(());
         }
-        if whole {
-            self.push_whole();
+        if is_complete {
+            self.push_complete();
         } else if !changes.is_empty() {
-            push(&self.events, false, changes.iter().map(changed).collect());
+            push(&self.events, false, changes.iter().map(changed_endpoint).collect());
         }
         Ok(())
     }
@@ -105,44 +107,45 @@
         self.lists.borrow_mut().forget_generation(self.region);
     }
 
-    fn heartbeat(&mut self, _: SignOfLife) {}
+    fn heartbeat(&mut self, _: Heartbeat) {}
 
     fn disconnected(&mut self) {
         self.events.push(HostEvent::WatchFailed);
     }
 
-    /// What comes on request from discovery itself counts as told after a time, whether or not it came: all servers
-    /// count as draining. A fleet behind relays that are cut off goes on by the last list, and says so.
+    /// A change counts as known to the limiter some time after discovery had it, whether or not it arrived: with a list
+    /// on request from discovery itself, all servers count as draining. A fleet behind relays that are cut off goes on
+    /// with the last list, and logs that.
     fn expired(&mut self, age: Duration) {
         let age = age.as_secs_f64();
-        self.expired = true;
+        self.is_expired = true;
         if !self.stops_when_expired() {
             self.upstream.log(format_args!("stale: going on by a list last confirmed {age:.1} s ago"));
             return;
         }
         self.upstream.log(format_args!("the list of servers is out of date, last confirmed {age:.1} s ago"));
-        let draining = |instance| listed_as(instance, EndpointState::Draining);
+        let draining = |instance| listed_endpoint_in(EndpointState::Draining, instance);
         self.events.push(HostEvent::EndpointListExpired);
         push(&self.events, false, self.lists.borrow().instances_of(self.region).map(draining).collect());
     }
 
     fn confirmed(&mut self) {
         self.upstream.log("the list of servers is confirmed again");
-        self.expired = false;
+        self.is_expired = false;
         if self.stops_when_expired() {
             self.events.push(HostEvent::EndpointListConfirmed);
-            self.push_whole();
+            self.push_complete();
         }
     }
 }
 
-fn changed(change: &Change) -> ListedEndpoint {
+fn changed_endpoint(change: &Change) -> ListedEndpoint {
     match change {
-        Change::Listed(instance) => listed(instance),
-        Change::Removed(instance) => listed_as(instance, EndpointState::Removed),
+        Change::Listed(instance) => listed_endpoint(instance),
+        Change::Removed(instance) => listed_endpoint_in(EndpointState::Removed, instance),
     }
 }
 
-fn push(events: &EventQueue, whole: bool, servers: Vec<ListedEndpoint>) {
-    events.push(HostEvent::EndpointUpdate { whole, endpoints: servers, version: None });
+fn push(events: &EventQueue, whole: bool, endpoints: Vec<ListedEndpoint>) {
+    events.push(HostEvent::EndpointUpdate { whole, endpoints, version: None });
 }
--- a/crates/daemon/src/discovery/inventory_file.rs
+++ b/crates/daemon/src/discovery/inventory_file.rs
@@ -1,14 +1,14 @@
-//! The inventory file: watched, read whole, and handed on as one list.
+//! The inventory file: polled, read as a whole, and handed to the host as one list.
 //!
-//! What is adopted is decided in `liftrouter_inventory`; here files are looked at. A look costs a call of the
-//! system, every `poll`; where the system tells of changes, it comes sooner. Reading and parsing run on a thread
-//! beside the runtime's, so that no request waits for a large file.
+//! What is adopted is decided in `liftrouter_inventory`; here is the file system. A poll costs one system call; where
+//! the system notifies of changes, it comes sooner. Reading and parsing run on a thread beside the runtime's, so that
+//! no request waits for a large file.
 
 use crate::events::{EventQueue, HostEvent, ListedEndpoint};
 use crate::log;
 use liftrouter_decision::{EndpointEntry, EndpointState};
 use liftrouter_inventory::{
-    diff, read, Decision, Fault, Form, Inventory, Node, Policy, Refusal, State, Watch, MOST_BYTES,
+    read, Decision, Fault, Form, Inventory, Node, Policy, Refusal, State, Watch, MOST_BYTES,
 };
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use std::fs::{File, Metadata};
@@ -23,34 +23,54 @@
 use tokio::time::{timeout, Instant};
 
 /// Faults of a version that are logged; `liftrouter inventory check` names them all.
-const LOGGED: usize = 10;
-
-/// Steps of a file's time are smaller than this on any file system in use.
-const STEP: Duration = Duration::from_millis(100);
-
-/// The file, and how it is taken.
-pub struct Source {
+const MAX_LOGGED_FAULTS: usize = 10;
+/// The resolution of a file's time is finer than this on any file system in use.
+const FILE_TIME_RESOLUTION: Duration = Duration::from_millis(100);
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+
+/// The inventory file, and how it is followed.
+pub struct InventorySource {
+    /// The file.
     pub path: PathBuf,
+    /// The form of the file.
     pub form: Form,
+    /// Which versions are adopted.
     pub policy: Policy,
-    /// How often it is looked at.
-    pub poll: Duration,
+    /// How often the file is polled.
+    pub poll_interval: Duration,
 }
 
-/// What tells one state of a file from another without reading it.
-type Sign = (u64, u64, u64, i64, i64);
-
-fn sign(m: &Metadata) -> Sign {
-    (m.dev(), m.ino(), m.size(), m.mtime(), m.mtime_nsec())
+/// What distinguishes two states of a file without reading it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileStamp {
+    device: u64,
+    inode: u64,
+    size: u64,
+    modified_seconds: i64,
+    modified_nanoseconds: i64,
 }
 
-/// Whether a file of this sign was written so long ago that what is written to it now must change the sign: its
-/// time goes in steps.
-fn settled((_, _, _, seconds, nanoseconds): &Sign) -> bool {
-    let written =
-        Duration::new(u64::try_from(*seconds).unwrap_or(0), u32::try_from(*nanoseconds).unwrap_or(0));
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    now.saturating_sub(written) > STEP
+impl FileStamp {
+    fn new(metadata: &Metadata) -> Self {
+        FileStamp {
+            device: metadata.dev(),
+            inode: metadata.ino(),
+            size: metadata.size(),
+            modified_seconds: metadata.mtime(),
+            modified_nanoseconds: metadata.mtime_nsec(),
+        }
+    }
+
+    /// Whether the file was written so long ago that another write must change its time, whose resolution is
+    /// limited.
+    fn is_settled(&self) -> bool {
+        let written = Duration::new(
+            u64::try_from(self.modified_seconds).unwrap_or(0),
+            u32::try_from(self.modified_nanoseconds).unwrap_or(0),
+        );
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        now.saturating_sub(written) > FILE_TIME_RESOLUTION
+    }
 }
 
 /// What was read, and what came of parsing it.
@@ -59,111 +79,144 @@
     parsed: Result<Inventory, Vec<Fault>>,
 }
 
+/// The content of a file, and the stamp that it had then.
+type Loaded = (Arc<Content>, FileStamp);
+
 /// Reads and parses a file. None if it changed meanwhile, or another took its place.
-fn load(path: &Path, form: Form, last: Option<Arc<Content>>) -> io::Result<Option<(Arc<Content>, Sign)>> {
+fn load(path: &Path, form: Form, last: Option<Arc<Content>>) -> io::Result<Option<Loaded>> {
     let file = File::open(path)?;
-    let before = sign(&file.metadata()?);
+    let before = FileStamp::new(&file.metadata()?);
     let mut bytes = Vec::new();
-    // One byte more than may be is enough to be refused.
+    // One byte more than the limit is enough for the file to be refused.
     file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes)?;
-    if sign(&std::fs::metadata(path)?) != before {
+    if FileStamp::new(&std::fs::metadata(path)?) != before {
         return Ok(None);
     }
-    let content = match last.filter(|last| last.bytes == bytes) {
-        Some(last) => last,
-        None => {
-            let parsed = read(&path.display().to_string(), form, &bytes);
-            Arc::new(Content { bytes, parsed })
-        }
-    };
+    let content = last.filter(|last| last.bytes == bytes).unwrap_or_else(|| {
+        let parsed = read(&path.display().to_string(), form, &bytes);
+        Arc::new(Content { bytes, parsed })
+    });
     Ok(Some((content, before)))
 }
 
-/// Wakes at changes in the file's folder, for as long as it is kept.
-fn changes(path: &Path, wake: Arc<Notify>) -> notify::Result<RecommendedWatcher> {
+/// Wakes at changes in the file's directory, until the watcher is dropped.
+fn watch_directory(path: &Path, wake: Arc<Notify>) -> notify::Result<RecommendedWatcher> {
     let mut watcher = notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
-        // That it is read is no change: each look would bring about the next.
-        if !event.is_ok_and(|e| e.kind.is_access()) {
+        // Reading is no change: each poll would bring about the next.
+        if !event.is_ok_and(|event| event.kind.is_access()) {
             wake.notify_one();
         }
     })?;
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    watcher.watch(folder, RecursiveMode::NonRecursive)?;
+    let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+    watcher.watch(directory.unwrap_or(Path::new(".")), RecursiveMode::NonRecursive)?;
     Ok(watcher)
 }
 
-impl Source {
-    /// Follows the file for as long as the program runs; `heard` is told when the first version is adopted.
-    pub async fn follow(self, events: Rc<EventQueue>, heard: Rc<Notify>) {
+impl InventorySource {
+    /// Follows the file for as long as the program runs; `adopted` is notified of each version that is adopted.
+    pub async fn follow(self, events: Rc<EventQueue>, adopted: Rc<Notify>) {
         let wake: Arc<Notify> = Arc::default();
-        let _watcher = changes(&self.path, wake.clone())
-            .map_err(|e| log("inventory", format_args!("changes are not told, only looked for: {e}")));
-        let began = Instant::now();
-        let mut watch = Watch::new(self.policy);
-        let mut last: Option<Arc<Content>> = None;
-        let (mut seen, mut adopted) = (None, 0);
-        let mut next = Duration::ZERO;
+        let _watcher = watch_directory(&self.path, wake.clone()).map_err(|error| {
+            log("inventory", format_args!("changes are not told, only looked for: {error}"));
+        });
+        let mut follower = Follower {
+            watch: Watch::new(self.policy),
+            source: self,
+            started: Instant::now(),
+            last: None,
+            settled: None,
+            adopted_versions: 0,
+            adopted,
+            events,
+        };
+        let mut next_poll = Duration::ZERO;
         loop {
-            let _ = timeout(next, wake.notified()).await;
-            next = self.poll;
-            let now = std::fs::metadata(&self.path).map(|m| sign(&m));
-            if seen.is_some() && now.as_ref().ok() == seen.as_ref() {
-                continue;
-            }
-            let (path, form, before) = (self.path.clone(), self.form, last.clone());
-            let loaded = spawn_blocking(move || load(&path, form, before)).await;
-            let loaded = loaded.unwrap_or_else(|e| Err(io::Error::other(e)));
-            seen = None;
-            let decision = match loaded {
-                Ok(Some((content, sign))) => {
-                    let decision = watch.look(began.elapsed(), &content.bytes, |_| content.parsed.clone());
-                    last = Some(content);
-                    if !matches!(decision, Decision::Wait(_)) && settled(&sign) {
-                        seen = Some(sign);
-                    }
-                    decision
-                }
-                // It changed while it was read.
-                Ok(None) => continue,
-                Err(e) if e.kind() == io::ErrorKind::NotFound => watch.failed(Refusal::Missing),
-                Err(e) => watch.failed(Refusal::Unreadable(e.to_string())),
-            };
-            match decision {
-                Decision::Keep => {}
-                Decision::Wait(time) => next = time.min(self.poll),
-                Decision::Refuse(why) => self.refused(&why, adopted),
-                Decision::Adopt(inventory) => {
-                    adopted += 1;
-                    let version = inventory.version.unwrap_or(adopted);
-                    log(
-                        "inventory",
-                        format_args!("version {version} adopted, {} nodes", inventory.nodes.len()),
-                    );
-                    let servers = inventory.nodes.iter().map(listed).collect();
-                    events.push(HostEvent::EndpointUpdate {
-                        whole: true,
-                        endpoints: servers,
-                        version: Some(version),
-                    });
-                    heard.notify_one();
-                }
-            }
+            let _ = timeout(next_poll, wake.notified()).await;
+            next_poll = follower.poll().await;
+        }
+    }
+}
+
+/// The file as it is followed.
+struct Follower {
+    source: InventorySource,
+    watch: Watch,
+    started: Instant,
+    /// What was read last; the same bytes are not parsed again.
+    last: Option<Arc<Content>>,
+    /// The stamp of a file whose version is decided: while the file has it, it need not be read.
+    settled: Option<FileStamp>,
+    adopted_versions: u64,
+    adopted: Rc<Notify>,
+    events: Rc<EventQueue>,
+}
+
+impl Follower {
+    /// Reads the file if it may have changed. Returns the time until the next poll.
+    async fn poll(&mut self) -> Duration {
+        let current = std::fs::metadata(&self.source.path).map(|metadata| FileStamp::new(&metadata));
+        if self.settled.is_some() && current.ok() == self.settled {
+            return self.source.poll_interval;
         }
+        let (path, form, last) = (self.source.path.clone(), self.source.form, self.last.clone());
+        let loaded = spawn_blocking(move || load(&path, form, last)).await;
+        let loaded = loaded.unwrap_or_else(|error| Err(io::Error::other(error)));
+        self.settled = None;
+        let decision = match loaded {
+            Ok(Some(loaded)) => self.decide(loaded),
+            // It changed while it was read.
+            Ok(None) => return self.source.poll_interval,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => self.watch.failed(Refusal::Missing),
+            Err(error) => self.watch.failed(Refusal::Unreadable(error.to_string())),
+        };
+        self.carry_out(decision)
+    }
+
+    fn decide(&mut self, (content, stamp): Loaded) -> Decision {
+        let elapsed = self.started.elapsed();
+        let decision = self.watch.look(elapsed, &content.bytes, |_| content.parsed.clone());
+        self.last = Some(content);
+        if !matches!(decision, Decision::Wait(_)) && stamp.is_settled() {
+            self.settled = Some(stamp);
+        }
+        decision
+    }
+
+    fn carry_out(&mut self, decision: Decision) -> Duration {
+        let poll_interval = self.source.poll_interval;
+        match decision {
+            Decision::Keep => {}
+            Decision::Wait(time) => return time.min(poll_interval),
+            Decision::Refuse(refusal) => self.log_refusal(&refusal),
+            Decision::Adopt(inventory) => self.adopt(&inventory),
+        }
+        poll_interval
+    }
+
+    fn adopt(&mut self, inventory: &Inventory) {
+        self.adopted_versions += 1;
+        let version = inventory.version.unwrap_or(self.adopted_versions);
+        log("inventory", format_args!("version {version} adopted, {} nodes", inventory.nodes.len()));
+        let endpoints = inventory.nodes.iter().map(listed_endpoint).collect();
+        self.events.push(HostEvent::EndpointUpdate { whole: true, endpoints, version: Some(version) });
+        self.adopted.notify_one();
     }
 
-    fn refused(&self, why: &Refusal, adopted: u64) {
-        let kept = if adopted > 0 { "the version before stays" } else { "no version is adopted yet" };
-        log("inventory", format_args!("{}: not adopted, {kept}: {why}", self.path.display()));
-        if let Refusal::Faults(faults) = why {
-            for fault in faults.iter().skip(1).take(LOGGED) {
+    fn log_refusal(&self, refusal: &Refusal) {
+        let path = self.source.path.display();
+        let kept =
+            if self.adopted_versions > 0 { "the version before stays" } else { "no version is adopted yet" };
+        log("inventory", format_args!("{path}: not adopted, {kept}: {refusal}"));
+        if let Refusal::Faults(faults) = refusal {
+            for fault in faults.iter().skip(1).take(MAX_LOGGED_FAULTS) {
                 log("inventory", fault);
             }
         }
     }
 }
 
-/// A node as the host knows it. One of weight 0 gets nothing new, as one that drains.
-fn listed(node: &Node) -> ListedEndpoint {
+/// A node as the host knows it. One of weight 0 gets no new requests, as one that drains.
+fn listed_endpoint(node: &Node) -> ListedEndpoint {
     let state = match node.state {
         State::InService if node.weight > 0.0 => EndpointState::InService,
         State::InService | State::Terminating => EndpointState::Draining,
@@ -176,98 +229,7 @@
         cell: node.cell.unwrap_or(0),
         state,
         weight: node.weight,
-        started: node.started_ms.map(|at| at as f64 / 1e3),
+        started: node.started_ms.map(|at| at as f64 / MILLISECONDS_PER_SECOND),
     };
     ListedEndpoint { entry, address: node.address }
 }
-
-/// Reads a file named on the command line.
-///
-/// # Errors
-/// Why it cannot be read, or its faults.
-fn load_once(path: &Path) -> Result<Result<Inventory, Vec<Fault>>, String> {
-    let name = path.display().to_string();
-    let form =
-        Form::of_name(&name).ok_or(format!("{name}: expected a name that ends in .csv, .yaml or .yml"))?;
-    let mut bytes = Vec::new();
-    let file = File::open(path).map_err(|e| format!("{name}: {e}"))?;
-    file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(|e| format!("{name}: {e}"))?;
-    Ok(read(&name, form, &bytes))
-}
-
-/// The faults, as lines or as JSON.
-fn tell(faults: &[Fault], json: bool) {
-    if json {
-        println!("{}", serde_json::to_string_pretty(faults).unwrap_or_default());
-    } else {
-        faults.iter().for_each(|fault| println!("{fault}"));
-    }
-}
-
-/// `liftrouter inventory check`: exit code 0 valid, 1 faults.
-///
-/// # Errors
-/// The file cannot be read.
-pub fn check(path: &Path, json: bool) -> Result<u8, String> {
-    match load_once(path)? {
-        Ok(inventory) => {
-            if json {
-                println!("[]");
-            } else {
-                let version = inventory.version.map_or(String::new(), |v| format!(", version {v}"));
-                println!("{}: good, {} nodes{version}", path.display(), inventory.nodes.len());
-            }
-            Ok(0)
-        }
-        Err(faults) => {
-            tell(&faults, json);
-            Ok(1)
-        }
-    }
-}
-
-/// `liftrouter inventory convert`.
-///
-/// # Errors
-/// The file cannot be read.
-pub fn convert(path: &Path, to: Form) -> Result<u8, String> {
-    match load_once(path)? {
-        Ok(inventory) => {
-            print!("{}", liftrouter_inventory::write(&inventory, to));
-            Ok(0)
-        }
-        Err(faults) => {
-            faults.iter().for_each(|fault| eprintln!("{fault}"));
-            Ok(1)
-        }
-    }
-}
-
-/// `liftrouter inventory diff`: what adopting the new one over the old one does to each node.
-///
-/// # Errors
-/// A file cannot be read.
-pub fn compare(old: &Path, new: &Path, json: bool) -> Result<u8, String> {
-    let (old, new) = match (load_once(old)?, load_once(new)?) {
-        (Ok(old), Ok(new)) => (old, new),
-        (old, new) => {
-            for faults in [old.err(), new.err()].into_iter().flatten() {
-                faults.iter().for_each(|fault| eprintln!("{fault}"));
-            }
-            return Ok(1);
-        }
-    };
-    let changes = diff(&old, &new);
-    if json {
-        println!("{}", serde_json::to_string_pretty(&changes).unwrap_or_default());
-        return Ok(0);
-    }
-    for change in &changes {
-        let effects: Vec<_> = change.effects.iter().map(ToString::to_string).collect();
-        println!("{}: {}", change.id, effects.join("; "));
-    }
-    if changes.is_empty() {
-        println!("no change");
-    }
-    Ok(0)
-}
--- a/crates/daemon/src/discovery/session.rs
+++ b/crates/daemon/src/discovery/session.rs
@@ -2,9 +2,10 @@
 //!
 //! When to call, and for how long a list may be used, is decided in `liftrouter_discovery`; here are the sockets.
 
-use super::sink::{ListSink, SignOfLife};
+use super::sink::{Heartbeat, ListSink};
 use super::upstream::Upstream;
 use super::watch::{Call, Watch, WatchError};
+use super::watch_request::WatchRequest;
 use liftrouter_catalog::{ApplyError, Update};
 use liftrouter_discovery::{CallId, Event, Follower};
 use std::cell::Cell;
@@ -16,55 +17,60 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// A list that is older than the one at hand is taken only where discovery has told nothing newer for so long:
-/// by then it has lost its history, and any list is better than none.
+/// A list that is older than the one at hand is accepted only where discovery has announced nothing newer for this
+/// long: by then it has lost its history, and any list is better than none.
 const OLDER_LIST_AFTER: Duration = Duration::from_secs(60);
 
-type Opened = (CallId, Result<(Watch, Option<Update>), WatchError>);
+type CallResult = (CallId, Result<(Watch, Option<Update>), WatchError>);
 
 /// The watch that is followed, and the calls that are to replace it.
 ///
-/// Silent or not, a watch is kept until another has given a sign of life: while discovery is down all are silent,
-/// and what comes at its return counts at once. Whichever speaks first is followed, the others end: all of them
-/// tell what came after the same revision.
+/// Silent or not, a watch is kept until another has given a heartbeat: while discovery is down all are silent,
+/// and what comes at its return counts at once. The first one with a heartbeat is followed, the others end: all of
+/// them continue after the same revision.
 pub struct Session<S> {
     upstream: Rc<Upstream>,
     sink: S,
-    /// Told of each sign of life.
-    heard: Rc<Notify>,
+    /// Notified of each heartbeat once there is a list.
+    heartbeat_notify: Rc<Notify>,
     follower: Follower,
     started: Instant,
     watch: Option<Watch>,
-    calls: JoinSet<Opened>,
+    calls: JoinSet<CallResult>,
     last_call: CallId,
-    answered: (UnboundedSender<CallId>, UnboundedReceiver<CallId>),
+    /// Calls whose response head has come.
+    answered_sender: UnboundedSender<CallId>,
+    answered_receiver: UnboundedReceiver<CallId>,
     /// When the list at hand was last confirmed.
-    confirmed: Instant,
-    /// A digest differed from that of the list at hand: the whole list is needed.
-    needs_whole_list: bool,
-    /// Calls in a row that came to nothing.
+    confirmed_at: Instant,
+    /// A digest differed from that of the list at hand: the complete list is needed.
+    needs_complete_list: bool,
+    /// Calls that failed in a row.
     failures: u32,
     /// Connections that are open.
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
 }
 
 impl<S: ListSink> Session<S> {
-    pub fn new(upstream: Rc<Upstream>, sink: S, heard: Rc<Notify>, seed: u64) -> Self {
+    /// A session that has not called yet. The seed spreads the retries of several limiters.
+    pub fn new(upstream: Rc<Upstream>, sink: S, heartbeat_notify: Rc<Notify>, seed: u64) -> Self {
         let now = Instant::now();
+        let (answered_sender, answered_receiver) = unbounded_channel();
         Session {
             follower: Follower::new(upstream.delivery(), seed),
             upstream,
             sink,
-            heard,
+            heartbeat_notify,
             started: now,
             watch: None,
             calls: JoinSet::new(),
             last_call: 0,
-            answered: unbounded_channel(),
-            confirmed: now,
-            needs_whole_list: false,
+            answered_sender,
+            answered_receiver,
+            confirmed_at: now,
+            needs_complete_list: false,
             failures: 0,
-            open: Rc::default(),
+            open_connections: Rc::default(),
         }
     }
 
@@ -75,7 +81,7 @@
             let next_call = self.follower.next_call();
             let expiry = self.follower.expires_at().filter(|_| !upstream.is_expired());
             let started = self.started;
-            let sign = async {
+            let heartbeat = async {
                 match &mut self.watch {
                     Some(watch) => watch.next().await,
                     None => pending().await,
@@ -83,30 +89,30 @@
             };
             tokio::select! {
                 biased;
-                () = upstream.moved() => self.moved(),
-                sign = sign => match sign {
+                () = upstream.address_changed() => self.restart(),
+                heartbeat = heartbeat => match heartbeat {
                     Ok(update) => self.heartbeat(update),
-                    Err(why) => self.watch_closed(&why),
+                    Err(error) => self.watch_closed(&error),
                 },
                 () = until(started, expiry) => self.expire(),
-                Some(id) = self.answered.1.recv() => self.tell(Event::CallAnswered(id)),
+                Some(id) = self.answered_receiver.recv() => self.notify_follower(Event::CallAnswered(id)),
                 Some(Ok((id, opened))) = self.calls.join_next() => match opened {
                     Ok((watch, update)) => self.opened(id, watch, update),
-                    Err(why) => self.call_failed(id, &why),
+                    Err(error) => self.call_failed(id, &error),
                 },
                 () = until(started, next_call) => self.call(),
             }
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify_follower(&mut self, event: Event) {
         self.follower.handle(self.started.elapsed(), event);
     }
 
     fn call(&mut self) {
         if self.watch.is_some() {
             if self.failures == 0 && self.calls.is_empty() {
-                let age = self.confirmed.elapsed().as_secs_f64();
+                let age = self.confirmed_at.elapsed().as_secs_f64();
                 self.upstream
                     .log(format_args!("the watch gave no sign of life for {age:.1} s: opening another"));
             }
@@ -116,105 +122,108 @@
         let call = Call {
             id: self.last_call,
             address: self.upstream.address(),
-            subscription: self.upstream.subscription().clone(),
-            after: self.revision(),
+            request: WatchRequest {
+                subscription: self.upstream.subscription().clone(),
+                after: self.revision(),
+            },
             timeout: self.follower.call_timeout(),
-            longest_message: self.upstream.longest_message(),
+            max_message_bytes: self.upstream.max_message_bytes(),
             silence: self.follower.silence(),
-            open: self.open.clone(),
-            received: self.upstream.received().clone(),
-            answered: self.answered.0.clone(),
+            open_connections: self.open_connections.clone(),
+            received_bytes: self.upstream.received_bytes().clone(),
+            answered: self.answered_sender.clone(),
         };
-        self.tell(Event::CallStarted(call.id));
+        self.notify_follower(Event::CallStarted(call.id));
         self.calls.spawn_local(call.run());
     }
 
-    fn moved(&mut self) {
+    /// Begins anew at another address.
+    fn restart(&mut self) {
         self.watch = None;
         self.calls = JoinSet::new();
-        self.tell(Event::Moved);
+        self.notify_follower(Event::Moved);
     }
 
     fn opened(&mut self, id: CallId, watch: Watch, update: Option<Update>) {
         match self.apply(update) {
-            Ok(sign) => {
+            Ok(heartbeat) => {
                 self.watch = Some(watch);
-                self.alive(Event::WatchOpened, sign);
+                self.record_heartbeat(Event::WatchOpened, heartbeat);
             }
-            Err(why) => self.call_failed(id, &why),
+            Err(error) => self.call_failed(id, &error),
         }
     }
 
-    fn call_failed(&mut self, id: CallId, why: &WatchError) {
+    fn call_failed(&mut self, id: CallId, error: &WatchError) {
         self.failures += 1;
-        // Down for minutes, it must not fill the log.
+        // An outage of minutes must not fill the log.
         if self.failures.is_power_of_two() {
-            self.upstream.log(format_args!("{why} (opening {})", self.failures));
+            self.upstream.log(format_args!("{error} (opening {})", self.failures));
         }
         self.upstream.fail_over();
-        self.tell(Event::CallFailed(id, why.failure()));
+        self.notify_follower(Event::CallFailed(id, error.failure()));
     }
 
-    fn watch_closed(&mut self, why: &WatchError) {
-        self.upstream.log(why);
+    fn watch_closed(&mut self, error: &WatchError) {
+        self.upstream.log(error);
         self.sink.disconnected();
         self.watch = None;
         self.upstream.fail_over();
-        self.tell(Event::WatchClosed);
+        self.notify_follower(Event::WatchClosed);
     }
 
     fn heartbeat(&mut self, update: Option<Update>) {
         match self.apply(update) {
-            Ok(sign) => self.alive(Event::Heartbeat, sign),
-            Err(why) => self.watch_closed(&why),
+            Ok(heartbeat) => self.record_heartbeat(Event::Heartbeat, heartbeat),
+            Err(error) => self.watch_closed(&error),
         }
     }
 
-    /// The watch that is followed now gave a sign of life; all calls have become needless.
-    fn alive(&mut self, event: Event, sign: SignOfLife) {
+    /// The watch that is followed now gave a heartbeat; all calls have become needless.
+    fn record_heartbeat(&mut self, event: Event, heartbeat: Heartbeat) {
         self.calls = JoinSet::new();
         self.failures = 0;
-        self.follower.handle_aged(self.started.elapsed(), event, sign.confirmed_ago());
+        self.follower.handle_aged(self.started.elapsed(), event, heartbeat.confirmed_ago());
         let now = Instant::now();
-        self.confirmed = self.confirmed.max(now.checked_sub(sign.confirmed_ago()).unwrap_or(now));
-        self.upstream.note(self.revision(), self.confirmed);
-        let fresh = self.follower.expires_at().is_none_or(|at| at > self.started.elapsed());
-        if fresh && self.upstream.set_expired(false) {
+        self.confirmed_at = self.confirmed_at.max(now.checked_sub(heartbeat.confirmed_ago()).unwrap_or(now));
+        self.upstream.record_list(self.revision(), self.confirmed_at);
+        let is_fresh = self.follower.expires_at().is_none_or(|at| at > self.started.elapsed());
+        if is_fresh && self.upstream.set_expired(false) {
             self.sink.confirmed();
         }
-        self.sink.heartbeat(sign);
+        self.sink.heartbeat(heartbeat);
         if self.revision().is_some() {
-            self.heard.notify_one();
+            self.heartbeat_notify.notify_one();
         }
     }
 
-    /// The revision to ask for what came after it; none where the whole list is needed.
+    /// The revision after which a new watch resumes; none where the complete list is needed.
     fn revision(&self) -> Option<u64> {
-        self.sink.revision().filter(|_| !self.needs_whole_list)
+        self.sink.revision().filter(|_| !self.needs_complete_list)
     }
 
-    fn apply(&mut self, update: Option<Update>) -> Result<SignOfLife, WatchError> {
-        let Some(mut update) = update else { return Ok(SignOfLife::EmptyLine) };
+    fn apply(&mut self, update: Option<Update>) -> Result<Heartbeat, WatchError> {
+        let Some(mut update) = update else { return Ok(Heartbeat::EmptyLine) };
         let confirmed_ago = Duration::from_millis(update.confirmed_ago_ms);
-        let older = update.reset && self.revision().is_some_and(|held| update.generation < held);
-        if older && self.confirmed.elapsed() >= OLDER_LIST_AFTER {
+        let is_older = update.reset && self.revision().is_some_and(|held| update.generation < held);
+        if is_older && self.confirmed_at.elapsed() >= OLDER_LIST_AFTER {
             self.sink.forget_revision();
         }
-        // What is changed since no revision is the whole list.
+        // The changes since no revision are the complete list.
         update.reset |= self.sink.revision().is_none();
-        let whole = update.reset;
+        let is_complete = update.reset;
         let applied = self.sink.apply(update);
-        self.needs_whole_list = match &applied {
-            Ok(()) => self.needs_whole_list && !whole,
-            Err(error) => self.needs_whole_list || matches!(error, ApplyError::DigestMismatch { .. }),
+        self.needs_complete_list = match &applied {
+            Ok(()) => self.needs_complete_list && !is_complete,
+            Err(error) => self.needs_complete_list || matches!(error, ApplyError::DigestMismatch { .. }),
         };
         applied.map_err(WatchError::List)?;
-        Ok(SignOfLife::Message { confirmed_ago })
+        Ok(Heartbeat::Message { confirmed_ago })
     }
 
     fn expire(&mut self) {
         self.upstream.set_expired(true);
-        self.sink.expired(self.confirmed.elapsed());
+        self.sink.expired(self.confirmed_at.elapsed());
     }
 }
 
--- a/crates/daemon/src/discovery/upstream.rs
+++ b/crates/daemon/src/discovery/upstream.rs
@@ -1,4 +1,4 @@
-//! Where lists come from: addresses, what is followed there, and how.
+//! The source of an endpoint list: its addresses, what is followed there, and how.
 
 use crate::log;
 use liftrouter_catalog::Subscription;
@@ -12,39 +12,39 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The longest message that a limiter reads; a list of some twenty thousand servers fits.
-const LONGEST_MESSAGE: usize = 4 << 20;
-/// The same of a relay, which holds the whole list: some 300,000 servers.
-const LONGEST_MESSAGE_OF_RELAY: usize = 64 << 20;
+/// The longest message that a limiter reads, in bytes; a list of some twenty thousand servers fits.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// The same of a relay, which holds the complete list: some 300,000 servers.
+const MAX_MESSAGE_BYTES_OF_RELAY: usize = 64 << 20;
 
 /// Discovery, or relays that stand in for one another.
 pub struct Upstream {
-    /// As the log calls it; empty where it is the only one.
+    /// Name of the region in the log; empty where it is the only one.
     region: String,
     delivery: Delivery,
     subscription: Subscription,
-    longest_message: usize,
+    max_message_bytes: usize,
     addresses: RefCell<Vec<SocketAddr>>,
     current: Cell<usize>,
     /// The revision of the list at hand, and when it was last confirmed.
     revision: Cell<Option<u64>>,
-    confirmed: Cell<Option<Instant>>,
+    confirmed_at: Cell<Option<Instant>>,
     /// The list at hand was not confirmed in time.
-    expired: Cell<bool>,
+    is_expired: Cell<bool>,
     /// Bytes of the bodies of all watches so far.
-    received: Rc<Cell<u64>>,
+    received_bytes: Rc<Cell<u64>>,
     /// The address has changed: all that is open or being opened ends.
-    moved: Notify,
+    address_changed: Notify,
 }
 
 impl Upstream {
-    /// Discovery at one address: the whole list.
+    /// Discovery at one address: the complete list.
     pub fn discovery(address: SocketAddr, delivery: Delivery) -> Self {
         Upstream::new(vec![address], delivery, Subscription::All)
     }
 
-    /// Relays, each of which knows what the others know. Children with other seeds prefer others, so that the load
-    /// is even, and that of one that is lost is spread over the rest (rendezvous hashing).
+    /// Relays, each of which can stand in for the others. Subscribers with different seeds prefer different relays, so
+    /// that the load is even, and that of a lost relay is spread over the rest (rendezvous hashing).
     pub fn relays(mut addresses: Vec<SocketAddr>, subscription: Subscription, seed: u64) -> Self {
         addresses.sort_by_key(|address| {
             let mut hasher = DefaultHasher::new();
@@ -59,24 +59,24 @@
             region: String::new(),
             delivery,
             subscription,
-            longest_message: LONGEST_MESSAGE,
+            max_message_bytes: MAX_MESSAGE_BYTES,
             addresses: RefCell::new(addresses),
             current: Cell::new(0),
             revision: Cell::new(None),
-            confirmed: Cell::new(None),
-            expired: Cell::new(false),
-            received: Rc::default(),
-            moved: Notify::new(),
+            confirmed_at: Cell::new(None),
+            is_expired: Cell::new(false),
+            received_bytes: Rc::default(),
+            address_changed: Notify::new(),
         }
     }
 
-    /// The same as one of several, with its name for the log.
+    /// The same as one region of several, with its name for the log.
     pub fn of_region(mut self, name: String) -> Self {
         self.region = name;
         self
     }
 
-    /// Writes to the log what concerns the list from here.
+    /// Logs what concerns this list.
     pub fn log(&self, text: impl Display) {
         match self.region.as_str() {
             "" => log("discovery", text),
@@ -84,21 +84,23 @@
         }
     }
 
-    /// The same for a relay, which follows whole lists of any size.
+    /// The same for a relay, which follows complete lists of any size.
     pub fn for_relay(mut self) -> Self {
-        self.longest_message = LONGEST_MESSAGE_OF_RELAY;
+        self.max_message_bytes = MAX_MESSAGE_BYTES_OF_RELAY;
         self
     }
 
     /// The longest message that is read, in bytes.
-    pub fn longest_message(&self) -> usize {
-        self.longest_message
+    pub fn max_message_bytes(&self) -> usize {
+        self.max_message_bytes
     }
 
+    /// How lists come from here.
     pub fn delivery(&self) -> Delivery {
         self.delivery
     }
 
+    /// The services that are followed.
     pub fn subscription(&self) -> &Subscription {
         &self.subscription
     }
@@ -114,25 +116,25 @@
         self.current.set((self.current.get() + 1) % self.addresses.borrow().len());
     }
 
-    /// The list at hand has this revision, and was confirmed then.
-    pub fn note(&self, revision: Option<u64>, confirmed: Instant) {
+    /// Records the revision of the list at hand, and when it was last confirmed.
+    pub fn record_list(&self, revision: Option<u64>, confirmed_at: Instant) {
         self.revision.set(revision);
-        self.confirmed.set(Some(confirmed));
+        self.confirmed_at.set(Some(confirmed_at));
     }
 
-    /// The list at hand was not confirmed in time, or is confirmed again. Gives what held before.
+    /// The list at hand was not confirmed in time, or is confirmed again. Returns what held before.
     pub fn set_expired(&self, expired: bool) -> bool {
-        self.expired.replace(expired)
+        self.is_expired.replace(expired)
     }
 
     /// Whether the list at hand was not confirmed in time.
     pub fn is_expired(&self) -> bool {
-        self.expired.get()
+        self.is_expired.get()
     }
 
     /// Counts the bytes of the bodies of all watches.
-    pub fn received(&self) -> &Rc<Cell<u64>> {
-        &self.received
+    pub fn received_bytes(&self) -> &Rc<Cell<u64>> {
+        &self.received_bytes
     }
 
     /// The revision of the list at hand.
@@ -142,21 +144,21 @@
 
     /// How long ago the list at hand was confirmed; none before the first one.
     pub fn confirmed_ago(&self) -> Option<Duration> {
-        self.confirmed.get().map(|at| at.elapsed())
+        self.confirmed_at.get().map(|at| at.elapsed())
     }
 
-    /// Calls another discovery from now on.
+    /// Calls discovery at another address from now on; relays stay as they are.
     pub fn move_to(&self, address: SocketAddr) {
         if self.delivery == Delivery::Relayed || self.address() == address {
             return;
         }
         *self.addresses.borrow_mut() = vec![address];
         self.current.set(0);
-        self.moved.notify_one();
+        self.address_changed.notify_one();
     }
 
-    /// Waits for the next move.
-    pub async fn moved(&self) {
-        self.moved.notified().await;
+    /// Waits for the next change of the address.
+    pub async fn address_changed(&self) {
+        self.address_changed.notified().await;
     }
 }
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -1,42 +1,63 @@
 //! One call to discovery, and the watch that it becomes.
 
-use super::messages::{Sign, Splitter};
+use super::watch_event::{FramingError, WatchDecoder, WatchEvent};
+use super::watch_request::WatchRequest;
 use crate::upstream::connection::Link;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HOST, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use liftrouter_catalog::{ApplyError, Subscription, Update};
+use liftrouter_catalog::{ApplyError, Update};
 use liftrouter_discovery::{CallFailure, CallId};
 use std::cell::Cell;
-use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Why a call came to nothing, or a watch ended.
-#[derive(Debug)]
+/// Why a call failed, or a watch ended.
+#[derive(Debug, Error)]
 pub enum WatchError {
     /// The connection did not come up.
-    Connect(std::io::Error),
-    /// No head of an answer in time.
+    #[error("no connection: {0}")]
+    Connect(#[source] std::io::Error),
+    /// The request cannot be written.
+    #[error("{0}")]
+    Request(#[source] hyper::http::Error),
+    /// No response head in time.
+    #[error("no answer")]
     NoAnswer,
-    /// The connection broke before the head of the answer.
+    /// The connection broke before the response head.
+    #[error("the watch broke before its answer")]
     BrokeBeforeAnswer,
-    /// The answer was no success.
-    Status { status: StatusCode, retry_after: Option<Duration> },
-    /// Nothing came behind the head in time.
+    /// The response was no success.
+    #[error("the watch was answered {status}{}", retry_after_text(*retry_after))]
+    Status {
+        /// The status of the response.
+        status: StatusCode,
+        /// The time after which the service invites another call.
+        retry_after: Option<Duration>,
+    },
+    /// Nothing came behind the response head in time.
+    #[error("the watch was silent from its head on")]
     SilentFromHead,
-    /// The answer ended.
+    /// The response ended.
+    #[error("the watch ended")]
     Ended,
     /// The connection broke.
-    Broke(hyper::Error),
-    /// What came is no list.
-    Unreadable(String),
-    /// What came does not fit the list at hand.
-    List(ApplyError),
+    #[error("the watch broke: {0}")]
+    Broke(#[source] hyper::Error),
+    /// The stream is no sequence of objects.
+    #[error(transparent)]
+    Framing(#[from] FramingError),
+    /// An object is no update.
+    #[error("a message cannot be read: {0}")]
+    Message(#[from] serde_json::Error),
+    /// An update does not fit the list at hand.
+    #[error(transparent)]
+    List(#[from] ApplyError),
 }
 
 impl WatchError {
@@ -49,78 +70,63 @@
     }
 }
 
-impl fmt::Display for WatchError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            WatchError::Connect(e) => write!(f, "no connection: {e}"),
-            WatchError::NoAnswer => f.write_str("no answer"),
-            WatchError::BrokeBeforeAnswer => f.write_str("the watch broke before its answer"),
-            WatchError::Status { status, retry_after: None } => write!(f, "the watch was answered {status}"),
-            WatchError::Status { status, retry_after: Some(after) } => {
-                write!(f, "the watch was answered {status}, retry after {} s", after.as_secs_f64())
-            }
-            WatchError::SilentFromHead => f.write_str("the watch was silent from its head on"),
-            WatchError::Ended => f.write_str("the watch ended"),
-            WatchError::Broke(e) => write!(f, "the watch broke: {e}"),
-            WatchError::Unreadable(why) => f.write_str(why),
-            WatchError::List(why) => why.fmt(f),
-        }
-    }
+fn retry_after_text(retry_after: Option<Duration>) -> String {
+    retry_after.map_or(String::new(), |after| format!(", retry after {} s", after.as_secs_f64()))
 }
 
-/// A watch that has given a sign of life.
+/// A watch that has given a heartbeat.
 pub struct Watch {
     link: Link,
     body: Incoming,
-    splitter: Splitter,
-    received: Rc<Cell<u64>>,
+    decoder: WatchDecoder,
+    received_bytes: Rc<Cell<u64>>,
 }
 
 impl Watch {
-    /// Waits for the next sign of life: an update, or none where it only tells that nothing changed.
+    /// Waits for the next heartbeat: an update, or none where nothing has changed.
+    ///
+    /// # Errors
+    /// The watch ended, broke, or sent something other than updates.
     pub async fn next(&mut self) -> Result<Option<Update>, WatchError> {
         loop {
-            if let Some(sign) = self.splitter.next_sign().map_err(WatchError::Unreadable)? {
-                return match sign {
-                    Sign::EmptyLine => Ok(None),
-                    Sign::Message(text) => serde_json::from_slice(&text)
-                        .map(Some)
-                        .map_err(|e| WatchError::Unreadable(format!("a message cannot be read: {e}"))),
-                };
+            match self.decoder.next_event()? {
+                Some(WatchEvent::EmptyLine) => return Ok(None),
+                Some(WatchEvent::Message(text)) => return Ok(Some(serde_json::from_slice(&text)?)),
+                None => {}
             }
             let frame = self.link.drive(self.body.frame()).await;
             let frame = frame.ok_or(WatchError::Ended)?.map_err(WatchError::Broke)?;
             let data = frame.data_ref().map_or(&[][..], |data| data);
-            self.received.set(self.received.get() + data.len() as u64);
-            self.splitter.push(data);
+            self.received_bytes.set(self.received_bytes.get() + data.len() as u64);
+            self.decoder.push(data);
         }
     }
 }
 
 /// A call to be made.
 pub struct Call {
+    /// Number of the call.
     pub id: CallId,
+    /// The address to call.
     pub address: SocketAddr,
-    /// What is followed.
-    pub subscription: Subscription,
-    /// The revision of the list at hand.
-    pub after: Option<u64>,
-    /// How long the head of the answer may take.
+    /// What is followed, and from which revision on.
+    pub request: WatchRequest,
+    /// How long the response head may take.
     pub timeout: Duration,
     /// The longest message that is read, in bytes.
-    pub longest_message: usize,
+    pub max_message_bytes: usize,
     /// How long its first message may take behind the head.
     pub silence: Duration,
-    /// Counts the connection.
-    pub open: Rc<Cell<usize>>,
+    /// Counts the open connections.
+    pub open_connections: Rc<Cell<usize>>,
     /// Counts the bytes of bodies.
-    pub received: Rc<Cell<u64>>,
-    /// Is told when the head of a good answer has come.
+    pub received_bytes: Rc<Cell<u64>>,
+    /// Notified when the head of a successful response has come.
     pub answered: UnboundedSender<CallId>,
 }
 
 impl Call {
-    /// Opens a watch and waits for its first sign of life.
+    /// Opens a watch and waits for its first heartbeat.
     pub async fn run(self) -> (CallId, Result<(Watch, Option<Update>), WatchError>) {
         (self.id, self.open_watch().await)
     }
@@ -132,34 +138,25 @@
             let retry_after = retry_after(answer.headers());
             return Err(WatchError::Status { status: answer.status(), retry_after });
         }
-        // Nobody listens any more where the watch is no longer wanted.
+        // The receiver is gone where the watch is no longer wanted.
         let _ = self.answered.send(self.id);
-        let (body, received) = (answer.into_body(), self.received.clone());
-        let mut watch = Watch { link, body, splitter: Splitter::new(self.longest_message), received };
+        let mut watch = Watch {
+            link,
+            body: answer.into_body(),
+            decoder: WatchDecoder::new(self.max_message_bytes),
+            received_bytes: self.received_bytes.clone(),
+        };
         let first = timeout_at(Instant::now() + self.silence, watch.next()).await;
         let update = first.map_err(|_| WatchError::SilentFromHead)??;
         Ok((watch, update))
     }
 
-    /// The names of services are checked where they are configured: none needs to be escaped.
-    fn target(&self) -> String {
-        let mut target = String::from("/discovery/hosts?watch=1");
-        if let Some(revision) = self.after {
-            target += &format!("&after={revision}");
-        }
-        if let Subscription::Services(names) = &self.subscription {
-            for name in names {
-                target += &format!("&service={name}");
-            }
-        }
-        target
-    }
-
     async fn head(&self) -> Result<(Link, Response<Incoming>), WatchError> {
-        let mut link = Link::connect(self.address, &self.open).await.map_err(WatchError::Connect)?;
-        let request = Request::get(self.target());
+        let mut link =
+            Link::connect(self.address, &self.open_connections).await.map_err(WatchError::Connect)?;
+        let request = Request::get(self.request.target());
         let request = request.header(HOST, self.address.to_string()).body(Full::default());
-        let request = request.map_err(|e| WatchError::Unreadable(e.to_string()))?;
+        let request = request.map_err(WatchError::Request)?;
         let answer = link.open(request).await.map_err(|_| WatchError::BrokeBeforeAnswer)?;
         Ok((link, answer))
     }
--- a/crates/daemon/src/discovery/watch_event/tests.rs
+++ b/crates/daemon/src/discovery/watch_event/tests.rs
@@ -1,56 +1,59 @@
+//! The framing of a watch, in any layout and split anywhere.
+
 use super::*;
+use liftrouter_catalog::Update;
 use proptest::prelude::*;
 
-const LONGEST: usize = 4_096;
+const MAX_LENGTH: usize = 4_096;
 
-/// All that a stream says when it comes in pieces of these lengths, again and again.
-fn signs(stream: &[u8], lengths: &[usize]) -> Result<Vec<Sign>, String> {
-    let (mut splitter, mut signs, mut rest) = (Splitter::new(LONGEST), Vec::new(), stream);
+/// All events of a stream that comes in pieces of these lengths, again and again.
+fn decode(stream: &[u8], lengths: &[usize]) -> Result<Vec<WatchEvent>, FramingError> {
+    let (mut decoder, mut events, mut rest) = (WatchDecoder::new(MAX_LENGTH), Vec::new(), stream);
     for length in lengths.iter().cycle() {
         let (piece, behind) = rest.split_at((*length).min(rest.len()));
-        splitter.push(piece);
-        while let Some(sign) = splitter.next_sign()? {
-            signs.push(sign);
+        decoder.push(piece);
+        while let Some(event) = decoder.next_event()? {
+            events.push(event);
         }
         rest = behind;
         if rest.is_empty() {
             break;
         }
     }
-    Ok(signs)
+    Ok(events)
 }
 
-fn messages(signs: &[Sign]) -> Vec<serde_json::Value> {
-    let texts = signs.iter().filter_map(|sign| match sign {
-        Sign::Message(text) => Some(text),
-        Sign::EmptyLine => None,
+fn messages(events: &[WatchEvent]) -> Vec<serde_json::Value> {
+    let texts = events.iter().filter_map(|event| match event {
+        WatchEvent::Message(text) => Some(text),
+        WatchEvent::EmptyLine => None,
     });
     texts.map(|text| serde_json::from_slice(text).expect("JSON")).collect()
 }
 
 #[test]
-fn half_a_message_and_spaces_are_no_sign_of_life() {
+fn partial_messages_and_spaces_are_no_heartbeat() {
     for text in
         ["   ", "\t \r", "{", "{\n\n\n", "{\"generation\": 4,\n\n \"instances\": [{}],\n", "{\"a\":\"}\n\n"]
     {
-        assert_eq!(signs(text.as_bytes(), &[1]), Ok(vec![]), "{text:?}");
+        assert_eq!(decode(text.as_bytes(), &[1]), Ok(vec![]), "{text:?}");
     }
-    assert_eq!(signs(b"\n \r\n", &[1]), Ok(vec![Sign::EmptyLine, Sign::EmptyLine]));
+    assert_eq!(decode(b"\n \r\n", &[1]), Ok(vec![WatchEvent::EmptyLine, WatchEvent::EmptyLine]));
     // The end of a message's own line is no empty one.
-    let alone = Sign::Message(Bytes::from_static(b"{}"));
-    assert_eq!(signs(b" {} \n", &[1]), Ok(vec![alone]));
+    let alone = WatchEvent::Message(Bytes::from_static(b"{}"));
+    assert_eq!(decode(b" {} \n", &[1]), Ok(vec![alone]));
 }
 
 #[test]
-fn what_is_no_object_or_too_long_ends_the_stream() {
+fn a_non_object_or_an_oversized_message_is_a_framing_error() {
     for text in ["x", "[]", "\"a\"", "{} 7"] {
         assert!(
-            signs(text.as_bytes(), &[1]).is_err_and(|why| why.contains("expected an object")),
+            decode(text.as_bytes(), &[1]).is_err_and(|why| why.to_string().contains("expected an object")),
             "{text:?}"
         );
     }
-    let long = format!("{{\"a\":\"{}\"}}", "x".repeat(LONGEST));
-    assert!(signs(long.as_bytes(), &[100]).is_err_and(|why| why.contains("over 4096 bytes")));
+    let long = format!("{{\"a\":\"{}\"}}", "x".repeat(MAX_LENGTH));
+    assert!(decode(long.as_bytes(), &[100]).is_err_and(|why| why.to_string().contains("over 4096 bytes")));
 }
 
 fn value() -> impl Strategy<Value = serde_json::Value> {
@@ -74,7 +77,7 @@
 
     /// Indented or not, with empty lines between, split anywhere.
     #[test]
-    fn every_layout_is_read(
+    fn every_layout_is_decoded(
         values in prop::collection::vec((value(), any::<bool>(), 0usize..3), 1..4),
         lengths in prop::collection::vec(1usize..9, 1..6),
     ) {
@@ -82,12 +85,40 @@
         for (value, indented, lines) in values {
             let object = serde_json::json!({ "instances": value });
             let text = if indented { serde_json::to_string_pretty(&object) } else { serde_json::to_string(&object) };
-            stream += &format!("{}\n{}", text.expect("JSON"), "\n".repeat(lines));
+            stream.push_str(&text.expect("JSON"));
+            stream.push('\n');
+            stream.push_str(&"\n".repeat(lines));
             empty += lines;
             wanted.push(object);
         }
-        let found = signs(stream.as_bytes(), &lengths).expect("readable");
+        let found = decode(stream.as_bytes(), &lengths).expect("readable");
         prop_assert_eq!(messages(&found), wanted);
-        prop_assert_eq!(found.iter().filter(|sign| **sign == Sign::EmptyLine).count(), empty);
+        prop_assert_eq!(found.iter().filter(|event| **event == WatchEvent::EmptyLine).count(), empty);
     }
 }
+
+/// What earlier versions of the relay send.
+const RELAY_STREAM: &str = include_str!("../../../tests/fixtures/relay-all-services.stream");
+
+#[test]
+fn relay_streams_of_earlier_versions_are_decoded() {
+    let events = decode(RELAY_STREAM.as_bytes(), &[7]).expect("readable");
+    let described: Vec<String> = events
+        .iter()
+        .map(|event| match event {
+            WatchEvent::EmptyLine => "empty line".to_owned(),
+            WatchEvent::Message(text) => {
+                let update: Update = serde_json::from_slice(text).expect("an update");
+                assert!(update.unreadable.is_empty(), "{update:?}");
+                let Update { generation, reset, instances, digest, confirmed_ago_ms, .. } = update;
+                let has_digest = digest.is_some();
+                format!("{generation} {reset} {} {has_digest} {confirmed_ago_ms}", instances.len())
+            }
+        })
+        .collect();
+    let empty = "empty line";
+    assert_eq!(
+        described,
+        ["41 true 3 true 1200", "42 false 2 false 1200", empty, empty, empty, "42 false 0 true 0"]
+    );
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod operator;
 pub mod relay;
 pub mod serve;
+pub mod startup;
 pub mod upstream;
 
 use log::log;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,4 +1,8 @@
 //! The log: one line on standard error for each event, as text or as JSON.
+//!
+//! Events go through `tracing`, and `tracing-subscriber` writes the JSON form. The text form has a formatter of its own:
+//! operators search for lines of the form `part: text`, and none of the library's formatters writes a line that begins
+//! with a field and has neither time, level nor field names.
 
 use clap::ValueEnum;
 use std::fmt::{self, Display};
@@ -25,28 +29,29 @@
     let lines = tracing_subscriber::fmt().with_writer(stderr).log_internal_errors(false);
     // Fails only where one is set already, as between tests.
     let _ = match form {
-        Form::Text => tracing::subscriber::set_global_default(lines.event_format(Text).finish()),
+        Form::Text => tracing::subscriber::set_global_default(lines.event_format(TextFormat).finish()),
         Form::Json => tracing::subscriber::set_global_default(
             lines.json().flatten_event(true).with_target(false).finish(),
         ),
     };
 }
 
-/// Writes a line: which part of the limiter speaks, and what it says.
+/// Writes a line: the part of the limiter that logs it, and the text.
 pub fn log(part: &str, text: impl Display) {
     tracing::info!(part, "{text}");
 }
 
-/// `part: text`, and nothing else.
-struct Text;
+/// Formats an event as `part: text`, and nothing else.
+struct TextFormat;
 
+/// The fields of an event that a line of text has.
 #[derive(Default)]
-struct Line {
+struct TextFields {
     part: String,
     message: String,
 }
 
-impl Visit for Line {
+impl Visit for TextFields {
     fn record_str(&mut self, field: &Field, value: &str) {
         if field.name() == "part" {
             value.clone_into(&mut self.part);
@@ -61,13 +66,13 @@
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>, N: for<'a> FormatFields<'a> + 'static> FormatEvent<S, N>
-    for Text
+    for TextFormat
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut line = Line::default();
-        event.record(&mut line);
-        // Libraries' events have no part; theirs is where they come from.
-        let part = if line.part.is_empty() { event.metadata().target() } else { &line.part };
-        writeln!(out, "{part}: {}", line.message)
+        let mut fields = TextFields::default();
+        event.record(&mut fields);
+        // Events of libraries have no part: their target, the module, stands for it.
+        let part = if fields.part.is_empty() { event.metadata().target() } else { &fields.part };
+        writeln!(out, "{part}: {}", fields.message)
     }
 }
--- a/crates/daemon/src/operator/authoriser.rs
+++ b/crates/daemon/src/operator/authoriser.rs
@@ -1,6 +1,8 @@
-//! `[[authoriser]]`: a service that is asked about requests of some classes first.
+//! `[[authoriser]]`: a service that authorises requests of some classes before they are admitted.
 
-use super::Place;
+use super::error::{Fault, OperatorError};
+use super::source::{NumberKey, SourceText};
+use super::ClassLocation;
 use crate::authoriser::{Asked, WhenUnsure};
 use liftrouter_authz::BreakerPolicy;
 use serde::Deserialize;
@@ -11,59 +13,75 @@
 /// The section as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct AuthoriserFile {
+pub(super) struct AuthoriserSection {
     name: String,
     address: Spanned<String>,
     classes: BTreeMap<Spanned<String>, Spanned<String>>,
     connections: Option<Spanned<u64>>,
-    questions: Option<Spanned<u64>>,
+    #[serde(rename = "questions")]
+    max_in_flight: Option<Spanned<u64>>,
     timeout_ms: Option<Spanned<u64>>,
     message_kb: Option<Spanned<u64>>,
     failures: Option<Spanned<u64>>,
-    rest_ms: Option<Spanned<u64>>,
-    most_rest_ms: Option<Spanned<u64>>,
+    #[serde(rename = "rest_ms")]
+    open_ms: Option<Spanned<u64>>,
+    #[serde(rename = "most_rest_ms")]
+    max_open_ms: Option<Spanned<u64>>,
 }
 
 /// Checks the section; notes where each class stands.
 pub(super) fn check(
-    place: &Place,
-    a: AuthoriserFile,
-    places: &mut Vec<(String, String)>,
-) -> Result<Asked, String> {
-    let address = place.address("address is", &a.address)?;
-    let mut classes = HashMap::new();
-    for (class, unsure) in a.classes {
-        let at = class.span().start;
+    source: &SourceText,
+    section: AuthoriserSection,
+    authorised: &mut Vec<ClassLocation>,
+) -> Result<Asked, OperatorError> {
+    let address = source.address("address is", &section.address)?;
+    let classes = check_classes(source, section.classes, authorised)?;
+    let milliseconds =
+        |value, key, default| source.number(value, NumberKey::milliseconds(key), 1..=600_000, default);
+    let count =
+        |value, key, unit, most, default| source.number(value, NumberKey::new(key, unit), 1..=most, default);
+    let open_ms = milliseconds(section.open_ms, "rest_ms", 500)?;
+    Ok(Asked {
+        name: section.name,
+        address,
+        connections: count(section.connections, "connections", "connections", 64, 1)? as usize,
+        questions: count(section.max_in_flight, "questions", "questions", 10_000, 100)? as usize,
+        timeout: Duration::from_millis(milliseconds(section.timeout_ms, "timeout_ms", 100)?),
+        message: 1_024 * count(section.message_kb, "message_kb", "kilobytes", 1_024, 64)? as usize,
+        breaker: BreakerPolicy {
+            failures: count(section.failures, "failures", "failures in a row", 1_000, 5)? as u32,
+            rest: open_ms as f64 / 1e3,
+            most_rest: milliseconds(section.max_open_ms, "most_rest_ms", 10_000)?.max(open_ms) as f64 / 1e3,
+        },
+        classes,
+    })
+}
+
+/// What becomes of the requests of each class without an answer. A class has one authoriser.
+fn check_classes(
+    source: &SourceText,
+    classes: BTreeMap<Spanned<String>, Spanned<String>>,
+    authorised: &mut Vec<ClassLocation>,
+) -> Result<HashMap<String, WhenUnsure>, OperatorError> {
+    let mut fallbacks = HashMap::new();
+    for (class, fallback) in classes {
+        let offset = class.span().start;
         let class = class.into_inner();
-        if let Some((_, other)) = places.iter().find(|(name, _)| *name == class) {
-            let what = format!("classes has {class:?}, which names an authoriser at {other}, expected one");
-            return Err(place.fault(at, what));
+        if let Some(first) = authorised.iter().find(|first| first.class == class) {
+            let first = first.location.clone();
+            return Err(source.error(offset, Fault::RepeatedClass { class, first }));
         }
-        let when = match unsure.get_ref().as_str() {
+        let when_unsure = match fallback.get_ref().as_str() {
             "pass" => WhenUnsure::Pass,
             "refuse" => WhenUnsure::Refuse,
             found => {
-                let what = format!("{class} is {found:?}, expected pass or refuse");
-                return Err(place.fault(unsure.span().start, what));
+                let found = found.to_string();
+                return Err(source.error(fallback.span().start, Fault::UnknownFallback { class, found }));
             }
         };
-        places.push((class.clone(), place.at(at)));
-        classes.insert(class, when);
+        authorised.push(ClassLocation { class: class.clone(), location: source.location(offset) });
+        fallbacks.insert(class, when_unsure);
     }
-    let ms = |value, key, default| place.number(value, (key, "milliseconds"), 1..=600_000, default);
-    let rest = ms(a.rest_ms, "rest_ms", 500)?;
-    Ok(Asked {
-        name: a.name,
-        address,
-        connections: place.number(a.connections, ("connections", "connections"), 1..=64, 1)? as usize,
-        questions: place.number(a.questions, ("questions", "questions"), 1..=10_000, 100)? as usize,
-        timeout: Duration::from_millis(ms(a.timeout_ms, "timeout_ms", 100)?),
-        message: 1_024 * place.number(a.message_kb, ("message_kb", "kilobytes"), 1..=1_024, 64)? as usize,
-        breaker: BreakerPolicy {
-            failures: place.number(a.failures, ("failures", "failures in a row"), 1..=1_000, 5)? as u32,
-            rest: rest as f64 / 1e3,
-            most_rest: ms(a.most_rest_ms, "most_rest_ms", 10_000)?.max(rest) as f64 / 1e3,
-        },
-        classes,
-    })
+    Ok(fallbacks)
 }
--- a/crates/daemon/src/operator/cluster.rs
+++ b/crates/daemon/src/operator/cluster.rs
@@ -1,70 +1,94 @@
-//! `[members]`: this limiter and the others know of each other.
+//! `[members]`: this limiter forms a cluster with the others.
 
-use super::Place;
+use super::error::{Fault, OperatorError};
+use super::source::{NumberKey, SourceText};
 use crate::cluster::Setup;
 use liftrouter_cluster::swim::Pace;
 use serde::Deserialize;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 use toml::Spanned;
 
+/// How far clocks of the cluster may run apart, as a share, where the operator does not say.
+const DEFAULT_CLOCK_DRIFT: f64 = 0.01;
+
 /// The section as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct MembersFile {
+pub(super) struct ClusterSection {
     name: String,
     listen: Spanned<String>,
     join: Vec<Spanned<String>>,
     #[serde(default)]
     voters: Vec<Spanned<String>>,
-    expected: Option<Spanned<u64>>,
-    slots: Option<Spanned<u64>>,
+    #[serde(rename = "expected")]
+    expected_members: Option<Spanned<u64>>,
+    #[serde(rename = "slots")]
+    shards: Option<Spanned<u64>>,
     period_ms: Option<Spanned<u64>>,
-    late_ms: Option<Spanned<u64>>,
+    #[serde(rename = "late_ms")]
+    ping_timeout_ms: Option<Spanned<u64>>,
     suspicion_ms: Option<Spanned<u64>>,
-    term_ms: Option<Spanned<u64>>,
-    drift: Option<Spanned<f64>>,
-    ask: Option<PathBuf>,
-    probe_ms: Option<Spanned<u64>>,
-    via: Option<Spanned<String>>,
+    #[serde(rename = "term_ms")]
+    lease_ms: Option<Spanned<u64>>,
+    #[serde(rename = "drift")]
+    clock_drift: Option<Spanned<f64>>,
+    #[serde(rename = "ask")]
+    status_socket: Option<PathBuf>,
+    #[serde(rename = "probe_ms")]
+    health_check_ms: Option<Spanned<u64>>,
+    #[serde(rename = "via")]
+    link_proxy: Option<Spanned<String>>,
 }
 
 /// Checks the section.
-pub(super) fn check(place: &Place, m: Spanned<MembersFile>) -> Result<Setup, String> {
-    let (at, m) = (m.span().start, m.into_inner());
-    let all = |key: &str, found: &[Spanned<String>]| {
-        found.iter().map(|f| place.address(key, f)).collect::<Result<Vec<_>, _>>()
+pub(super) fn check(source: &SourceText, section: Spanned<ClusterSection>) -> Result<Setup, OperatorError> {
+    let (offset, section) = (section.span().start, section.into_inner());
+    let addresses = |subject: &'static str, values: &[Spanned<String>]| {
+        values.iter().map(|value| source.address(subject, value)).collect::<Result<Vec<_>, _>>()
     };
-    let ms = |value, key, default| place.number(value, (key, "milliseconds"), 1..=3_600_000, default);
-    let period = ms(m.period_ms, "period_ms", 1_000)?;
+    let milliseconds =
+        |value, key, default| source.number(value, NumberKey::milliseconds(key), 1..=3_600_000, default);
+    let period_ms = milliseconds(section.period_ms, "period_ms", 1_000)?;
     let pace = Pace {
-        period: Duration::from_millis(period),
-        late: Duration::from_millis(ms(m.late_ms, "late_ms", period * 3 / 10)?),
-        suspicion: Duration::from_millis(ms(m.suspicion_ms, "suspicion_ms", 3 * period)?),
-        expected: place.number(m.expected, ("expected", "members"), 1..=4_096, 8)? as u32,
+        period: Duration::from_millis(period_ms),
+        late: Duration::from_millis(milliseconds(section.ping_timeout_ms, "late_ms", period_ms * 3 / 10)?),
+        suspicion: Duration::from_millis(milliseconds(section.suspicion_ms, "suspicion_ms", 3 * period_ms)?),
+        expected: source.number(
+            section.expected_members,
+            NumberKey::new("expected", "members"),
+            1..=4_096,
+            8,
+        )? as u32,
     };
     let terms = liftrouter_cluster::lease::Terms {
-        term: 1_000 * ms(m.term_ms, "term_ms", 4 * period)?,
-        drift: m.drift.map_or(0.01, Spanned::into_inner),
+        term: 1_000 * milliseconds(section.lease_ms, "term_ms", 4 * period_ms)?,
+        drift: section.clock_drift.map_or(DEFAULT_CLOCK_DRIFT, Spanned::into_inner),
     };
-    let probe = m.probe_ms.map(|v| ms(Some(v), "probe_ms", 1)).transpose()?.map(Duration::from_millis);
+    let health_check_ms =
+        section.health_check_ms.map(|value| milliseconds(Some(value), "probe_ms", 1)).transpose()?;
     let settings = liftrouter_cluster::Settings {
-        name: m.name,
-        address: place.address("listen has", &m.listen)?,
-        join: all("join has", &m.join)?,
-        voters: all("voters has", &m.voters)?,
-        slots: place.number(m.slots, ("slots", "slots"), 1..=1_024, 64)? as u16,
+        name: section.name,
+        address: source.address("listen has", &section.listen)?,
+        join: addresses("join has", &section.join)?,
+        voters: addresses("voters has", &section.voters)?,
+        slots: source.number(section.shards, NumberKey::new("slots", "slots"), 1..=1_024, 64)? as u16,
         pace,
         terms,
     };
     settings.check().map_err(|problems| {
-        let what: Vec<String> = problems.iter().map(ToString::to_string).collect();
-        place.fault(at, what.join("; "))
+        let problems: Vec<String> = problems.iter().map(ToString::to_string).collect();
+        source.error(offset, Fault::Cluster(problems.join("; ")))
     })?;
-    if let Some(via) = m.via.as_ref().filter(|_| !cfg!(debug_assertions)) {
-        let what = "via is given, but only builds for tests take it: it lets another one play the links";
-        return Err(place.fault(via.span().start, what.into()));
+    let via = section.link_proxy.map(|address| check_link_proxy(source, &address)).transpose()?;
+    Ok(Setup { settings, ask: section.status_socket, probe: health_check_ms.map(Duration::from_millis), via })
+}
+
+/// The proxy that plays the links between members, in builds for tests alone.
+fn check_link_proxy(source: &SourceText, address: &Spanned<String>) -> Result<SocketAddr, OperatorError> {
+    if !cfg!(debug_assertions) {
+        return Err(source.error(address.span().start, Fault::LinkProxyInRelease));
     }
-    let via = m.via.map(|via| place.address("via has", &via)).transpose()?;
-    Ok(Setup { settings, ask: m.ask, probe, via })
+    source.address("via has", address)
 }
--- a/crates/daemon/src/operator/counter.rs
+++ b/crates/daemon/src/operator/counter.rs
@@ -1,103 +1,140 @@
-//! `[keeper]`: what the keeper says is judged by calls of the limiter's own.
+//! `[keeper]`: counter services are validated by calls of the limiter's own, and left for others where they fail.
 
-use super::Place;
+use super::error::{Fault, OperatorError};
+use super::source::{NumberKey, SourceText};
 use liftrouter_counter::{Order, Pace as CallPace, Terms};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// Keepers behind the first, at most.
-const MOST_OTHERS: usize = 7;
+/// Counter services behind the first, at most.
+pub(super) const MAX_FALLBACK_COUNTERS: usize = 7;
+/// In each census every instance is called once and read once, with a call of the sentinel counter between.
+const MIN_CALLS_PER_CENSUS: u64 = 5;
+/// Share of the calls that customers keep whatever validation takes.
+const MIN_CUSTOMER_SHARE: f64 = 0.1;
 
 /// The section as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct KeeperFile {
-    every_ms: Option<Spanned<u64>>,
-    roll_ms: Option<Spanned<u64>>,
-    misses: Option<Spanned<u64>>,
-    sure: Option<Spanned<u64>>,
-    #[serde(default)]
-    others: Vec<Spanned<String>>,
-    patience_ms: Option<Spanned<u64>>,
-    settle_s: Option<Spanned<u64>>,
-    most_settle_s: Option<Spanned<u64>>,
+pub(super) struct CounterSection {
+    #[serde(rename = "every_ms")]
+    interval_ms: Option<Spanned<u64>>,
+    #[serde(rename = "roll_ms")]
+    census_ms: Option<Spanned<u64>>,
+    #[serde(rename = "misses")]
+    failure_threshold: Option<Spanned<u64>>,
+    #[serde(rename = "sure")]
+    success_threshold: Option<Spanned<u64>>,
+    #[serde(default, rename = "others")]
+    fallbacks: Vec<Spanned<String>>,
+    #[serde(rename = "patience_ms")]
+    fault_tolerance_ms: Option<Spanned<u64>>,
+    #[serde(rename = "settle_s")]
+    failback_delay_s: Option<Spanned<u64>>,
+    #[serde(rename = "most_settle_s")]
+    max_failback_delay_s: Option<Spanned<u64>>,
     jitter_ms: Option<Spanned<u64>>,
     calls_per_s: Option<Spanned<u64>>,
-    rise_ms: Option<Spanned<u64>>,
+    #[serde(rename = "rise_ms")]
+    ramp_up_ms: Option<Spanned<u64>>,
 }
 
-/// How keepers are judged and followed.
-pub struct Judged {
-    /// Who judges is still to be told.
+/// How counter services are validated and followed.
+#[derive(Debug)]
+pub struct CounterSettings {
+    /// How they are validated; which limiter this is, is still to be set.
     pub terms: Terms,
-    /// When the keeper is changed.
+    /// When another counter service becomes the active one.
     pub order: Order,
-    /// The keepers behind the one that the configuration names, in order.
-    pub others: Vec<SocketAddr>,
-    /// Calls a second that a keeper takes, if stated, and the seconds over which they come back after a silence.
+    /// The counter services behind the one that the configuration names, in order.
+    pub fallbacks: Vec<SocketAddr>,
+    /// Calls a second that a counter service takes from all limiters, if stated.
     calls_per_s: Option<f64>,
-    rise: f64,
+    /// Seconds over which calls come back after an outage.
+    ramp_up: f64,
 }
 
-impl Judged {
-    /// How calls are spread by each of so many limiters, if they are.
+impl CounterSettings {
+    /// How calls are paced by each of so many limiters, if they are.
     pub fn pace(&self, limiters: u32) -> Option<CallPace> {
         let calls_per_s = self.calls_per_s?;
-        // What judges call is not spread: a call each time, and little beside customers'.
-        let judging = f64::from(limiters.max(1)) / self.terms.every;
-        let calls_per_s = (calls_per_s - judging).max(0.1 * calls_per_s);
-        Some(CallPace { calls_per_s, limiters: limiters.max(1), rise: self.rise })
+        // Validation calls are not paced: one in each interval, and few beside customers'.
+        let validation = f64::from(limiters.max(1)) / self.terms.every;
+        let calls_per_s = (calls_per_s - validation).max(MIN_CUSTOMER_SHARE * calls_per_s);
+        Some(CallPace { calls_per_s, limiters: limiters.max(1), rise: self.ramp_up })
     }
 }
 
 /// Checks the section.
-pub(super) fn check(place: &Place, k: KeeperFile) -> Result<Judged, String> {
-    let at = k.roll_ms.as_ref().map_or(0, |r| r.span().start);
-    let every = place.number(k.every_ms, ("every_ms", "milliseconds"), 50..=3_000, 1_000)?;
-    let roll = place.number(k.roll_ms, ("roll_ms", "milliseconds"), 250..=15_000, 5 * every)?;
-    if roll < 5 * every {
-        // Each roll is called once and read once, with a canary between.
-        let what = format!("roll_ms is {roll}, expected five times every_ms ({every}) at least");
-        return Err(place.fault(at, what));
+pub(super) fn check(source: &SourceText, section: CounterSection) -> Result<CounterSettings, OperatorError> {
+    let milliseconds =
+        |value, key, range, default| source.number(value, NumberKey::milliseconds(key), range, default);
+    let seconds = |value, key, default| {
+        source.number(value, NumberKey::seconds(key), 1..=86_400, default).map(|seconds| seconds as f64)
+    };
+    let count = |value, key, unit, default| source.number(value, NumberKey::new(key, unit), 1..=100, default);
+    let census_offset = section.census_ms.as_ref().map_or(0, |census| census.span().start);
+    let interval_ms = milliseconds(section.interval_ms, "every_ms", 50..=3_000, 1_000)?;
+    let census_ms =
+        milliseconds(section.census_ms, "roll_ms", 250..=15_000, MIN_CALLS_PER_CENSUS * interval_ms)?;
+    if census_ms < MIN_CALLS_PER_CENSUS * interval_ms {
+        return Err(source.error(census_offset, Fault::ShortCensus { census_ms, interval_ms }));
     }
     let terms = Terms {
-        every: every as f64 / 1e3,
-        stretch: roll as f64 / 1e3,
-        misses: place.number(k.misses, ("misses", "calls in a row"), 1..=100, 3)? as u32,
-        sure: place.number(k.sure, ("sure", "answers in a row"), 1..=100, 2)? as u32,
+        every: to_seconds(interval_ms),
+        stretch: to_seconds(census_ms),
+        misses: count(section.failure_threshold, "misses", "calls in a row", 3)? as u32,
+        sure: count(section.success_threshold, "sure", "answers in a row", 2)? as u32,
         ..Terms::default()
     };
-    let mut others: Vec<SocketAddr> = Vec::new();
-    for other in k.others {
-        let address = place.address("others has", &other)?;
-        let at = other.span().start;
-        let found = other.into_inner();
-        if others.contains(&address) {
-            return Err(place.fault(at, format!("others has {found:?} twice, expected different keepers")));
-        }
-        if others.len() == MOST_OTHERS {
-            return Err(place.fault(at, format!("others has more than {MOST_OTHERS} keepers")));
-        }
-        others.push(address);
-    }
-    let ms = |value, key, range, default| {
-        place.number(value, (key, "milliseconds"), range, default).map(|ms| ms as f64 / 1e3)
-    };
-    let seconds =
-        |value, key, default| place.number(value, (key, "seconds"), 1..=86_400, default).map(|s| s as f64);
-    let settle = seconds(k.settle_s, "settle_s", 30)?;
+    let fallbacks = check_fallbacks(source, section.fallbacks)?;
+    let settle = seconds(section.failback_delay_s, "settle_s", 30)?;
     let order = Order {
-        patience: ms(k.patience_ms, "patience_ms", 0..=600_000, roll)?,
+        patience: to_seconds(milliseconds(
+            section.fault_tolerance_ms,
+            "patience_ms",
+            0..=600_000,
+            census_ms,
+        )?),
         settle,
-        most_settle: seconds(k.most_settle_s, "most_settle_s", 600)?.max(settle),
-        jitter: ms(k.jitter_ms, "jitter_ms", 0..=60_000, every / 2)?,
+        most_settle: seconds(section.max_failback_delay_s, "most_settle_s", 600)?.max(settle),
+        jitter: to_seconds(milliseconds(section.jitter_ms, "jitter_ms", 0..=60_000, interval_ms / 2)?),
         stretch: terms.stretch,
     };
-    let calls_per_s = match k.calls_per_s {
-        None => None,
-        some => Some(place.number(some, ("calls_per_s", "calls a second"), 1..=10_000_000, 1)? as f64),
-    };
-    let rise = ms(k.rise_ms, "rise_ms", 0..=600_000, 5_000)?;
-    Ok(Judged { terms, order, others, calls_per_s, rise })
+    let calls_per_s = check_calls_per_s(source, section.calls_per_s)?;
+    let ramp_up = to_seconds(milliseconds(section.ramp_up_ms, "rise_ms", 0..=600_000, 5_000)?);
+    Ok(CounterSettings { terms, order, fallbacks, calls_per_s, ramp_up })
+}
+
+fn to_seconds(milliseconds: u64) -> f64 {
+    milliseconds as f64 / 1e3
+}
+
+fn check_calls_per_s(source: &SourceText, value: Option<Spanned<u64>>) -> Result<Option<f64>, OperatorError> {
+    if value.is_none() {
+        return Ok(None);
+    }
+    let key = NumberKey::new("calls_per_s", "calls a second");
+    source.number(value, key, 1..=10_000_000, 1).map(|calls| Some(calls as f64))
+}
+
+/// The counter services behind the first one: no more than a limit, and none twice.
+fn check_fallbacks(
+    source: &SourceText,
+    values: Vec<Spanned<String>>,
+) -> Result<Vec<SocketAddr>, OperatorError> {
+    let mut fallbacks = Vec::new();
+    for value in values {
+        let address = source.address("others has", &value)?;
+        let offset = value.span().start;
+        if fallbacks.contains(&address) {
+            return Err(source.error(offset, Fault::RepeatedCounter(value.into_inner())));
+        }
+        if fallbacks.len() == MAX_FALLBACK_COUNTERS {
+            return Err(source.error(offset, Fault::TooManyCounters));
+        }
+        fallbacks.push(address);
+    }
+    Ok(fallbacks)
 }
--- a/crates/daemon/src/operator/grpc.rs
+++ b/crates/daemon/src/operator/grpc.rs
@@ -1,6 +1,7 @@
-//! `[grpc]`: external authorisation is answered here.
+//! `[grpc]`: external authorisation is answered by this limiter.
 
-use super::Place;
+use super::error::{Fault, Location, OperatorError};
+use super::source::{NumberKey, SourceText};
 use crate::listeners::grpc::Limits;
 use liftrouter_authz::{FrameLimits, Mapping, Rules};
 use liftrouter_decision::Settings;
@@ -9,33 +10,44 @@
 use std::time::Duration;
 use toml::Spanned;
 
+/// The key under which the rules of added headers are located.
+const ADD: &str = "add";
+
 /// The section as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct GrpcFile {
+pub(super) struct GrpcSection {
     listen: Spanned<String>,
-    streams: Option<Spanned<u64>>,
-    connections: Option<Spanned<u64>>,
+    #[serde(rename = "streams")]
+    max_streams: Option<Spanned<u64>>,
+    #[serde(rename = "connections")]
+    max_connections: Option<Spanned<u64>>,
     message_kb: Option<Spanned<u64>>,
     header_list_kb: Option<Spanned<u64>>,
-    idle_s: Option<Spanned<u64>>,
-    age_s: Option<Spanned<u64>>,
+    #[serde(rename = "idle_s")]
+    idle_timeout_s: Option<Spanned<u64>>,
+    #[serde(rename = "age_s")]
+    max_age_s: Option<Spanned<u64>>,
     resets_per_s: Option<Spanned<u64>>,
-    control_per_s: Option<Spanned<u64>>,
-    hold_ms: Option<Spanned<u64>>,
-    #[serde(default)]
-    mapping: BTreeMap<Spanned<String>, Spanned<String>>,
-    #[serde(default)]
-    add: BTreeMap<String, Spanned<String>>,
+    #[serde(rename = "control_per_s")]
+    control_frames_per_s: Option<Spanned<u64>>,
+    #[serde(rename = "hold_ms")]
+    max_hold_ms: Option<Spanned<u64>>,
+    #[serde(default, rename = "mapping")]
+    rules: BTreeMap<Spanned<String>, Spanned<String>>,
+    #[serde(default, rename = "add")]
+    added_headers: BTreeMap<String, Spanned<String>>,
 }
 
-/// The gRPC front; its mapping is still to be checked against classes and plans.
+/// The gRPC listener; its mapping is still to be checked against classes and plans.
 pub struct Grpc {
+    /// What the listener takes.
     pub limits: Limits,
     rules: Rules,
     /// Where each rule stands, by its key.
-    places: BTreeMap<String, String>,
-    name: String,
+    locations: BTreeMap<String, Location>,
+    /// The file, for rules that it does not have.
+    file: String,
 }
 
 impl Grpc {
@@ -43,69 +55,84 @@
     ///
     /// # Errors
     /// `file:line:column`, what was found and what was expected.
-    pub fn mapping(&self, settings: &Settings) -> Result<Mapping, String> {
-        let classes: Vec<&str> = settings.classes.iter().map(|c| c.name.as_str()).collect();
-        let plans: Vec<&str> = settings.plans.iter().map(|p| p.name.as_str()).collect();
+    pub fn mapping(&self, settings: &Settings) -> Result<Mapping, OperatorError> {
+        let classes: Vec<&str> = settings.classes.iter().map(|class| class.name.as_str()).collect();
+        let plans: Vec<&str> = settings.plans.iter().map(|plan| plan.name.as_str()).collect();
         Mapping::new(&self.rules, &classes, &plans).map_err(|fault| {
-            let place = self.places.get(fault.key).unwrap_or(&self.name);
-            format!("{place}: {fault}")
+            let whole_file = || Location { file: self.file.clone(), position: None };
+            let location = self.locations.get(fault.key).cloned().unwrap_or_else(whole_file);
+            OperatorError::Invalid { location, fault: Fault::Rule(fault) }
         })
     }
 }
 
 /// Checks the section.
-pub(super) fn check(place: &Place, g: GrpcFile) -> Result<Grpc, String> {
-    let listen = place.address("listen is", &g.listen)?;
-    let kilobytes = |n: u64| n as usize * 1_024;
-    let limits = Limits {
-        listen,
-        streams: place.number(g.streams, ("streams", "streams"), 1..=10_000, 100)? as u32,
-        connections: place.number(g.connections, ("connections", "connections"), 1..=10_000, 32)? as usize,
-        message: kilobytes(place.number(g.message_kb, ("message_kb", "kilobytes"), 1..=1_024, 64)?),
-        header_list: kilobytes(place.number(g.header_list_kb, ("header_list_kb", "kilobytes"), 1..=64, 16)?)
-            as u32,
-        idle: Duration::from_secs(place.number(g.idle_s, ("idle_s", "seconds"), 1..=86_400, 60)?),
-        age: Duration::from_secs(place.number(g.age_s, ("age_s", "seconds"), 1..=86_400, 600)?),
+pub(super) fn check(source: &SourceText, section: GrpcSection) -> Result<Grpc, OperatorError> {
+    let limits = check_limits(source, &section)?;
+    let mut rules = Rules::default();
+    let mut locations = BTreeMap::new();
+    for (key, rule) in section.rules {
+        locations.insert(key.get_ref().clone(), source.location(rule.span().start));
+        let Some(known) = rule_of_key(&mut rules, key.get_ref()) else {
+            return Err(source.error(key.span().start, Fault::UnknownRule(key.into_inner())));
+        };
+        *known = rule.into_inner();
+    }
+    for (header, rule) in section.added_headers {
+        locations.insert(ADD.into(), source.location(rule.span().start));
+        rules.add.push((header, rule.into_inner()));
+    }
+    Ok(Grpc { limits, rules, locations, file: source.name.to_string() })
+}
+
+fn check_limits(source: &SourceText, section: &GrpcSection) -> Result<Limits, OperatorError> {
+    let count = |value: &Option<Spanned<u64>>, key, unit, most, default| {
+        source.number(value.clone(), NumberKey::new(key, unit), 1..=most, default)
+    };
+    let seconds = |value: &Option<Spanned<u64>>, key, default| {
+        let number = source.number(value.clone(), NumberKey::seconds(key), 1..=86_400, default);
+        number.map(Duration::from_secs)
+    };
+    let control_key = NumberKey::new("control_per_s", "a second");
+    Ok(Limits {
+        listen: source.address("listen is", &section.listen)?,
+        streams: count(&section.max_streams, "streams", "streams", 10_000, 100)? as u32,
+        connections: count(&section.max_connections, "connections", "connections", 10_000, 32)? as usize,
+        message: bytes(count(&section.message_kb, "message_kb", "kilobytes", 1_024, 64)?),
+        header_list: bytes(count(&section.header_list_kb, "header_list_kb", "kilobytes", 64, 16)?) as u32,
+        idle: seconds(&section.idle_timeout_s, "idle_s", 60)?,
+        age: seconds(&section.max_age_s, "age_s", 600)?,
         frames: FrameLimits {
-            resets: place.number(g.resets_per_s, ("resets_per_s", "a second"), 1..=1_000_000, 100)? as f64,
-            control: place.number(g.control_per_s, ("control_per_s", "a second"), 10..=1_000_000, 500)?
+            resets: count(&section.resets_per_s, "resets_per_s", "a second", 1_000_000, 100)? as f64,
+            control: source.number(section.control_frames_per_s.clone(), control_key, 10..=1_000_000, 500)?
                 as f64,
         },
-        hold: match g.hold_ms {
+        hold: match &section.max_hold_ms {
             None => None,
             some => {
-                let ms = place.number(some, ("hold_ms", "milliseconds"), 1..=600_000, 0)?;
-                Some(Duration::from_millis(ms))
+                let hold = count(some, "hold_ms", "milliseconds", 600_000, 0)?;
+                Some(Duration::from_millis(hold))
             }
         },
-    };
-    let mut rules = Rules::default();
-    let mut places = BTreeMap::new();
-    for (key, rule) in g.mapping {
-        places.insert(key.get_ref().clone(), place.at(rule.span().start));
-        let slot = match key.get_ref().as_str() {
-            "class" => &mut rules.class,
-            "customer" => &mut rules.customer,
-            "plan" => &mut rules.plan,
-            "units" => &mut rules.units,
-            "width" => &mut rules.width,
-            "id" => &mut rules.id,
-            "key" => &mut rules.key,
-            "time_left" => &mut rules.time_left,
-            "repeat" => &mut rules.repeat,
-            found => {
-                let what = format!(
-                    "mapping has {found:?}, expected class, customer, plan, units, width, id, key, time_left \
-                     or repeat"
-                );
-                return Err(place.fault(key.span().start, what));
-            }
-        };
-        *slot = rule.into_inner();
-    }
-    for (header, rule) in g.add {
-        places.insert("add".into(), place.at(rule.span().start));
-        rules.add.push((header, rule.into_inner()));
-    }
-    Ok(Grpc { limits, rules, places, name: place.name.to_string() })
+    })
+}
+
+fn bytes(kilobytes: u64) -> usize {
+    kilobytes as usize * 1_024
+}
+
+/// The rule that a key of the mapping sets.
+fn rule_of_key<'a>(rules: &'a mut Rules, key: &str) -> Option<&'a mut String> {
+    Some(match key {
+        "class" => &mut rules.class,
+        "customer" => &mut rules.customer,
+        "plan" => &mut rules.plan,
+        "units" => &mut rules.units,
+        "width" => &mut rules.width,
+        "id" => &mut rules.id,
+        "key" => &mut rules.key,
+        "time_left" => &mut rules.time_left,
+        "repeat" => &mut rules.repeat,
+        _ => return None,
+    })
 }
--- a/crates/daemon/src/operator/relays.rs
+++ b/crates/daemon/src/operator/relays.rs
@@ -1,30 +1,31 @@
-//! `[relays]`: the list of servers comes through relays, and discovery is not asked.
+//! `[relays]`: the endpoint list comes through relays, and discovery is not called.
 
-use super::Place;
+use super::error::{Fault, OperatorError};
+use super::source::SourceText;
 use liftrouter_catalog::Subscription;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The longest name of a service or region.
-const LONGEST_NAME: usize = 64;
+/// The longest name of a service or region, in bytes.
+pub(super) const MAX_NAME_BYTES: usize = 64;
 
 /// The section as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct RelaysFile {
+pub(super) struct RelaysSection {
     #[serde(default)]
     addresses: Vec<Spanned<String>>,
     #[serde(default)]
     services: Vec<Spanned<String>>,
-    #[serde(default)]
-    region: Vec<Spanned<RegionFile>>,
+    #[serde(default, rename = "region")]
+    regions: Vec<Spanned<RegionSection>>,
 }
 
 /// A region as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RegionFile {
+struct RegionSection {
     name: Spanned<String>,
     addresses: Vec<Spanned<String>>,
 }
@@ -47,65 +48,67 @@
 
 /// Checks the section.
 pub(super) fn check(
-    place: &Place,
-    section: Spanned<RelaysFile>,
+    source: &SourceText,
+    section: Spanned<RelaysSection>,
     has_inventory: bool,
-) -> Result<Relays, String> {
-    let (at, file) = (section.span().start, section.into_inner());
+) -> Result<Relays, OperatorError> {
+    let (offset, section) = (section.span().start, section.into_inner());
     if has_inventory {
-        return Err(place.fault(at, "relays beside inventory, expected one: they could disagree".into()));
+        return Err(source.error(offset, Fault::RelaysAndInventory));
     }
-    let names = file.services.iter().map(|name| checked_name(place, "services has", name));
-    let names = names.collect::<Result<Vec<_>, _>>()?;
-    let subscription = if names.is_empty() { Subscription::All } else { Subscription::services(names) };
-    let regions = match (file.addresses.is_empty(), file.region.is_empty()) {
-        (false, false) => {
-            return Err(place.fault(at, "relays has addresses and regions, expected one of them".into()));
-        }
+    let services = section.services.iter().map(|name| check_name(source, "services has", name));
+    let services = services.collect::<Result<Vec<_>, _>>()?;
+    let subscription = if services.is_empty() { Subscription::All } else { Subscription::services(services) };
+    let regions = match (section.addresses.is_empty(), section.regions.is_empty()) {
+        (false, false) => return Err(source.error(offset, Fault::AddressesAndRegions)),
         (_, true) => vec![RelayRegion {
             name: String::new(),
-            addresses: checked_addresses(place, at, "relays", &file.addresses)?,
+            addresses: check_addresses(source, offset, "relays", &section.addresses)?,
         }],
-        (true, false) => checked_regions(place, &file.region)?,
+        (true, false) => check_regions(source, &section.regions)?,
     };
     Ok(Relays { regions, subscription })
 }
 
-fn checked_regions(place: &Place, regions: &[Spanned<RegionFile>]) -> Result<Vec<RelayRegion>, String> {
+fn check_regions(
+    source: &SourceText,
+    regions: &[Spanned<RegionSection>],
+) -> Result<Vec<RelayRegion>, OperatorError> {
     let mut checked: Vec<RelayRegion> = Vec::new();
     for region in regions {
-        let (at, region) = (region.span().start, region.get_ref());
-        let name = checked_name(place, "name is", &region.name)?;
+        let (offset, region) = (region.span().start, region.get_ref());
+        let name = check_name(source, "name is", &region.name)?;
         if checked.iter().any(|other| other.name == name) {
-            let what = format!("name is {name:?} once more, expected another for each region");
-            return Err(place.fault(region.name.span().start, what));
+            return Err(source.error(region.name.span().start, Fault::RepeatedRegion(name)));
         }
-        let addresses = checked_addresses(place, at, "region", &region.addresses)?;
+        let addresses = check_addresses(source, offset, "region", &region.addresses)?;
         checked.push(RelayRegion { name, addresses });
     }
     Ok(checked)
 }
 
-fn checked_addresses(
-    place: &Place,
-    at: usize,
-    whose: &str,
+fn check_addresses(
+    source: &SourceText,
+    offset: usize,
+    section: &'static str,
     addresses: &[Spanned<String>],
-) -> Result<Vec<SocketAddr>, String> {
+) -> Result<Vec<SocketAddr>, OperatorError> {
     if addresses.is_empty() {
-        return Err(place.fault(at, format!("{whose} names no address, expected one at least")));
+        return Err(source.error(offset, Fault::NoAddress { section }));
     }
-    addresses.iter().map(|address| place.address("addresses has", address)).collect()
+    addresses.iter().map(|address| source.address("addresses has", address)).collect()
 }
 
 /// A name that can stand in a query as it is.
-fn checked_name(place: &Place, what: &str, name: &Spanned<String>) -> Result<String, String> {
+fn check_name(
+    source: &SourceText,
+    subject: &'static str,
+    name: &Spanned<String>,
+) -> Result<String, OperatorError> {
     let text = name.get_ref();
-    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_' | '~');
-    if text.is_empty() || text.len() > LONGEST_NAME || !text.chars().all(allowed) {
-        let fault =
-            format!("{what} {text:?}, expected 1 to {LONGEST_NAME} letters, digits, or one of - . _ ~");
-        return Err(place.fault(name.span().start, fault));
+    let is_allowed = |symbol: char| symbol.is_ascii_alphanumeric() || matches!(symbol, '-' | '.' | '_' | '~');
+    if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.chars().all(is_allowed) {
+        return Err(source.error(name.span().start, Fault::Name { subject, found: text.clone() }));
     }
     Ok(text.clone())
 }
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -1,46 +1,61 @@
-//! The operator's file, good and faulty.
+//! The operator's file: every key is read, and every fault is located.
 
 use super::*;
+use crate::authoriser::WhenUnsure;
+use crate::listeners::grpc::Limits;
+use liftrouter_authz::{BreakerPolicy, FrameLimits, Mapping, Rules};
+use liftrouter_catalog::Subscription;
 use liftrouter_inventory::Form;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::time::Duration;
 
 #[test]
-fn nothing_is_chosen_by_an_empty_file() {
+fn an_empty_file_turns_everything_off() {
     assert!(parse("o.toml", "# nothing\n").expect("good").inventory.is_none());
 }
 
 #[test]
-fn the_sample_can_be_read() {
+fn the_sample_file_is_valid() {
     let sample = include_str!("../../../../deploy/sample-operator.toml");
     let source = parse("o.toml", sample).expect("good").inventory.expect("a file");
-    assert_eq!((source.form, source.poll), (Form::Csv, Duration::from_millis(50)));
+    assert_eq!((source.form, source.poll_interval), (Form::Csv, Duration::from_millis(50)));
     let grpc = parse("o.toml", sample).expect("good").grpc.expect("a front");
     assert_eq!((grpc.limits.listen.port(), grpc.limits.streams), (9001, 100));
 }
 
 #[test]
-fn a_class_that_does_not_exist_is_named_with_its_place() {
+fn an_unknown_class_is_located() {
     let text = "[[authoriser]]\nname = 'a'\naddress = '[::1]:1'\nclasses = { qoute = 'pass' }\n";
     let settings: Settings =
         serde_json::from_str(r#"{"classes": [{"name": "quote"}, {"name": "bind"}]}"#).expect("settings");
-    let found = parse("o.toml", text).expect("good").check(&settings).err().unwrap_or_default();
-    assert_eq!(found, "o.toml:4:13: classes has \"qoute\", expected one of quote, bind");
+    let found = parse("o.toml", text).expect("good").check(&settings).err().map(|error| error.to_string());
+    assert_eq!(found.as_deref(), Some("o.toml:4:13: classes has \"qoute\", expected one of quote, bind"));
 }
 
 #[test]
-fn a_rule_that_does_not_fit_the_settings_names_its_place() {
+fn a_mapping_rule_that_does_not_fit_the_settings_is_located() {
     let text = "[grpc]\nlisten = '127.0.0.1:0'\n[grpc.mapping]\nclass = 'value:qoute'\n";
     let grpc = parse("o.toml", text).expect("good").grpc.expect("a front");
     let settings: Settings =
         serde_json::from_str(r#"{"classes": [{"name": "quote"}], "tariffs": [{"name": "roomy"}]}"#)
             .expect("settings");
-    let found = grpc.mapping(&settings).err().unwrap_or_default();
-    assert_eq!(found, "o.toml:4:9: class is \"value:qoute\", expected one of quote");
+    let found = grpc.mapping(&settings).err().map(|error| error.to_string());
+    assert_eq!(found.as_deref(), Some("o.toml:4:9: class is \"value:qoute\", expected one of quote"));
+}
+
+/// Every text is refused with an error that contains the place, what was found and what was expected.
+fn assert_errors(cases: &[(&str, &str)]) {
+    for (text, expected) in cases {
+        let error = parse("o.toml", text).err().map(|error| error.to_string()).unwrap_or_default();
+        assert!(error.contains(expected), "{text:?}: {error:?} does not contain {expected:?}");
+    }
 }
 
 #[test]
-fn faults_name_their_place_what_was_found_and_what_was_expected() {
-    for (text, expected) in [
+fn faulty_relays_sections_are_located() {
+    assert_errors(&[
         ("[relays]\naddresses = []\n", "o.toml:1:1: relays names no address, expected one at least"),
         ("[relays]\naddresses = ['a']\n", "o.toml:2:14: addresses has \"a\", expected an address and a port"),
         (
@@ -68,13 +83,22 @@
             "[inventory]\ncsv = 'a'\n[relays]\naddresses = ['127.0.0.1:1']\n",
             "o.toml:3:1: relays beside inventory, expected one: they could disagree",
         ),
+    ]);
+}
+
+#[test]
+fn faulty_inventory_sections_are_located() {
+    assert_errors(&[
         ("[inventory]\n", "o.toml:1:1: inventory names no file, expected csv or yaml"),
         ("[inventory]\ncsv = 'a'\nyaml = 'b'\n", "inventory names csv and yaml, expected one"),
         ("[inventory]\ncsv = 'a'\nquiet_ms = 0\n", "o.toml:3:12: quiet_ms is 0, expected 1 to 10000"),
-        (
-            "[inventory]\ncsv = 'a'\nmost_removed = 2.0\n",
-            "o.toml:3:16: most_removed is 2, expected a share",
-        ),
+        ("[inventory]\ncsv = 'a'\nmost_removed = 2.0\n", "o.toml:3:16: most_removed is 2, expected a share"),
+    ]);
+}
+
+#[test]
+fn faulty_grpc_sections_are_located() {
+    assert_errors(&[
         ("[grpc]\n", "missing field `listen`"),
         ("[grpc]\nlisten = 'x'\n", "o.toml:2:10: listen is \"x\", expected an address and a port"),
         (
@@ -89,6 +113,12 @@
             "[grpc]\nlisten = '[::1]:1'\n[grpc.mapping]\nklass = 'id'\n",
             "o.toml:4:1: mapping has \"klass\", expected class,",
         ),
+    ]);
+}
+
+#[test]
+fn faulty_authoriser_sections_are_located() {
+    assert_errors(&[
         (
             "[[authoriser]]\nname = 'a'\naddress = 'x'\nclasses = {}\n",
             "o.toml:3:11: address is \"x\", expected an address and a port",
@@ -102,6 +132,12 @@
              [[authoriser]]\nname = 'b'\naddress = '[::1]:1'\nclasses = { quote = 'pass' }\n",
             "o.toml:8:13: classes has \"quote\", which names an authoriser at o.toml:4:13, expected one",
         ),
+    ]);
+}
+
+#[test]
+fn faulty_counter_sections_are_located() {
+    assert_errors(&[
         (
             "[keeper]\nothers = ['127.0.0.1:1', 'x']\n",
             "o.toml:2:26: others has \"x\", expected an address and a port",
@@ -110,6 +146,13 @@
             "[keeper]\nothers = ['127.0.0.1:1', '127.0.0.1:1']\n",
             "o.toml:2:26: others has \"127.0.0.1:1\" twice",
         ),
+        ("[keeper]\ncalls_per_s = 0\n", "o.toml:2:15: calls_per_s is 0, expected 1 to"),
+    ]);
+}
+
+#[test]
+fn faulty_cluster_sections_are_located() {
+    assert_errors(&[
         (
             "[members]\nname = 'n0'\nlisten = 'x'\njoin = []\n",
             "o.toml:3:10: listen has \"x\", expected an address and a port",
@@ -123,11 +166,133 @@
             "[members]\nname = 'n0'\nlisten = '127.0.0.1:1'\njoin = []\nlate_ms = 900\n",
             "late_ms is 900, expected 1 to half of period_ms, 500",
         ),
-        ("[keeper]\ncalls_per_s = 0\n", "o.toml:2:15: calls_per_s is 0, expected 1 to"),
+    ]);
+}
+
+#[test]
+fn unknown_sections_and_broken_syntax_are_located() {
+    assert_errors(&[
         ("[inventry]\n", "o.toml:1:2: unknown field `inventry`"),
         ("[inventory]\ncsv = \n", "o.toml:2:7"),
-    ] {
-        let found = parse("o.toml", text).err().unwrap_or_default();
-        assert!(found.contains(expected), "{text:?}: {found:?} holds no {expected:?}");
-    }
+    ]);
+}
+
+/// A file of earlier versions with every key of each section.
+const EVERY_KEY: &str = include_str!("../../tests/fixtures/operator.toml");
+
+fn every_key() -> Operator {
+    parse("o.toml", EVERY_KEY).expect("every key is known")
+}
+
+fn address(text: &str) -> SocketAddr {
+    text.parse().expect("an address")
+}
+
+#[test]
+fn every_key_of_the_grpc_section_is_read() {
+    let grpc = every_key().grpc.expect("a gRPC listener");
+    let expected = Limits {
+        listen: address("127.0.0.1:9101"),
+        streams: 11,
+        connections: 12,
+        message: 13 * 1_024,
+        header_list: 14 * 1_024,
+        idle: Duration::from_secs(15),
+        age: Duration::from_secs(16),
+        frames: FrameLimits { resets: 17.0, control: 18.0 },
+        hold: Some(Duration::from_millis(19)),
+    };
+    assert_eq!(grpc.limits, expected);
+    let settings: Settings =
+        serde_json::from_str(r#"{"classes": [{"name": "quote"}], "tariffs": [{"name": "roomy"}]}"#)
+            .expect("settings");
+    let rules = Rules {
+        class: "path:3".into(),
+        customer: "header:x-customer".into(),
+        plan: "header:x-plan".into(),
+        units: "header:x-units".into(),
+        width: "header:x-width".into(),
+        id: "header:x-id".into(),
+        key: "header:x-key".into(),
+        time_left: "header:x-time".into(),
+        repeat: "header:x-again".into(),
+        add: vec![("x-added".into(), "value:yes".into())],
+    };
+    assert_eq!(grpc.mapping(&settings).ok(), Mapping::new(&rules, &["quote"], &["roomy"]).ok());
+}
+
+#[test]
+fn every_key_of_an_authoriser_section_is_read() {
+    let expected = Asked {
+        name: "risk".into(),
+        address: address("127.0.0.1:9102"),
+        connections: 2,
+        questions: 21,
+        timeout: Duration::from_millis(22),
+        message: 23 * 1_024,
+        breaker: BreakerPolicy { failures: 24, rest: 0.025, most_rest: 0.026 },
+        classes: HashMap::from([("bind".into(), WhenUnsure::Refuse), ("quote".into(), WhenUnsure::Pass)]),
+    };
+    assert_eq!(every_key().authorisers, [expected]);
+}
+
+#[test]
+fn every_key_of_the_counter_section_is_read() {
+    let counter = every_key().counter.expect("counter settings");
+    let terms = &counter.terms;
+    assert_eq!((terms.every, terms.stretch, terms.misses, terms.sure), (0.1, 0.6, 31, 32));
+    let order = &counter.order;
+    assert_eq!((order.patience, order.settle, order.most_settle), (0.033, 34.0, 35.0));
+    assert_eq!((order.jitter, order.stretch), (0.036, 0.6));
+    assert_eq!(counter.fallbacks, [address("127.0.0.1:6401"), address("127.0.0.1:6402")]);
+    let pace = counter.pace(3).expect("paced calls");
+    assert_eq!((pace.calls_per_s, pace.limiters, pace.rise), (970.0, 3, 0.037));
+}
+
+#[test]
+fn every_key_of_the_cluster_section_is_read() {
+    let setup = every_key().cluster.expect("a cluster");
+    let settings = &setup.settings;
+    assert_eq!((settings.name.as_str(), settings.address), ("n0", address("127.0.0.1:7100")));
+    assert_eq!(settings.join, [address("127.0.0.1:7101")]);
+    assert_eq!(settings.voters, ["127.0.0.1:7100", "127.0.0.1:7101", "127.0.0.1:7102"].map(address));
+    assert_eq!((settings.pace.expected, settings.slots), (41, 42));
+    let milliseconds = |duration: Duration| duration.as_millis();
+    assert_eq!(milliseconds(settings.pace.period), 430);
+    assert_eq!(milliseconds(settings.pace.late), 44);
+    assert_eq!(milliseconds(settings.pace.suspicion), 450);
+    assert_eq!((settings.terms.term, settings.terms.drift), (460_000, 0.047));
+    assert_eq!(setup.ask, Some(PathBuf::from("cluster.sock")));
+    assert_eq!(setup.probe, Some(Duration::from_millis(48)));
+}
+
+#[test]
+fn every_key_of_the_inventory_section_is_read() {
+    let text = "[inventory]\nyaml = 'nodes.yaml'\nquiet_ms = 51\nmost_removed = 0.52\npoll_ms = 53\n";
+    let source = parse("o.toml", text).expect("good").inventory.expect("a file");
+    assert_eq!((source.path, source.form), (PathBuf::from("nodes.yaml"), Form::Yaml));
+    assert_eq!((source.policy.quiet, source.policy.most_removed), (Duration::from_millis(51), 0.52));
+    assert_eq!(source.poll_interval, Duration::from_millis(53));
+}
+
+#[test]
+fn every_key_of_the_relays_section_is_read() {
+    let text = "[relays]\nservices = ['quotes', 'payments']\n\
+                [[relays.region]]\nname = 'west'\naddresses = ['127.0.0.1:1', '127.0.0.1:2']\n";
+    let relays = parse("o.toml", text).expect("good").relays.expect("relays");
+    assert_eq!(relays.subscription, Subscription::services(["payments", "quotes"]));
+    let regions: Vec<_> =
+        relays.regions.iter().map(|region| (region.name.as_str(), region.addresses.clone())).collect();
+    assert_eq!(regions, [("west", vec![address("127.0.0.1:1"), address("127.0.0.1:2")])]);
+    let relays = parse("o.toml", "[relays]\naddresses = ['127.0.0.1:1']\n").expect("good").relays;
+    let relays = relays.expect("relays");
+    assert_eq!(relays.subscription, Subscription::All);
+    assert_eq!((relays.regions[0].name.as_str(), relays.regions.len()), ("", 1));
+}
+
+#[test]
+fn a_file_that_cannot_be_read_is_named() {
+    let error = read(Path::new("/nowhere/o.toml")).err().map(|error| error.to_string());
+    let expected = "/nowhere/o.toml: cannot be read: No such file or directory (os error 2)";
+    assert_eq!(error.as_deref(), Some(expected));
 }
--- a/crates/daemon/src/relay/mod.rs
+++ b/crates/daemon/src/relay/mod.rs
@@ -1,55 +1,56 @@
-//! A relay: follows the list of servers upstream and serves it to children, each of which follows some services.
+//! A relay: follows the endpoint list upstream and serves it to subscribers, each of which follows some services.
 //!
-//! Relays speak discovery's own protocol on both sides, so a child may be a limiter or another relay. A sign of life
-//! goes to the children only when one has come from upstream: what a child takes for fresh is fresh from the root on.
-//! See `docs/design/relays.md`.
+//! Relays speak discovery's own protocol on both sides, so a subscriber may be a limiter or another relay. A heartbeat
+//! goes to the subscribers only when one has come from upstream: a list that a subscriber takes for fresh is fresh
+//! from the root on. See `docs/design/relays.md`.
 
-mod children;
+mod list_sink;
 mod server;
+mod subscribers;
+#[cfg(test)]
+mod tests;
 
 use crate::discovery::session::Session;
 use crate::discovery::upstream::Upstream;
 use crate::log;
-use children::{Children, RelayList};
+use crate::startup::{self, handle_signal, local_address, runtime, StartupError};
+use list_sink::RelayList;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
+use subscribers::SubscriberTable;
+use tokio::signal::unix::SignalKind;
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-/// Where a relay listens and whom it follows.
+/// Where a relay listens and what it follows.
 pub struct RelaySetup {
+    /// Where subscribers connect.
     pub listen: SocketAddr,
+    /// Discovery, or relays nearer to the root.
     pub upstream: Upstream,
     /// Spreads the retries of several relays.
     pub seed: u64,
 }
 
-/// Runs a relay until it is told to end.
+/// Runs a relay until SIGTERM.
 ///
 /// # Errors
 /// It cannot listen, or cannot handle signals.
-pub fn run(setup: RelaySetup) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(setup))
+pub fn run(setup: RelaySetup) -> Result<(), StartupError> {
+    LocalSet::new().block_on(&runtime()?, serve(setup))
 }
 
-async fn serve(setup: RelaySetup) -> Result<(), String> {
-    let mut terminated =
-        signal(SignalKind::terminate()).map_err(|e| format!("cannot handle SIGTERM: {e}"))?;
-    let listener = TcpListener::bind(setup.listen).await;
-    let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", setup.listen))?;
-    let bound = listener.local_addr().map_err(|e| e.to_string())?;
-    log("relay", format_args!("listening on {bound}"));
-    let children = Rc::new(RefCell::new(Children::default()));
-    let list = RelayList::new(children.clone());
+async fn serve(setup: RelaySetup) -> Result<(), StartupError> {
+    let mut terminated = handle_signal(SignalKind::terminate(), "SIGTERM")?;
+    let listener = startup::listen(setup.listen, "").await?;
+    log("relay", format_args!("listening on {}", local_address(&listener)?));
+    let subscribers = Rc::new(RefCell::new(SubscriberTable::default()));
+    let list = RelayList::new(subscribers.clone());
     let session = Session::new(Rc::new(setup.upstream), list, Rc::new(Notify::new()), setup.seed);
     tokio::select! {
         () = session.run() => {}
-        () = server::accept(listener, children) => {}
+        () = server::accept(listener, subscribers) => {}
         _ = terminated.recv() => log("relay", "SIGTERM: ending, children find other relays"),
     }
     Ok(())
--- a/crates/daemon/src/relay/server.rs
+++ b/crates/daemon/src/relay/server.rs
@@ -1,6 +1,7 @@
-//! The relay's side of discovery's protocol: watches of the list over HTTP/1.1.
+//! The relay's side of discovery's protocol: watches of the endpoint list over HTTP/1.1.
 
-use super::children::{ChildId, Children};
+use super::subscribers::{SubscriberId, SubscriberTable};
+use crate::discovery::watch_request::{WatchRequest, WATCH_PATH};
 use crate::listeners::accept;
 use crate::log;
 use bytes::Bytes;
@@ -10,9 +11,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use liftrouter_catalog::Subscription;
 use std::cell::RefCell;
-use std::collections::BTreeSet;
 use std::convert::Infallible;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -22,28 +21,28 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The most children of one relay: 7,100 limiters over 16 relays are 444, and half of the relays may be lost.
-const MOST_CHILDREN: usize = 2_000;
-/// A child that is refused may come again after so many seconds.
+/// The most subscribers of one relay: 7,100 limiters over 16 relays are 444, and half of the relays may be lost.
+const MAX_SUBSCRIBERS: usize = 2_000;
+/// A subscriber that is refused may retry after this time, in seconds.
 const RETRY_AFTER_SECONDS: HeaderValue = HeaderValue::from_static("1");
 
-type Shared = Rc<RefCell<Children>>;
+type SharedSubscribers = Rc<RefCell<SubscriberTable>>;
 
-/// Accepts children for as long as it is polled.
-pub async fn accept(listener: TcpListener, children: Shared) {
+/// Accepts subscribers for as long as it is polled.
+pub async fn accept(listener: TcpListener, subscribers: SharedSubscribers) {
     let closed = Notify::new();
-    let take = |stream: TcpStream| {
-        spawn_local(connection(stream, children.clone()));
+    let serve = |stream: TcpStream| {
+        spawn_local(serve_connection(stream, subscribers.clone()));
     };
-    accept::accept(listener, "relay", &closed, || false, take).await;
+    accept::accept(listener, "relay", &closed, || false, serve).await;
 }
 
-async fn connection(stream: TcpStream, children: Shared) {
+async fn serve_connection(stream: TcpStream, subscribers: SharedSubscribers) {
     // Small messages are to go out at once.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let children = children.clone();
-        async move { Ok::<_, Infallible>(answer(&request, &children)) }
+        let subscribers = subscribers.clone();
+        async move { Ok::<_, Infallible>(respond(&request, &subscribers)) }
     });
     let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
@@ -53,67 +52,44 @@
     }
 }
 
-type Answer = Response<Either<Watch, Empty<Bytes>>>;
+type WatchResponse = Response<Either<Watch, Empty<Bytes>>>;
 
-fn answer(request: &Request<Incoming>, children: &Shared) -> Answer {
+fn respond(request: &Request<Incoming>, subscribers: &SharedSubscribers) -> WatchResponse {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/discovery/hosts") => watch(request.uri().query().unwrap_or(""), children),
-        (&Method::GET, "/up") if children.borrow().is_fresh() => empty(StatusCode::OK),
+        (&Method::GET, WATCH_PATH) => open_watch(request.uri().query().unwrap_or(""), subscribers),
+        (&Method::GET, "/up") if subscribers.borrow().is_fresh() => empty(StatusCode::OK),
         (&Method::GET, "/up") => empty(StatusCode::SERVICE_UNAVAILABLE),
         _ => empty(StatusCode::NOT_FOUND),
     }
 }
 
-fn empty(status: StatusCode) -> Answer {
-    let mut answer = Response::new(Either::Right(Empty::new()));
-    *answer.status_mut() = status;
-    answer
+fn empty(status: StatusCode) -> WatchResponse {
+    let mut response = Response::new(Either::Right(Empty::new()));
+    *response.status_mut() = status;
+    response
 }
 
-fn watch(query: &str, children: &Shared) -> Answer {
-    let Ok(wanted) = Wanted::parse(query) else { return empty(StatusCode::BAD_REQUEST) };
-    let mut table = children.borrow_mut();
-    let full = table.len() >= MOST_CHILDREN;
-    let subscribed = (!full).then(|| table.subscribe(wanted.subscription, wanted.after));
+fn open_watch(query: &str, subscribers: &SharedSubscribers) -> WatchResponse {
+    let Ok(request) = WatchRequest::parse_query(query) else { return empty(StatusCode::BAD_REQUEST) };
+    let mut table = subscribers.borrow_mut();
+    let is_full = table.len() >= MAX_SUBSCRIBERS;
+    let subscribed = (!is_full).then(|| table.subscribe(request.subscription, request.after));
     let Some(Ok((id, messages))) = subscribed else {
-        let mut answer = empty(StatusCode::SERVICE_UNAVAILABLE);
-        answer.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_SECONDS);
-        return answer;
+        let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+        response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_SECONDS);
+        return response;
     };
-    let stream = Watch { id, messages, children: children.clone() };
-    let mut answer = Response::new(Either::Left(stream));
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+    let stream = Watch { id, messages, subscribers: subscribers.clone() };
+    let mut response = Response::new(Either::Left(stream));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
 
-/// What a child asks for.
-struct Wanted {
-    subscription: Subscription,
-    after: Option<u64>,
-}
-
-impl Wanted {
-    fn parse(query: &str) -> Result<Wanted, std::num::ParseIntError> {
-        let mut services = BTreeSet::new();
-        let mut after = None;
-        for (key, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
-            match key {
-                "after" => after = Some(value.parse()?),
-                "service" => drop(services.insert(value.to_string())),
-                _ => {}
-            }
-        }
-        let subscription =
-            if services.is_empty() { Subscription::All } else { Subscription::Services(services) };
-        Ok(Wanted { subscription, after })
-    }
-}
-
-/// The body of a watch; the child is forgotten when it is dropped.
+/// The body of a watch; the subscriber is removed when it is dropped.
 struct Watch {
-    id: ChildId,
+    id: SubscriberId,
     messages: Receiver<Bytes>,
-    children: Shared,
+    subscribers: SharedSubscribers,
 }
 
 impl Body for Watch {
@@ -130,6 +106,6 @@
 
 impl Drop for Watch {
     fn drop(&mut self) {
-        self.children.borrow_mut().unsubscribe(self.id);
+        self.subscribers.borrow_mut().unsubscribe(self.id);
     }
 }
--- a/crates/daemon/src/relay/subscribers.rs
+++ b/crates/daemon/src/relay/subscribers.rs
@@ -1,58 +1,68 @@
-//! The list as a relay holds it, and the children that follow it.
+//! The list as a relay holds it, and the subscribers that follow it.
 
-use crate::discovery::sink::{ListSink, SignOfLife};
+use crate::discovery::sink::Heartbeat;
 use crate::log;
 use bytes::Bytes;
 use liftrouter_catalog::{ApplyError, ChangeLog, Subscribers, Subscription, Update};
 use liftrouter_discovery::SILENCE;
-use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
-use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::time::Instant;
 
-/// Messages that may wait for a child. One that reads slower is cut off and comes again by its revision.
-const CHILD_QUEUE: usize = 64;
-/// Each so many signs of life one carries the digest of what the child holds: every 10 s.
-const DIGEST_EVERY: u32 = 5;
-/// A message from upstream is passed on as a sign of life where the last one was passed on so long ago: discovery
-/// writes no empty line while it has changes to tell.
-const SIGN_AFTER: Duration = Duration::from_millis(1_500);
-/// What tells a child that nothing has changed.
+/// Messages that may wait for a subscriber. One that reads more slowly is disconnected, and resumes by its revision.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// One heartbeat of this many carries the digest of what the subscriber holds: every 10 s.
+const HEARTBEATS_PER_DIGEST: u32 = 5;
+/// A message from upstream is forwarded as a heartbeat where the last one was forwarded this long ago: discovery
+/// writes no empty line while it has changes to announce.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
+/// The heartbeat of a list that has not changed.
 const EMPTY_LINE: &[u8] = b"\n";
 
-/// Number of a child, unique in its relay.
-pub type ChildId = u64;
+/// Number of a subscriber, unique in its relay.
+pub type SubscriberId = u64;
 
-struct Child {
+struct Subscriber {
     messages: Sender<Bytes>,
-    /// What it holds once it has read all its messages.
+    /// The revision that it holds once it has read all its messages.
     revision: u64,
-    /// Something was sent since the last sign of life.
-    told: bool,
+    /// Something was sent since the last heartbeat.
+    notified: bool,
 }
 
-/// The list, and who follows it.
+/// The list, and its subscribers.
 #[derive(Default)]
-pub struct Children {
+pub struct SubscriberTable {
     log: ChangeLog,
-    subscribers: Subscribers<ChildId>,
-    children: BTreeMap<ChildId, Child>,
-    last_child: ChildId,
-    /// When the list was last confirmed, as upstream tells.
-    confirmed: Option<Instant>,
-    /// When a sign of life was last passed on, and how many were.
-    last_sign: Option<Instant>,
-    signs: u32,
+    subscriptions: Subscribers<SubscriberId>,
+    connections: BTreeMap<SubscriberId, Subscriber>,
+    last_id: SubscriberId,
+    /// When the list was last confirmed, as upstream says.
+    confirmed_at: Option<Instant>,
+    /// When a heartbeat was last forwarded, and how many were.
+    last_heartbeat: Option<Instant>,
+    heartbeats: u32,
 }
 
-/// A relay cannot take children while it does not know whether its list is current.
-#[derive(Debug)]
-pub struct NotFresh;
+/// A relay accepts no subscribers while it does not know whether its list is current.
+#[derive(Debug, Error)]
+#[error("the list was not confirmed within {} s", SILENCE.as_secs_f64())]
+pub struct StaleList;
 
-impl Children {
-    /// Takes in a child that holds a revision, or nothing. Its first message is what it lacks.
+impl SubscriberTable {
+    /// The revision of the list at hand; none before the first one.
+    pub fn revision(&self) -> Option<u64> {
+        self.log.generation()
+    }
+
+    /// Accepts the next complete list whatever its revision.
+    pub fn forget_revision(&mut self) {
+        self.log.forget_generation();
+    }
+
+    /// Adds a subscriber that holds a revision, or nothing. Its first message is what it lacks.
     ///
     /// # Errors
     /// The relay has no list that it knows to be current.
@@ -60,160 +70,124 @@
         &mut self,
         subscription: Subscription,
         after: Option<u64>,
-    ) -> Result<(ChildId, Receiver<Bytes>), NotFresh> {
-        let first = self.log.since(&subscription, after).filter(|_| self.is_fresh()).ok_or(NotFresh)?;
-        let (messages, receiver) = channel(CHILD_QUEUE);
+    ) -> Result<(SubscriberId, Receiver<Bytes>), StaleList> {
+        let first = self.log.since(&subscription, after).filter(|_| self.is_fresh()).ok_or(StaleList)?;
+        let (messages, receiver) = channel(MAX_QUEUED_MESSAGES);
         let digest = Some(self.log.digest(&subscription));
         let revision = first.generation;
-        // The queue is empty: it takes the first message.
-        let _ = messages.try_send(self.line(Update { digest, ..first }));
-        self.last_child += 1;
-        self.children.insert(self.last_child, Child { messages, revision, told: false });
-        self.subscribers.subscribe(self.last_child, subscription);
-        Ok((self.last_child, receiver))
+        // The queue is empty: it has room for the first message.
+        let _ = messages.try_send(self.encode(Update { digest, ..first }));
+        self.last_id += 1;
+        self.connections.insert(self.last_id, Subscriber { messages, revision, notified: false });
+        self.subscriptions.subscribe(self.last_id, subscription);
+        Ok((self.last_id, receiver))
     }
 
-    /// The child has gone.
-    pub fn unsubscribe(&mut self, child: ChildId) {
-        self.children.remove(&child);
-        self.subscribers.unsubscribe(&child);
+    /// Removes a subscriber.
+    pub fn unsubscribe(&mut self, id: SubscriberId) {
+        self.connections.remove(&id);
+        self.subscriptions.unsubscribe(&id);
     }
 
-    /// Whether upstream gave a sign of life in time.
+    /// Whether upstream gave a heartbeat in time.
     pub fn is_fresh(&self) -> bool {
-        self.confirmed.is_some_and(|at| at.elapsed() <= SILENCE)
+        self.confirmed_at.is_some_and(|at| at.elapsed() <= SILENCE)
     }
 
+    /// How many subscribers there are.
     pub fn len(&self) -> usize {
-        self.children.len()
+        self.connections.len()
     }
 
-    fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
+    /// Applies an update of upstream, and sends each subscriber what changed for it.
+    ///
+    /// # Errors
+    /// The update does not fit the list at hand, which stays as it is.
+    pub fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
         let applied = self.log.apply(update)?;
-        let concerned = self.subscribers.interested_in_any(applied.services.iter().map(String::as_str));
-        // Children of one subscription and revision get the same bytes.
-        let mut lines: HashMap<(Subscription, u64), Bytes> = HashMap::new();
-        for id in concerned {
-            let (Some(child), Some(subscription)) =
-                (self.children.get(&id), self.subscribers.subscription(&id))
+        let interested = self.subscriptions.interested_in_any(applied.services.iter().map(String::as_str));
+        // Subscribers of one subscription and revision get the same bytes.
+        let mut messages: HashMap<(Subscription, u64), Bytes> = HashMap::new();
+        for id in interested {
+            let (Some(subscriber), Some(subscription)) =
+                (self.connections.get(&id), self.subscriptions.subscription(&id))
             else {
                 continue;
             };
-            let key = (subscription.clone(), child.revision);
-            let bytes = match lines.get(&key) {
-                Some(bytes) => bytes.clone(),
-                None => {
-                    let Some(update) = self.log.since(subscription, Some(child.revision)) else { continue };
-                    lines.entry(key).or_insert(self.line(update)).clone()
-                }
+            let key = (subscription.clone(), subscriber.revision);
+            let bytes = if let Some(bytes) = messages.get(&key) {
+                bytes.clone()
+            } else {
+                let after = Some(subscriber.revision);
+                let Some(update) = self.log.since(subscription, after) else { continue };
+                messages.entry(key).or_insert(self.encode(update)).clone()
             };
             self.send(id, bytes, Some(applied.generation));
         }
         Ok(())
     }
 
-    fn send(&mut self, id: ChildId, bytes: Bytes, revision: Option<u64>) {
-        let Some(child) = self.children.get_mut(&id) else { return };
-        if child.messages.try_send(bytes).is_err() {
+    /// Queues a message for a subscriber; one whose queue is full is removed.
+    fn send(&mut self, id: SubscriberId, bytes: Bytes, revision: Option<u64>) {
+        let Some(subscriber) = self.connections.get_mut(&id) else { return };
+        if subscriber.messages.try_send(bytes).is_err() {
             log("relay", format_args!("child {id} reads too slowly or has gone: it is cut off"));
             return self.unsubscribe(id);
         }
-        child.told = true;
-        child.revision = revision.unwrap_or(child.revision);
+        subscriber.notified = true;
+        subscriber.revision = revision.unwrap_or(subscriber.revision);
     }
 
-    fn confirm(&mut self, ago: Duration) {
+    /// Records that the list was confirmed so long ago.
+    pub fn confirm(&mut self, ago: Duration) {
         let now = Instant::now();
-        self.confirmed = self.confirmed.max(Some(now.checked_sub(ago).unwrap_or(now)));
+        self.confirmed_at = self.confirmed_at.max(Some(now.checked_sub(ago).unwrap_or(now)));
     }
 
-    /// Whether a sign of life of upstream is to be passed on.
-    fn passes_on(&self, sign: SignOfLife) -> bool {
-        match sign {
-            SignOfLife::EmptyLine => true,
-            SignOfLife::Message { confirmed_ago } => {
-                confirmed_ago.is_zero() && self.last_sign.is_none_or(|at| at.elapsed() >= SIGN_AFTER)
+    /// Whether a heartbeat of upstream is to be forwarded.
+    pub fn forwards(&self, heartbeat: Heartbeat) -> bool {
+        match heartbeat {
+            Heartbeat::EmptyLine => true,
+            Heartbeat::Message { confirmed_ago } => {
+                let is_due = || self.last_heartbeat.is_none_or(|at| at.elapsed() >= HEARTBEAT_INTERVAL);
+                confirmed_ago.is_zero() && is_due()
             }
         }
     }
 
-    /// Each child that was told nothing since the last sign of life gets one.
-    fn pass_on_sign(&mut self) {
-        self.last_sign = Some(Instant::now());
-        self.signs = self.signs.wrapping_add(1);
-        let with_digest = self.signs.is_multiple_of(DIGEST_EVERY);
-        let ids: Vec<ChildId> = self.children.keys().copied().collect();
+    /// Sends a heartbeat to each subscriber that was notified of nothing since the last one.
+    pub fn forward_heartbeat(&mut self) {
+        self.last_heartbeat = Some(Instant::now());
+        self.heartbeats = self.heartbeats.wrapping_add(1);
+        let with_digest = self.heartbeats.is_multiple_of(HEARTBEATS_PER_DIGEST);
+        let ids: Vec<SubscriberId> = self.connections.keys().copied().collect();
         for id in ids {
             if with_digest {
                 self.send_digest(id);
-            } else if self.children.get(&id).is_some_and(|child| !child.told) {
+            } else if self.connections.get(&id).is_some_and(|subscriber| !subscriber.notified) {
                 self.send(id, Bytes::from_static(EMPTY_LINE), None);
             }
-            if let Some(child) = self.children.get_mut(&id) {
-                child.told = false;
+            if let Some(subscriber) = self.connections.get_mut(&id) {
+                subscriber.notified = false;
             }
         }
     }
 
-    /// Tells the child what it should hold, and the present revision, so that the history need not reach back far.
-    fn send_digest(&mut self, id: ChildId) {
-        let Some(subscription) = self.subscribers.subscription(&id) else { return };
+    /// Sends the digest of what the subscriber should hold, and the present revision, so that the history need not
+    /// reach back far.
+    fn send_digest(&mut self, id: SubscriberId) {
+        let Some(subscription) = self.subscriptions.subscription(&id) else { return };
         let Some(update) = self.log.digest_message(subscription) else { return };
         let revision = update.generation;
-        self.send(id, self.line(update), Some(revision));
+        self.send(id, self.encode(update), Some(revision));
     }
 
-    /// A message as it goes out: with the age of this relay's list, which telling it does not make fresh.
-    fn line(&self, mut update: Update) -> Bytes {
-        let age = self.confirmed.map_or(Duration::ZERO, |at| at.elapsed());
+    /// Encodes a message with the age of this relay's list, which sending it does not make fresh.
+    fn encode(&self, mut update: Update) -> Bytes {
+        let age = self.confirmed_at.map_or(Duration::ZERO, |at| at.elapsed());
         update.confirmed_ago_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         let mut text = serde_json::to_vec(&update).unwrap_or_default();
         text.push(b'\n');
         text.into()
     }
 }
-
-/// What upstream tells, taken in for the children.
-pub struct RelayList {
-    children: Rc<RefCell<Children>>,
-}
-
-impl RelayList {
-    pub fn new(children: Rc<RefCell<Children>>) -> Self {
-        RelayList { children }
-    }
-}
-
-impl ListSink for RelayList {
-    fn revision(&self) -> Option<u64> {
-        self.children.borrow().log.generation()
-    }
-
-    fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
-        let mut children = self.children.borrow_mut();
-        children.confirm(Duration::from_millis(update.confirmed_ago_ms));
-        children.apply(update)
-    }
-
-    fn forget_revision(&mut self) {
-        self.children.borrow_mut().log.forget_generation();
-    }
-
-    fn heartbeat(&mut self, sign: SignOfLife) {
-        let mut children = self.children.borrow_mut();
-        children.confirm(sign.confirmed_ago());
-        if children.passes_on(sign) {
-            children.pass_on_sign();
-        }
-    }
-
-    fn disconnected(&mut self) {}
-
-    fn expired(&mut self, age: Duration) {
-        log("relay", format_args!("stale: upstream gave no sign of life for {:.1} s", age.as_secs_f64()));
-    }
-
-    fn confirmed(&mut self) {
-        log("relay", "upstream gives signs of life again");
-    }
-}
--- a/crates/daemon/src/serve/listeners.rs
+++ b/crates/daemon/src/serve/listeners.rs
@@ -1,10 +1,12 @@
-//! The fronts at which clients come: HTTP always, gRPC where the operator has one.
+//! The listeners at which clients connect: HTTP always, gRPC where the operator has one.
 
+use super::error::ServeError;
 use crate::listeners::gate::Gate;
 use crate::listeners::grpc::{Grpc, Limits};
 use crate::listeners::http::Clients;
 use crate::log::log;
-use crate::operator::Operator;
+use crate::operator::{self, Operator};
+use crate::startup::{listen, local_address};
 use liftrouter_authz::Mapping;
 use liftrouter_decision::Settings;
 use std::net::SocketAddr;
@@ -12,113 +14,125 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// The listeners of the fronts, bound before anything else is started.
-pub(super) struct Listeners {
-    clients: TcpListener,
-    clients_at: SocketAddr,
-    grpc: Option<GrpcListener>,
+/// The listening sockets, bound before anything else is started.
+pub(super) struct BoundListeners {
+    http: TcpListener,
+    http_address: SocketAddr,
+    grpc: Option<BoundGrpc>,
 }
 
-struct GrpcListener {
+struct BoundGrpc {
     listener: TcpListener,
     limits: Limits,
     mapping: Mapping,
 }
 
-impl Listeners {
+impl BoundListeners {
     /// Binds all of them.
     ///
     /// # Errors
     /// An address cannot be listened on, or the operator's file does not fit the settings.
-    pub async fn bind(listen: SocketAddr, operator: &Operator, settings: &Settings) -> Result<Self, String> {
-        let clients = TcpListener::bind(listen).await;
-        let clients = clients.map_err(|e| format!("cannot listen on {listen}: {e}"))?;
-        let clients_at = clients.local_addr().map_err(|e| e.to_string())?;
+    pub async fn bind(
+        address: SocketAddr,
+        operator: &Operator,
+        settings: &Settings,
+    ) -> Result<Self, ServeError> {
+        let http = listen(address, "").await?;
+        let http_address = local_address(&http)?;
         operator.check(settings)?;
         let grpc = match &operator.grpc {
+            Some(grpc) => Some(BoundGrpc::bind(grpc, settings).await?),
             None => None,
-            Some(grpc) => {
-                let (limits, mapping) = (grpc.limits.clone(), grpc.mapping(settings)?);
-                let listener = TcpListener::bind(limits.listen).await;
-                let listener =
-                    listener.map_err(|e| format!("cannot listen on {} for gRPC: {e}", limits.listen))?;
-                Some(GrpcListener { listener, limits, mapping })
-            }
         };
-        Ok(Listeners { clients, clients_at, grpc })
+        Ok(BoundListeners { http, http_address, grpc })
     }
 
-    /// Sockets that the gRPC front may take.
+    /// Sockets that the gRPC listener may take.
     pub fn grpc_sockets(&self) -> usize {
         self.grpc.as_ref().map_or(0, |grpc| grpc.limits.connections + 1)
     }
 }
 
-/// A front, and the task that accepts its connections.
-struct Accepting<F> {
-    front: Rc<F>,
-    task: JoinHandle<()>,
+impl BoundGrpc {
+    async fn bind(grpc: &operator::Grpc, settings: &Settings) -> Result<Self, ServeError> {
+        let (limits, mapping) = (grpc.limits.clone(), grpc.mapping(settings)?);
+        let listener = listen(limits.listen, " for gRPC").await?;
+        Ok(BoundGrpc { listener, limits, mapping })
+    }
+}
+
+/// A listener, and the task that accepts its connections.
+struct Running<L> {
+    listener: Rc<L>,
+    accept_task: JoinHandle<()>,
 }
 
-/// The running fronts.
-pub(super) struct Fronts {
-    clients: Accepting<Clients>,
-    grpc: Option<Accepting<Grpc>>,
+/// The running listeners.
+pub(super) struct Listeners {
+    http: Running<Clients>,
+    grpc: Option<Running<Grpc>>,
 }
 
-impl Fronts {
+impl Listeners {
     /// Accepts connections from now on, and says so in the log.
-    pub fn start(listeners: Listeners, gate: &Rc<Gate>, client_sockets: usize, name: String) -> Rc<Self> {
-        let clients = Clients::new(gate.clone(), client_sockets);
-        let task = spawn_local({
-            let (clients, listener) = (clients.clone(), listeners.clients);
-            async move { clients.accept(listener).await }
-        });
-        let clients = Accepting { front: clients, task };
-        let grpc = listeners.grpc.map(|GrpcListener { listener, limits, mapping }| {
-            let front = Grpc::new(gate.clone(), limits, mapping, name);
-            if let Ok(address) = listener.local_addr() {
-                log("liftrouter", format_args!("gRPC on {address}"));
-            }
-            let task = spawn_local({
-                let front = front.clone();
-                async move { front.accept(listener).await }
-            });
-            Accepting { front, task }
-        });
-        log("liftrouter", format_args!("listening on {}", listeners.clients_at));
-        Rc::new(Fronts { clients, grpc })
+    pub fn start(bound: BoundListeners, gate: &Rc<Gate>, client_sockets: usize, name: String) -> Rc<Self> {
+        let http = start_http(bound.http, gate.clone(), client_sockets);
+        let grpc = bound.grpc.map(|grpc| start_grpc(grpc, gate.clone(), name));
+        log("liftrouter", format_args!("listening on {}", bound.http_address));
+        Rc::new(Listeners { http, grpc })
     }
 
-    /// From now on clients are let in.
+    /// Admits requests from now on.
     pub fn set_ready(&self) {
-        self.clients.front.set_ready();
+        self.http.listener.set_ready();
         if let Some(grpc) = &self.grpc {
-            grpc.front.set_ready();
+            grpc.listener.set_ready();
         }
     }
 
-    /// Begins the end: what is asked still is answered, and connections are closed as they come to rest.
+    /// Begins the graceful shutdown: requests that have come are still answered, and idle connections are closed.
     pub fn drain(&self) {
-        self.clients.front.drain();
+        self.http.listener.drain();
         if let Some(grpc) = &self.grpc {
-            grpc.front.drain();
+            grpc.listener.drain();
         }
     }
 
     /// Waits until no connection is left.
     pub async fn all_closed(&self) {
-        self.clients.front.all_closed().await;
+        self.http.listener.all_closed().await;
         if let Some(grpc) = &self.grpc {
-            grpc.front.all_closed().await;
+            grpc.listener.all_closed().await;
         }
     }
 
     /// Accepts no more connections.
     pub fn stop_accepting(&self) {
-        self.clients.task.abort();
+        self.http.accept_task.abort();
         if let Some(grpc) = &self.grpc {
-            grpc.task.abort();
+            grpc.accept_task.abort();
         }
     }
 }
+
+fn start_http(socket: TcpListener, gate: Rc<Gate>, client_sockets: usize) -> Running<Clients> {
+    let listener = Clients::new(gate, client_sockets);
+    let accept_task = spawn_local({
+        let listener = listener.clone();
+        async move { listener.accept(socket).await }
+    });
+    Running { listener, accept_task }
+}
+
+fn start_grpc(bound: BoundGrpc, gate: Rc<Gate>, name: String) -> Running<Grpc> {
+    let BoundGrpc { listener: socket, limits, mapping } = bound;
+    let listener = Grpc::new(gate, limits, mapping, name);
+    if let Ok(address) = socket.local_addr() {
+        log("liftrouter", format_args!("gRPC on {address}"));
+    }
+    let accept_task = spawn_local({
+        let listener = listener.clone();
+        async move { listener.accept(socket).await }
+    });
+    Running { listener, accept_task }
+}
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -1,199 +1,164 @@
 //! Starts the parts of a limiter, moves them to new addresses on SIGHUP, and ends them on SIGTERM.
 
-mod fronts;
-mod list;
+mod cluster_node;
+mod endpoint_list;
+mod error;
+mod listeners;
+mod resources;
 mod shutdown;
 
+pub use error::ServeError;
+
 use crate::authoriser::Authorisers;
-use crate::cluster::{self, Group};
 use crate::config::{read_file, Addresses, Setup};
-use crate::counter::client::{self, CounterClient};
+use crate::counter::client::CounterClient;
 use crate::counter::pool::CounterPool;
 use crate::counter::validation::Judging;
-use crate::discovery::calls::Discovery;
+use crate::discovery::client::DiscoveryClient;
 use crate::events::EventQueue;
 use crate::host::{Host, Peers};
 use crate::listeners::gate::Gate;
 use crate::listeners::grpc;
 use crate::log::log;
-use crate::operator::{Judged, Operator};
+use crate::operator::{CounterSettings, Operator};
+use crate::startup::{handle_signal, runtime};
 use crate::upstream::servers::Servers;
-use fronts::{Fronts, Listeners};
+use cluster_node::ClusterNode;
+use endpoint_list::EndpointList;
+use liftrouter_catalog::Update;
 use liftrouter_counter::Pacer;
 use liftrouter_decision::Settings;
-use list::ServerList;
+use listeners::{BoundListeners, Listeners};
+use resources::{body_budget, parse_seed, retry_seed, SocketBudget};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::net::UnixListener;
-use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::signal::unix::{Signal, SignalKind};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Descriptors kept for the listener, the runtime, discovery and whatever is being accepted.
-const RESERVE: usize = 24;
-const SOCKETS_DEFAULT: usize = 1_024;
-/// An odd number whose multiples differ in all their bits.
-const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-const MEMORY_MB_DEFAULT: f64 = 32.0;
-/// Share of the memory limit that the bodies of open requests may take. As much again may come back in
-/// answers, and each connection has a buffer of some kilobytes.
-const BODY_SHARE: f64 = 0.125;
+/// Exit code after a panic, as the standard library has it.
+const PANIC_EXIT_CODE: i32 = 101;
 
-/// Runs a limiter until it is told to end.
-pub fn run(setup: Setup, operator: Operator) -> Result<(), String> {
-    // A limiter that panicked no longer knows what it owes: it ends, and is started anew.
+/// Runs a limiter until SIGTERM.
+///
+/// # Errors
+/// It cannot start: an address, a signal handler or the operator's file cannot be used. Or requests were left open
+/// at the end.
+pub fn run(setup: Setup, operator: Operator) -> Result<(), ServeError> {
+    // A limiter that panicked no longer knows which requests it owes an answer: it ends, and is started anew.
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         report(info);
-        std::process::exit(101);
+        std::process::exit(PANIC_EXIT_CODE);
     }));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(setup, operator))
+    LocalSet::new().block_on(&runtime()?, serve(setup, operator))
 }
 
 async fn serve(
     Setup { path, listen, discovery, settings, config }: Setup,
     mut operator: Operator,
-) -> Result<(), String> {
-    let handle = |kind, name: &str| signal(kind).map_err(|e| format!("cannot handle {name}: {e}"));
+) -> Result<(), ServeError> {
     // Both first: a signal that finds no handler ends the program.
-    let mut terminated = handle(SignalKind::terminate(), "SIGTERM")?;
-    let hangup = handle(SignalKind::hangup(), "SIGHUP")?;
-    let listeners = Listeners::bind(listen, &operator, &settings).await?;
+    let mut terminated = handle_signal(SignalKind::terminate(), "SIGTERM")?;
+    let hangup = handle_signal(SignalKind::hangup(), "SIGHUP")?;
+    let bound = BoundListeners::bind(listen, &operator, &settings).await?;
     let events = EventQueue::new();
-    let members = match &operator.members {
-        Some(setup) => Some(Membership::open(setup, events.clone()).await?),
+    let cluster_node = match &operator.cluster {
+        Some(setup) => Some(ClusterNode::open(setup, events.clone()).await?),
         None => None,
     };
 
-    let seed = seed_of(&config.seed);
-    // Limiters that were given one seed must not retry in step.
-    let retry_seed = seed ^ u64::from(settings.instance_index).wrapping_mul(SEED_STEP);
-    let sockets = SocketBudget::new(config.limits.sockets, &operator, &listeners);
+    let seed = parse_seed(&config.seed);
+    let retry_seed = retry_seed(seed, settings.instance_index);
+    let sockets = SocketBudget::new(&config.limits, &operator, &bound);
     let servers = Rc::new(Servers::new(&settings, sockets.servers));
-    let keepers = keepers(config.counter, operator.keeper.as_ref(), &settings, seed);
-    let mut list = ServerList::new(&mut operator, discovery, &settings, retry_seed);
-    let peers = Peers { servers: servers.clone(), keepers: keepers.clone() };
+    let counters = counter_pool(config.counter, operator.counter.as_ref(), &settings, seed);
+    let mut list = EndpointList::new(&mut operator, discovery, &settings, retry_seed);
+    let peers = Peers { servers: servers.clone(), keepers: counters.clone() };
     let mut host = Host::new(settings.clone(), seed, events.clone(), peers);
     let name = grpc::instance_name();
     let authorisers = Authorisers::new(operator.authorisers, name.clone());
-    if let Some(judged) = operator.keeper {
-        let terms = (judged.terms, judged.order);
-        spawn_local(Judging::new(keepers.clone(), events.clone(), terms, &settings, seed).run());
+    if let Some(CounterSettings { terms, order, .. }) = operator.counter {
+        let validation = Judging::new(counters.clone(), events.clone(), (terms, order), &settings, seed);
+        spawn_local(validation.run());
         host = host.watch_pauses();
     }
-    let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    let memory_mb = config.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(MEMORY_MB_DEFAULT);
-    let body_bytes = (memory_mb * BODY_SHARE * 1024.0 * 1024.0) as usize;
-    let gate = Gate::new(events.clone(), settings, body_bytes, authorisers);
+    let longest_deadline = longest_deadline(&settings);
+    let gate = Gate::new(events.clone(), settings, body_budget(&config.limits), authorisers);
 
     spawn_local(host.run());
-    let group = members.map(|members| members.start(&servers));
+    let cluster = cluster_node.map(|node| node.start(&servers));
     spawn_local(async move { servers.sweep().await });
     list.follow(&events, retry_seed);
-    spawn_local(reload(hangup, path, list.discovery().clone(), keepers));
-    let fronts = Fronts::start(listeners, &gate, sockets.clients, name);
-    spawn_local({
-        let (fronts, events) = (fronts.clone(), events.clone());
-        async move {
-            list.first(&events, config.known).await;
-            fronts.set_ready();
-        }
-    });
+    spawn_local(reload(hangup, path, list.discovery().clone(), counters));
+    let listeners = Listeners::start(bound, &gate, sockets.clients, name);
+    spawn_local(admit_when_listed(list, listeners.clone(), events.clone(), config.known));
 
     terminated.recv().await;
-    shutdown::shut_down(&fronts, &gate, group.as_deref(), &events, longest_deadline).await
-}
-
-/// The seed is 16 hex digits; any other text is as good a seed, and none is one too.
-fn seed_of(text: &str) -> u64 {
-    u64::from_str_radix(text, 16)
-        .unwrap_or_else(|_| text.bytes().fold(0, |seed: u64, b| seed.wrapping_mul(31) ^ u64::from(b)))
+    shutdown::shut_down(&listeners, &gate, cluster.as_deref(), &events, longest_deadline).await
 }
 
-/// How many sockets clients and servers may take, each.
-struct SocketBudget {
-    clients: usize,
-    servers: usize,
+/// The longest deadline of a class, in seconds; 0 without classes.
+fn longest_deadline(settings: &Settings) -> f64 {
+    settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
 }
 
-impl SocketBudget {
-    fn new(sockets: Option<usize>, operator: &Operator, listeners: &Listeners) -> Self {
-        let authorisers = operator.authorisers.iter().map(|a| a.connections).sum::<usize>();
-        let other_keepers = operator.keeper.as_ref().map_or(0, |k| k.others.len());
-        let keepers = client::CALLS * (1 + other_keepers);
-        let taken = RESERVE + keepers + listeners.grpc_sockets() + authorisers;
-        // Each request may hold two sockets, one to its client and one to a server.
-        let left = sockets.unwrap_or(SOCKETS_DEFAULT).saturating_sub(taken).max(2);
-        SocketBudget { clients: left - left / 2, servers: left / 2 }
-    }
+/// Admits requests once the first endpoint list has come.
+async fn admit_when_listed(
+    list: EndpointList,
+    listeners: Rc<Listeners>,
+    events: Rc<EventQueue>,
+    known: Option<Update>,
+) {
+    list.wait_for_first(&events, known).await;
+    listeners.set_ready();
 }
 
-/// The keeper that the configuration names, and those that the operator has put behind it.
-fn keepers(
-    counter: Option<SocketAddr>,
-    judged: Option<&Judged>,
+/// The counter service that the configuration names, and those that the operator has put behind it.
+fn counter_pool(
+    first: Option<SocketAddr>,
+    operator: Option<&CounterSettings>,
     settings: &Settings,
     seed: u64,
 ) -> Rc<CounterPool> {
-    let mut all = vec![CounterClient::new(counter, settings)];
+    let mut clients = vec![CounterClient::new(first, settings)];
     let mut pacer = None;
-    if let Some(judged) = judged {
-        all.extend(judged.others.iter().map(|at| CounterClient::new(Some(*at), settings)));
-        let part = (seed >> 11) as f64 / (1u64 << 53) as f64;
-        pacer = judged.pace(settings.instance_count).map(|pace| Pacer::new(pace, part, 0.0));
+    if let Some(operator) = operator {
+        let fallbacks = operator.fallbacks.iter();
+        clients.extend(fallbacks.map(|address| CounterClient::new(Some(*address), settings)));
+        pacer = operator.pace(settings.instance_count).map(|pace| Pacer::new(pace, unit_interval(seed), 0.0));
     }
-    CounterPool::new(all, pacer)
-}
-
-/// This limiter as a member, before it runs.
-struct Membership {
-    group: Rc<Group>,
-    /// Where it is asked who is there.
-    asked: Option<UnixListener>,
-    /// How often each node is probed, where they are.
-    probe: Option<Duration>,
+    CounterPool::new(clients, pacer)
 }
 
-impl Membership {
-    async fn open(setup: &cluster::Setup, events: Rc<EventQueue>) -> Result<Self, String> {
-        let asked = setup.ask.as_deref().map(cluster::listen).transpose()?;
-        Ok(Membership { group: Group::open(setup, events).await?, asked, probe: setup.probe })
-    }
-
-    fn start(self, servers: &Rc<Servers>) -> Rc<Group> {
-        let Membership { group, asked, probe } = self;
-        spawn_local(group.clone().run());
-        if let Some(listener) = asked {
-            spawn_local(group.clone().answer(listener));
-        }
-        if let Some(every) = probe {
-            spawn_local(group.clone().probe(servers.clone(), every));
-        }
-        group
-    }
+/// A number from 0 up to 1 that has the first 53 bits of the seed, as many as a `f64` holds.
+fn unit_interval(seed: u64) -> f64 {
+    (seed >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Takes the addresses of discovery and counter from the file anew at each SIGHUP. The environment tells what
-/// held at the start, so the file holds before it here. Signals that come meanwhile are not lost: they count
+/// Takes the addresses of discovery and counter from the file anew at each SIGHUP. The environment says what
+/// held at the start, so the file has precedence here. Signals that come meanwhile are not lost: they count
 /// as one more.
-async fn reload(mut hangup: Signal, path: String, list: Rc<Discovery>, keepers: Rc<CounterPool>) {
+async fn reload(
+    mut hangup: Signal,
+    path: String,
+    discovery_client: Rc<DiscoveryClient>,
+    counters: Rc<CounterPool>,
+) {
     while hangup.recv().await.is_some() {
         let Addresses { discovery, counter } = match read_file(&path) {
             Ok(addresses) => addresses,
             // Better the old addresses than none, and better either than to end.
-            Err(fault) => {
-                log("liftrouter", format_args!("SIGHUP: all stays as it is: {fault}"));
+            Err(error) => {
+                log("liftrouter", format_args!("SIGHUP: all stays as it is: {error}"));
                 continue;
             }
         };
         log("liftrouter", format_args!("SIGHUP: discovery {discovery:?}, counter {counter:?}"));
         if let Some(address) = discovery {
-            list.move_to(address);
+            discovery_client.move_to(address);
         }
         if let Some(address) = counter {
-            keepers.move_first(address);
+            counters.move_first(address);
         }
     }
 }
