--- a/crates/daemon/tests/asked.rs
+++ b/crates/daemon/tests/asked.rs
@@ -10,16 +10,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as told after this time, and after this time from a move.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A request may come to a server so long after its drain counts as told.
+/// What discovery has counts as notified after this time, and after this time from a move.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// A request may come to a server so long after its drain counts as notified.
 const GRACE: Duration = Duration::from_millis(250);
 /// A second call may be out beside another so long before the list goes out of date.
 const SPARE_CALL: Duration = Duration::from_millis(2_500);
 /// Calls count as out at once only if they are for longer than a busy machine takes to notice that one ended.
 const OVERLAP: Duration = Duration::from_millis(100);
-const MOST_CALLS_OUT: usize = 2;
+const MAX_CALLS_IN_FLIGHT: usize = 2;
 /// The retry budget: so many calls in any window, and in the long run one a second.
 const BUDGET: usize = 8;
 const BUDGET_WINDOW: Duration = Duration::from_secs(5);
@@ -30,10 +30,10 @@
 /// A refusal is given at once: within this time on a busy machine.
 const AT_ONCE: Duration = Duration::from_secs(1);
 /// Jitter spreads pauses at least so far, in seconds.
-const LEAST_SPREAD_S: f64 = 0.02;
-const MOST_REQUESTS: usize = 4_000;
+const MIN_SPREAD_S: f64 = 0.02;
+const MAX_REQUESTS: usize = 4_000;
 
-fn asked_settings() -> Value {
+fn on_request_settings() -> Value {
     let mut settings = settings();
     settings["discovery"] = json!("on_request");
     settings["invariants"]["must-ask-in-s"] = json!(10.0);
@@ -43,7 +43,7 @@
 
 /// An answer that a client got.
 #[derive(Clone, Debug)]
-struct Told {
+struct ClientAnswer {
     at: Instant,
     took: Duration,
     status: u16,
@@ -51,53 +51,53 @@
 }
 
 /// A client that keeps asking one limiter.
-struct Asker {
-    answers: Arc<Mutex<Vec<Told>>>,
+struct SteadyClient {
+    answers: Arc<Mutex<Vec<ClientAnswer>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Asker {
-    fn start(limiter: usize, address: SocketAddr, pause: Duration) -> Asker {
-        let (answers, stop): (Arc<Mutex<Vec<Told>>>, Arc<AtomicBool>) = Default::default();
+impl SteadyClient {
+    fn start(limiter: usize, address: SocketAddr, pause: Duration) -> SteadyClient {
+        let (answers, stop): (Arc<Mutex<Vec<ClientAnswer>>>, Arc<AtomicBool>) = Default::default();
         let (noted, stopped) = (answers.clone(), stop.clone());
         let thread = thread::spawn(move || {
-            for serial in 0..MOST_REQUESTS {
+            for serial in 0..MAX_REQUESTS {
                 if stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let began = Instant::now();
-                let answer = Client::to(address).ask(&marked_quote(limiter, serial));
-                let (status, text) = (answer.status(), answer.text());
-                let told = Told { at: Instant::now(), took: began.elapsed(), status, text };
-                noted.lock().expect("lock").push(told);
+                let response = Client::to(address).ask(&marked_quote(limiter, serial));
+                let (status, text) = (response.status(), response.text());
+                let answer = ClientAnswer { at: Instant::now(), took: began.elapsed(), status, text };
+                noted.lock().expect("lock").push(answer);
                 thread::sleep(pause);
             }
         });
-        Asker { answers, stop, thread: Some(thread) }
+        SteadyClient { answers, stop, thread: Some(thread) }
     }
 
-    fn answers(&self) -> Vec<Told> {
+    fn answers(&self) -> Vec<ClientAnswer> {
         self.answers.lock().expect("lock").clone()
     }
 
-    fn served_since(&self, since: Instant) -> Option<Told> {
-        self.answers().into_iter().find(|told| told.status == 200 && told.at - told.took >= since)
+    fn served_since(&self, since: Instant) -> Option<ClientAnswer> {
+        self.answers().into_iter().find(|answer| answer.status == 200 && answer.at >= since + answer.took)
     }
 
-    fn refused_since(&self, since: Instant) -> Vec<Told> {
-        self.answers().into_iter().filter(|told| told.status == 429 && told.at >= since).collect()
+    fn refused_since(&self, since: Instant) -> Vec<ClientAnswer> {
+        self.answers().into_iter().filter(|answer| answer.status == 429 && answer.at >= since).collect()
     }
 
     fn stop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the asker");
+            thread.join().expect("the client");
         }
     }
 }
 
-impl Drop for Asker {
+impl Drop for SteadyClient {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
@@ -111,16 +111,16 @@
     number: usize,
     front: SocketAddr,
     /// Before the limiter, so that it stops asking before the limiter ends.
-    asker: Asker,
+    client: SteadyClient,
     limiter: Limiter,
     began: Instant,
-    /// When it was told to move to another address, and to which.
+    /// When it was moved to another address, and to which.
     moved: Option<(Instant, SocketAddr)>,
 }
 
 /// Limiters, two servers and the discovery service between them.
 struct Rig {
-    discovery: AskedDiscovery,
+    discovery: OnRequestDiscovery,
     servers: [TimedServer; 2],
     members: Vec<Member>,
     pause: Duration,
@@ -148,7 +148,7 @@
 impl Rig {
     fn new(cost: Cost, pause: Duration) -> Rig {
         let servers = [TimedServer::new("first"), TimedServer::new("second")];
-        let discovery = AskedDiscovery::new(cost, &[servers[0].fake.address, servers[1].fake.address]);
+        let discovery = OnRequestDiscovery::new(cost, &[servers[0].fake.address, servers[1].fake.address]);
         Rig { discovery, servers, members: Vec::new(), pause, seeds: Seeds::Same }
     }
 
@@ -176,7 +176,7 @@
 
     fn wait_until_all_serve(&self, since: Instant) {
         for member in &self.members {
-            wait_until("a limiter serves", || member.asker.served_since(since).is_some());
+            wait_until("a limiter serves", || member.client.served_since(since).is_some());
         }
     }
 
@@ -189,13 +189,20 @@
         most
     }
 
+    /// From now on every call to these addresses goes so.
+    fn conduct_all(&self, fronts: &[SocketAddr], conduct: Conduct) {
+        for front in fronts {
+            self.discovery.conduct(*front, conduct);
+        }
+    }
+
     fn front(&self) -> SocketAddr {
         self.members[0].front
     }
 
     /// Ends the askers, and compares all that was seen with the rules.
     fn check(&mut self, case: &str) {
-        self.members.iter_mut().for_each(|member| member.asker.stop());
+        self.members.iter_mut().for_each(|member| member.client.stop());
         for member in &self.members {
             self.check_calls(member, case);
             self.check_drains(member, case);
@@ -213,18 +220,18 @@
         self.servers[server].arrivals().into_iter().filter(theirs).collect()
     }
 
-    /// Nothing comes to a server long after its drain counts as told.
+    /// Nothing comes to a server long after its drain counts as notified.
     fn check_drains(&self, member: &Member, case: &str) {
         for drain in self.discovery.drains() {
-            let mut told = drain.since + TOLD;
+            let mut notified = drain.since + NOTIFIED_AFTER;
             if let Some((moved, _)) = member.moved.filter(|(moved, _)| *moved >= drain.since) {
-                told = told.min(moved + TOLD_AFTER_MOVE);
+                notified = notified.min(moved + NOTIFIED_AFTER_MOVE);
             }
-            if let Some(written) = self.discovery.told(member.number, drain.server) {
-                told = told.min(written);
+            if let Some(written) = self.discovery.notified_at(member.number, drain.server) {
+                notified = notified.min(written);
             }
             for arrival in self.arrivals(drain.server, member) {
-                let late = arrival.at.saturating_duration_since(told);
+                let late = arrival.at.saturating_duration_since(notified);
                 let number = member.number;
                 assert!(
                     late <= GRACE,
@@ -236,9 +243,9 @@
 
     /// Nothing is sent by a list that is out of date.
     fn check_age(&self, member: &Member, case: &str) {
-        let signs = self.discovery.signs(member.number);
+        let heartbeats = self.discovery.heartbeats(member.number);
         for arrival in (0..self.servers.len()).flat_map(|server| self.arrivals(server, member)) {
-            let limit = in_date_until(member, &signs, arrival.at)
+            let limit = in_date_until(member, &heartbeats, arrival.at)
                 .unwrap_or_else(|| panic!("{case}: sent without any list: {arrival:?}"));
             let late = arrival.at.saturating_duration_since(limit);
             assert!(late <= GRACE, "{case}: sent {late:?} after the list was out of date: {arrival:?}");
@@ -247,15 +254,20 @@
 
     /// The calls of a limiter keep to one at a time and to the budget.
     fn check_calls(&self, member: &Member, case: &str) {
-        let (calls, signs) = (self.discovery.calls(member.number), self.discovery.signs(member.number));
+        let (calls, heartbeats) =
+            (self.discovery.calls(member.number), self.discovery.heartbeats(member.number));
         let number = member.number;
         for (n, call) in calls.iter().enumerate() {
             let window = calls[n..].iter().take_while(|c| c.at - call.at < BUDGET_WINDOW).count();
             assert!(window <= BUDGET, "{case}: limiter {number} made {window} calls in {BUDGET_WINDOW:?}");
             let out = |c: &&Call| c.front == call.front && c.done.is_none_or(|done| done > call.at + OVERLAP);
             let beside = calls[..n].iter().filter(out).count();
-            assert!(beside < MOST_CALLS_OUT, "{case}: limiter {number} had {} calls out at once", beside + 1);
-            if let (1, Some(limit)) = (beside, in_date_until(member, &signs, call.at)) {
+            assert!(
+                beside < MAX_CALLS_IN_FLIGHT,
+                "{case}: limiter {number} had {} calls out at once",
+                beside + 1
+            );
+            if let (1, Some(limit)) = (beside, in_date_until(member, &heartbeats, call.at)) {
                 let left = limit.saturating_duration_since(call.at);
                 let allowed = SPARE_CALL + GRACE;
                 assert!(
@@ -277,9 +289,9 @@
 impl Member {
     fn start(number: usize, seed: u64, front: SocketAddr, pause: Duration, known: &[Value]) -> Member {
         let began = Instant::now();
-        let limiter = start_limiter(seed, &update(9, true, known), asked_settings(), front);
-        let asker = Asker::start(number, limiter.address, pause);
-        Member { number, front, limiter, asker, began, moved: None }
+        let limiter = start_limiter(seed, &update(9, true, known), &on_request_settings(), front);
+        let client = SteadyClient::start(number, limiter.address, pause);
+        Member { number, front, limiter, client, began, moved: None }
     }
 
     fn move_to(&mut self, front: SocketAddr, counter: SocketAddr) {
@@ -289,24 +301,24 @@
 }
 
 /// Until when the list that a limiter holds at this time may be gone by; none where it has none.
-fn in_date_until(member: &Member, signs: &[Sign], at: Instant) -> Option<Instant> {
+fn in_date_until(member: &Member, heartbeats: &[Heartbeat], at: Instant) -> Option<Instant> {
     let moved = member.moved.filter(|(moved, _)| *moved <= at);
-    let until = |sign: &Sign| match moved {
-        Some((moved, front)) if sign.front != front => {
-            (sign.at <= moved).then(|| (sign.at + TOLD).min(moved + TOLD_AFTER_MOVE))
+    let until = |heartbeat: &Heartbeat| match moved {
+        Some((moved, front)) if heartbeat.front != front => {
+            (heartbeat.at <= moved).then(|| (heartbeat.at + NOTIFIED_AFTER).min(moved + NOTIFIED_AFTER_MOVE))
         }
-        _ => Some(sign.at + TOLD),
+        _ => Some(heartbeat.at + NOTIFIED_AFTER),
     };
-    signs.iter().filter(|sign| sign.at <= at).filter_map(until).max()
+    heartbeats.iter().filter(|heartbeat| heartbeat.at <= at).filter_map(until).max()
 }
 
 /// Refusals come at once and say why.
 fn check_refusals(member: &Member, case: &str) {
-    let answers = member.asker.answers();
-    for told in answers.iter().filter(|told| told.status == 429) {
-        assert!(told.took < AT_ONCE, "{case}: a refusal took {:?}", told.took);
+    let answers = member.client.answers();
+    for answer in answers.iter().filter(|answer| answer.status == 429) {
+        assert!(answer.took < AT_ONCE, "{case}: a refusal took {:?}", answer.took);
     }
-    let odd = answers.iter().find(|told| told.status != 429 && told.status != 200);
+    let odd = answers.iter().find(|answer| answer.status != 429 && answer.status != 200);
     assert!(odd.is_none(), "{case}: {odd:?}");
 }
 
@@ -321,17 +333,17 @@
     rig.discovery.conduct(rig.front(), Conduct::Serve);
     rig.wait_until_all_serve(returned);
     let member = &rig.members[0];
-    let signs = rig.discovery.signs(0);
-    let sign = signs.iter().find(|sign| sign.at >= returned).unwrap_or_else(|| {
-        panic!("{case}: served without a sign of life; calls {:?}", rig.outcomes(0));
+    let heartbeats = rig.discovery.heartbeats(0);
+    let heartbeat = heartbeats.iter().find(|heartbeat| heartbeat.at >= returned).unwrap_or_else(|| {
+        panic!("{case}: served without a heartbeat; calls {:?}", rig.outcomes(0));
     });
-    let served = member.asker.served_since(returned).expect("it serves");
-    let after = served.at.saturating_duration_since(sign.at);
-    assert!(after < AT_ONCE, "{case}: it went on {after:?} after the sign of life");
-    let refused = member.asker.refused_since(began);
+    let served = member.client.served_since(returned).expect("it serves");
+    let after = served.at.saturating_duration_since(heartbeat.at);
+    assert!(after < AT_ONCE, "{case}: it went on {after:?} after the heartbeat");
+    let refused = member.client.refused_since(began);
     assert!(!refused.is_empty(), "{case}: nothing was refused while the list was out of date");
-    for told in &refused {
-        assert!(told.text.contains("out of date"), "{case}: a refusal says {:?}", told.text);
+    for answer in &refused {
+        assert!(answer.text.contains("out of date"), "{case}: a refusal says {:?}", answer.text);
     }
     let log = member.limiter.errors();
     assert!(log.contains("out of date"), "{case}: the log says\n{log}");
@@ -347,14 +359,14 @@
 }
 
 #[test]
-fn a_list_that_nobody_confirms_is_not_gone_by_whatever_becomes_of_the_calls() {
+fn an_unconfirmed_list_is_not_used_whatever_becomes_of_the_calls() {
     let faults = [
         Conduct::Hang,
         Conduct::Close,
         Conduct::Refuse(None),
         Conduct::CutInHead,
         Conduct::CutInMessage,
-        Conduct::AnswerAfter(Duration::from_millis(4_000)),
+        Conduct::AnswerAfter(Duration::from_secs(4)),
     ];
     at_once(faults, long_fault);
 }
@@ -368,7 +380,7 @@
 }
 
 #[test]
-fn a_refusal_that_names_a_time_is_obeyed() {
+fn retry_after_of_a_refusal_is_respected() {
     at_once([("2", 2.0), ("1.5", 1.5), ("0.4", 0.4)], |(text, seconds)| {
         let conduct = Conduct::Refuse(Some(text));
         long_fault(conduct);
@@ -390,13 +402,13 @@
 }
 
 #[test]
-fn pauses_between_calls_grow_and_differ_between_limiters() {
+fn backoff_grows_and_differs_between_limiters() {
     let mut rig = Rig::new(Cost::of_call(5), Duration::from_millis(50));
     rig.seeds = Seeds::Own;
     rig.start_members(6);
     rig.wait_until_all_serve(Instant::now());
     let fronts: Vec<_> = rig.members.iter().map(|member| member.front).collect();
-    fronts.iter().for_each(|front| rig.discovery.conduct(*front, Conduct::Refuse(None)));
+    rig.conduct_all(&fronts, Conduct::Refuse(None));
     let ended = Instant::now();
     rig.discovery.end_watches();
     thread::sleep(OUTAGE);
@@ -412,8 +424,8 @@
     let mut pauses: Vec<f64> = times.iter().map(|times| times[2] - times[1]).collect();
     pauses.sort_by(f64::total_cmp);
     let spread = pauses[pauses.len() - 1] - pauses[0];
-    assert!(spread > LEAST_SPREAD_S, "no jitter: the pauses after the second calls were {pauses:?}");
-    fronts.iter().for_each(|front| rig.discovery.conduct(*front, Conduct::Serve));
+    assert!(spread > MIN_SPREAD_S, "no jitter: the pauses after the second calls were {pauses:?}");
+    rig.conduct_all(&fronts, Conduct::Serve);
     let returned = Instant::now();
     rig.wait_until_all_serve(returned);
     rig.check("backoff");
@@ -427,7 +439,7 @@
         Conduct::Refuse(None),
         Conduct::CutInHead,
         Conduct::CutInMessage,
-        Conduct::AnswerAfter(Duration::from_millis(4_000)),
+        Conduct::AnswerAfter(Duration::from_secs(4)),
     ];
     at_once(faults, |conduct| {
         let case = format!("{conduct:?} once");
@@ -437,13 +449,13 @@
         rig.discovery.end_watches();
         let drained = rig.drain_used();
         thread::sleep(Duration::from_secs(8));
-        let refused = rig.members[0].asker.refused_since(began);
+        let refused = rig.members[0].client.refused_since(began);
         assert!(refused.is_empty(), "{case}: {:?}; calls {:?}", refused.first(), rig.outcomes(0));
-        let told = rig
+        let notified = rig
             .discovery
-            .told(0, drained)
-            .unwrap_or_else(|| panic!("{case}: never told: {:?}", rig.outcomes(0)));
-        assert!(told - began < TOLD, "{case}: told after {:?}", told - began);
+            .notified_at(0, drained)
+            .unwrap_or_else(|| panic!("{case}: never notified: {:?}", rig.outcomes(0)));
+        assert!(notified - began < NOTIFIED_AFTER, "{case}: notified after {:?}", notified - began);
         rig.check(&case);
     });
 }
@@ -458,7 +470,7 @@
         let began = Instant::now();
         rig.discovery.end_watches();
         thread::sleep(Duration::from_secs(8));
-        let refused = rig.members[0].asker.refused_since(began);
+        let refused = rig.members[0].client.refused_since(began);
         assert!(refused.is_empty(), "{case}: {:?}; calls {:?}", refused.first(), rig.outcomes(0));
         rig.check(&case);
     });
@@ -471,14 +483,14 @@
     rig.discovery.end_watches();
     let drained = rig.drain_used();
     let began = Instant::now();
-    wait_until("the list without it has come", || rig.discovery.told(0, drained).is_some());
+    wait_until("the list without it has come", || rig.discovery.notified_at(0, drained).is_some());
     thread::sleep(Duration::from_secs(4));
-    let told = rig.discovery.told(0, drained).expect("it was told");
-    assert!(rig.members[0].asker.served_since(told + GRACE).is_some(), "nothing is served any more");
+    let notified = rig.discovery.notified_at(0, drained).expect("it was notified");
+    assert!(rig.members[0].client.served_since(notified + GRACE).is_some(), "nothing is served any more");
     assert!(
-        rig.members[0].asker.refused_since(began).is_empty(),
+        rig.members[0].client.refused_since(began).is_empty(),
         "{:?}",
-        rig.members[0].asker.refused_since(began)
+        rig.members[0].client.refused_since(began)
     );
     rig.check("left out");
 }
@@ -489,7 +501,7 @@
     let mut rig = Rig::serving();
     for server in 0..rig.servers.len() {
         rig.discovery.drain(server);
-        wait_until("the drain is told", || rig.discovery.told(0, server).is_some());
+        wait_until("the drain is announced", || rig.discovery.notified_at(0, server).is_some());
     }
     thread::sleep(GRACE);
     rig.discovery.conduct(rig.front(), Conduct::OlderList);
@@ -508,21 +520,22 @@
 
 /// What was sent before the list went out of date is finished; nothing is sent after.
 #[test]
-fn a_request_that_is_out_is_answered_after_the_list_went_out_of_date() {
+fn a_request_in_flight_is_answered_after_the_list_expired() {
     let work = Duration::from_millis(1_600);
     let mut rig = Rig::serving();
-    rig.members[0].asker.stop();
+    rig.members[0].client.stop();
     rig.discovery.conduct(rig.front(), Conduct::Refuse(None));
     rig.discovery.end_watches();
     rig.servers.iter().for_each(|server| server.take(work));
-    let signs = rig.discovery.signs(0);
-    let out_of_date = signs[signs.len() - 1].at + TOLD;
-    thread::sleep((out_of_date - Duration::from_millis(900)).saturating_duration_since(Instant::now()));
+    let heartbeats = rig.discovery.heartbeats(0);
+    let out_of_date = heartbeats[heartbeats.len() - 1].at + NOTIFIED_AFTER;
+    let shortly_before = out_of_date.checked_sub(Duration::from_millis(900)).expect("a time");
+    thread::sleep(shortly_before.saturating_duration_since(Instant::now()));
     let mut client = rig.members[0].limiter.client();
-    let answer = client.ask(&marked_quote(0, MOST_REQUESTS));
+    let answer = client.ask(&marked_quote(0, MAX_REQUESTS));
     assert!(Instant::now() > out_of_date + GRACE, "it was answered too early to tell");
     assert_eq!(answer.status(), 200, "{}", answer.text());
-    let refused = client.ask(&marked_quote(0, MOST_REQUESTS + 1));
+    let refused = client.ask(&marked_quote(0, MAX_REQUESTS + 1));
     assert_eq!(refused.status(), 429, "{}", refused.text());
     assert!(refused.text().contains("out of date"), "{}", refused.text());
     rig.check("a request that is out");
@@ -544,8 +557,8 @@
         let moved = Instant::now();
         wait_until("the other address is called", || rig.discovery.calls(0).iter().any(|c| c.front == other));
         assert!(moved.elapsed() < Duration::from_secs(2), "{case}: called after {:?}", moved.elapsed());
-        thread::sleep(TOLD_AFTER_MOVE + Duration::from_secs(1));
-        let refused = rig.members[0].asker.refused_since(moved);
+        thread::sleep(NOTIFIED_AFTER_MOVE + Duration::from_secs(1));
+        let refused = rig.members[0].client.refused_since(moved);
         if conduct == Conduct::Serve {
             assert!(refused.is_empty(), "{case}: {:?}", refused.first());
         } else {
@@ -571,7 +584,7 @@
         rig.discovery.end_watches();
         thread::sleep(Duration::from_millis(100));
     }
-    let refused = rig.members[0].asker.refused_since(began);
+    let refused = rig.members[0].client.refused_since(began);
     assert!(refused.is_empty(), "{:?}; calls {:?}", refused.first(), rig.outcomes(0));
     rig.check("watches that keep ending");
 }
@@ -582,15 +595,15 @@
     let mut rig = Rig::serving();
     let counter = counter();
     let fronts = [rig.front(), rig.discovery.front(0)];
-    fronts.iter().for_each(|front| rig.discovery.conduct(*front, Conduct::Refuse(None)));
+    rig.conduct_all(&fronts, Conduct::Refuse(None));
     rig.discovery.end_watches();
     rig.drain_used();
     for front in fronts.iter().rev().cycle().take(4) {
         thread::sleep(Duration::from_millis(1_200));
         rig.members[0].move_to(*front, counter.address);
     }
-    thread::sleep(TOLD);
-    fronts.iter().for_each(|front| rig.discovery.conduct(*front, Conduct::Serve));
+    thread::sleep(NOTIFIED_AFTER);
+    rig.conduct_all(&fronts, Conduct::Serve);
     rig.wait_until_all_serve(Instant::now());
     rig.check("moves in a row");
 }
@@ -599,8 +612,8 @@
 fn a_new_process_sends_nothing_while_discovery_refuses() {
     let mut rig = Rig::new(Cost::of_call(20), Duration::from_millis(20));
     rig.discovery.drain(0);
-    // It drains for longer than it takes to count as told.
-    thread::sleep(TOLD);
+    // It drains for longer than it takes to count as notified.
+    thread::sleep(NOTIFIED_AFTER);
     let front = rig.discovery.front(0);
     rig.discovery.conduct(front, Conduct::Refuse(None));
     let known = [instance("s-0", rig.servers[0].fake.address, "in_service")];
@@ -623,7 +636,7 @@
 #[test]
 fn a_queue_of_calls_is_served_in_turn_up_to_its_bound() {
     let server = TimedServer::new("first");
-    let discovery = AskedDiscovery::new(Cost::of_call(1_500), &[server.fake.address]);
+    let discovery = OnRequestDiscovery::new(Cost::of_call(1_500), &[server.fake.address]);
     let front = discovery.front(0);
     let call = |outcome: Outcome| {
         let number = discovery.calls(0).len();
@@ -645,11 +658,11 @@
     let began = Instant::now();
     let _second = call(Outcome::Pending);
     let _third = call(Outcome::Answered);
-    assert!(began.elapsed() >= Duration::from_millis(1_000), "the third did not wait its turn");
+    assert!(began.elapsed() >= Duration::from_secs(1), "the third did not wait its turn");
 }
 
 #[test]
-fn six_whose_watches_end_in_one_instant_take_their_turns() {
+fn six_limiters_whose_watches_end_at_once_take_their_turns() {
     let mut rig = Rig::new(Cost::of_call(200), Duration::from_millis(30));
     rig.start_members(6);
     rig.wait_until_all_serve(Instant::now());
@@ -658,20 +671,24 @@
     let drained = rig.drain_used();
     thread::sleep(Duration::from_secs(7));
     for member in &rig.members {
-        let refused = member.asker.refused_since(ended);
+        let refused = member.client.refused_since(ended);
         let (number, calls) = (member.number, rig.outcomes(member.number));
         assert!(refused.is_empty(), "limiter {number} refused {:?}; calls {calls:?}", refused.first());
-        let told = rig
+        let notified = rig
             .discovery
-            .told(number, drained)
-            .unwrap_or_else(|| panic!("{number} was never told: {calls:?}"));
-        assert!(told - ended < TOLD, "limiter {number} was told after {:?}", told - ended);
+            .notified_at(number, drained)
+            .unwrap_or_else(|| panic!("{number} was never notified: {calls:?}"));
+        assert!(
+            notified - ended < NOTIFIED_AFTER,
+            "limiter {number} was notified after {:?}",
+            notified - ended
+        );
     }
     rig.check("six");
 }
 
 #[test]
-fn six_come_back_after_an_outage_to_a_discovery_that_takes_one_call_in_its_time() {
+fn six_limiters_recover_after_an_outage_at_the_rate_of_discovery() {
     at_once([Conduct::Hang, Conduct::Close], |conduct| {
         let case = format!("six after {conduct:?}");
         let mut rig = Rig::new(Cost::of_call(10), Duration::from_millis(30));
@@ -685,7 +702,7 @@
         let returned = Instant::now();
         rig.members.iter().for_each(|member| rig.discovery.conduct(member.front, Conduct::Serve));
         for member in &rig.members {
-            let back = || member.asker.served_since(returned).is_some();
+            let back = || member.client.served_since(returned).is_some();
             let end = returned + READY;
             while !back() && Instant::now() < end {
                 thread::sleep(Duration::from_millis(10));
@@ -702,7 +719,7 @@
 }
 
 #[test]
-fn thirty_start_together_and_take_their_turns() {
+fn thirty_limiters_start_together_and_take_their_turns() {
     const COUNT: usize = 30;
     let mut rig = Rig::new(Cost::of_call(100), Duration::from_millis(200));
     rig.start_members(COUNT);
@@ -724,11 +741,11 @@
     let drained = rig.drain_used();
     for member in &rig.members {
         let number = member.number;
-        let told = || rig.discovery.told(number, drained).is_some();
-        while !told() && ended.elapsed() < READY {
+        let notified = || rig.discovery.notified_at(number, drained).is_some();
+        while !notified() && ended.elapsed() < READY {
             thread::sleep(Duration::from_millis(20));
         }
-        assert!(told(), "limiter {number} was not told in {READY:?}: {:?}", rig.outcomes(number));
+        assert!(notified(), "limiter {number} was not notified in {READY:?}: {:?}", rig.outcomes(number));
     }
     rig.wait_until_all_serve(Instant::now());
     rig.check("thirty");
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -1,6 +1,6 @@
 //! A discovery service that limiters call over the network: one queue of limited capacity, and faults on demand.
 //!
-//! Each limiter has a listening address of its own, so that calls, refusals and signs of life are counted per
+//! Each limiter has a listening address of its own, so that calls, refusals and heartbeats are counted per
 //! limiter; all addresses share the queue and the list.
 use super::{chunk, command, instance, ok, raw, scratch, update, Fake, Limiter, Message, WATCH_HEAD};
 use serde_json::{json, Value};
@@ -86,7 +86,7 @@
 
 /// A whole message or an empty line, written to a limiter.
 #[derive(Clone, Debug)]
-pub struct Sign {
+pub struct Heartbeat {
     pub limiter: usize,
     pub front: SocketAddr,
     pub at: Instant,
@@ -120,10 +120,10 @@
     faults: HashMap<SocketAddr, Fault>,
     busy_until: Instant,
     calls: Vec<Call>,
-    signs: Vec<Sign>,
+    heartbeats: Vec<Heartbeat>,
     drains: Vec<Drain>,
     /// When a limiter was first written that a server drains.
-    told: HashMap<(usize, usize), Instant>,
+    notified: HashMap<(usize, usize), Instant>,
     next_watch: u64,
     /// Watches with smaller numbers end.
     ended_below: u64,
@@ -131,7 +131,7 @@
     silent_below: u64,
 }
 
-/// A message that can be written, and the draining servers that it tells of.
+/// A message that can be written, and the draining servers that it announces.
 struct Text {
     line: String,
     lines: u32,
@@ -198,17 +198,17 @@
 
 /// The service.
 #[derive(Clone)]
-pub struct AskedDiscovery(Arc<Mutex<State>>);
+pub struct OnRequestDiscovery(Arc<Mutex<State>>);
 
-impl AskedDiscovery {
+impl OnRequestDiscovery {
     /// One that lists these servers as `s-0`, `s-1` and so on, all in service.
-    pub fn new(cost: Cost, servers: &[SocketAddr]) -> AskedDiscovery {
+    pub fn new(cost: Cost, servers: &[SocketAddr]) -> OnRequestDiscovery {
         let listed = |address: &SocketAddr| Listed {
             address: *address,
             lifecycle: "in_service",
             changed: FIRST_GENERATION,
         };
-        AskedDiscovery(Arc::new(Mutex::new(State {
+        OnRequestDiscovery(Arc::new(Mutex::new(State {
             cost,
             says_unchanged: false,
             servers: servers.iter().map(listed).collect(),
@@ -216,9 +216,9 @@
             faults: HashMap::new(),
             busy_until: Instant::now(),
             calls: Vec::new(),
-            signs: Vec::new(),
+            heartbeats: Vec::new(),
             drains: Vec::new(),
-            told: HashMap::new(),
+            notified: HashMap::new(),
             next_watch: 0,
             ended_below: 0,
             silent_below: 0,
@@ -301,8 +301,8 @@
         self.state().calls.iter().filter(|c| c.limiter == limiter).cloned().collect()
     }
 
-    pub fn signs(&self, limiter: usize) -> Vec<Sign> {
-        self.state().signs.iter().filter(|s| s.limiter == limiter).cloned().collect()
+    pub fn heartbeats(&self, limiter: usize) -> Vec<Heartbeat> {
+        self.state().heartbeats.iter().filter(|s| s.limiter == limiter).cloned().collect()
     }
 
     pub fn drains(&self) -> Vec<Drain> {
@@ -310,8 +310,8 @@
     }
 
     /// When this limiter was first written that the server drains.
-    pub fn told(&self, limiter: usize, server: usize) -> Option<Instant> {
-        self.state().told.get(&(limiter, server)).copied()
+    pub fn notified_at(&self, limiter: usize, server: usize) -> Option<Instant> {
+        self.state().notified.get(&(limiter, server)).copied()
     }
 
     fn connection(&self, stream: &TcpStream, limiter: usize, front: SocketAddr) {
@@ -334,7 +334,7 @@
 
 /// A connection on which a call has come.
 struct Connection<'a> {
-    service: &'a AskedDiscovery,
+    service: &'a OnRequestDiscovery,
     stream: &'a TcpStream,
     limiter: usize,
     front: SocketAddr,
@@ -402,26 +402,26 @@
         self.write(WATCH_HEAD);
         if let Some(text) = first {
             sent = sent.max(text.generation);
-            self.tell(&text);
+            self.send(&text);
         }
         let mut spoke = Instant::now();
         while !self.has_left() {
-            let (ends, silent, news) = {
+            let (ends, silent, next) = {
                 let state = self.service.state();
-                let news =
+                let next =
                     if state.generation > sent { state.message(Some(sent), Conduct::Serve) } else { None };
-                (number < state.ended_below, number < state.silent_below, news)
+                (number < state.ended_below, number < state.silent_below, next)
             };
             if ends {
                 return;
             }
             if !silent {
-                if let Some(text) = news {
+                if let Some(text) = next {
                     sent = text.generation;
-                    self.tell(&text);
+                    self.send(&text);
                     spoke = Instant::now();
                 } else if spoke.elapsed() >= EMPTY_LINE_PERIOD {
-                    self.sign(&[]);
+                    self.record_heartbeat(&[]);
                     self.write("1\r\n\n\r\n");
                     spoke = Instant::now();
                 }
@@ -430,21 +430,21 @@
         }
     }
 
-    fn tell(&self, text: &Text) {
-        self.sign(&text.drained);
+    fn send(&self, text: &Text) {
+        self.record_heartbeat(&text.drained);
         self.write(&chunk(&text.line));
     }
 
-    /// Notes a sign of life, and what it tells, just before it is written.
-    fn sign(&self, drained: &[usize]) {
+    /// Records a heartbeat, and the drains that it announces, just before it is written.
+    fn record_heartbeat(&self, drained: &[usize]) {
         if self.has_left() {
             return;
         }
         let mut state = self.service.state();
         let at = Instant::now();
-        state.signs.push(Sign { limiter: self.limiter, front: self.front, at });
+        state.heartbeats.push(Heartbeat { limiter: self.limiter, front: self.front, at });
         for server in drained {
-            state.told.entry((self.limiter, *server)).or_insert(at);
+            state.notified.entry((self.limiter, *server)).or_insert(at);
         }
     }
 
@@ -480,7 +480,7 @@
 /// A request as it came to a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Who sent it, where the request tells.
+    /// Who sent it, where the request says.
     pub limiter: Option<usize>,
     pub at: Instant,
     pub first: String,
@@ -521,7 +521,7 @@
 }
 
 /// Starts a limiter with a list that it had before and a seed of its own, and does not wait until it is ready.
-pub fn start_limiter(seed: u64, known: &str, settings: Value, front: SocketAddr) -> Limiter {
+pub fn start_limiter(seed: u64, known: &str, settings: &Value, front: SocketAddr) -> Limiter {
     let known: Value = serde_json::from_str(known).expect("a list");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
         "discovery": front.to_string(), "known": known, "settings": settings});
--- a/crates/daemon/tests/common/relays.rs
+++ b/crates/daemon/tests/common/relays.rs
@@ -1,5 +1,5 @@
 //! A tree of relays over loopback: a discovery that can be cut off, relay processes, proxies of watches, and
-//! children that read a watch themselves.
+//! subscribers that read a watch themselves.
 use super::asked::TimedServer;
 use super::{
     chunk, command, counter, quote, raw, scratch, settings, wait_until, Client, Fake, Limiter, Message,
@@ -54,7 +54,7 @@
     Instance { weight: Some(weight), ..server.clone() }
 }
 
-/// A server at an address where nobody listens: for children that never send to it.
+/// A server at an address where nobody listens: for subscribers that never send to it.
 pub fn unreachable_server(id: &str, service: &str) -> Instance {
     server(id, service, SocketAddr::from(([127, 0, 0, 1], 9)))
 }
@@ -70,7 +70,7 @@
     heartbeat_period: Duration,
     heartbeats: bool,
     reachable: bool,
-    last_sign: Instant,
+    last_heartbeat: Instant,
     targets: Vec<String>,
 }
 
@@ -106,7 +106,7 @@
             heartbeat_period,
             heartbeats: true,
             reachable: true,
-            last_sign: Instant::now(),
+            last_heartbeat: Instant::now(),
             targets: Vec::new(),
         };
         let address = listener.local_addr().expect("address");
@@ -159,8 +159,8 @@
     }
 
     /// When it last wrote a message or a heartbeat.
-    pub fn last_sign(&self) -> Instant {
-        lock(&self.state).last_sign
+    pub fn last_heartbeat(&self) -> Instant {
+        lock(&self.state).last_heartbeat
     }
 
     /// The calls that came.
@@ -180,14 +180,14 @@
             }
             after = after.filter(|after| *after <= state.generation);
         }
-        self.write(stream, WATCH_HEAD)?;
+        write_text(stream, WATCH_HEAD)?;
         loop {
             match self.next_line(after) {
                 Some((generation, line)) => {
                     after = Some(generation);
-                    self.write(stream, &chunk(&line))?;
+                    write_text(stream, &chunk(&line))?;
                 }
-                None if self.heartbeat_is_due() => self.write(stream, "1\r\n\n\r\n")?,
+                None if self.heartbeat_is_due() => write_text(stream, "1\r\n\n\r\n")?,
                 None => thread::sleep(POLL),
             }
         }
@@ -198,23 +198,24 @@
         if !state.reachable || after == Some(state.generation) {
             return None;
         }
-        state.last_sign = Instant::now();
+        state.last_heartbeat = Instant::now();
         Some((state.generation, serde_json::to_string(&state.message(after)).expect("JSON")))
     }
 
     /// One relay follows it, so there is one clock of heartbeats.
     fn heartbeat_is_due(&self) -> bool {
         let mut state = lock(&self.state);
-        let due = state.reachable && state.heartbeats && state.last_sign.elapsed() >= state.heartbeat_period;
+        let due =
+            state.reachable && state.heartbeats && state.last_heartbeat.elapsed() >= state.heartbeat_period;
         if due {
-            state.last_sign = Instant::now();
+            state.last_heartbeat = Instant::now();
         }
         due
     }
+}
 
-    fn write(&self, mut stream: &TcpStream, text: &str) -> std::io::Result<()> {
-        stream.write_all(text.as_bytes())
-    }
+fn write_text(mut stream: &TcpStream, text: &str) -> std::io::Result<()> {
+    stream.write_all(text.as_bytes())
 }
 
 /// The target of a request.
@@ -362,10 +363,12 @@
 pub fn watch_target(after: Option<u64>, services: &[&str]) -> String {
     let mut target = String::from("/discovery/hosts?watch=1");
     if let Some(after) = after {
-        target += &format!("&after={after}");
+        target.push_str("&after=");
+        target.push_str(&after.to_string());
     }
     for service in services {
-        target += &format!("&service={service}");
+        target.push_str("&service=");
+        target.push_str(service);
     }
     target
 }
@@ -391,7 +394,7 @@
 }
 
 #[derive(Clone, Default)]
-struct Holdings {
+struct HeldList {
     received: Vec<Received>,
     instances: BTreeMap<String, Instance>,
     generation: u64,
@@ -400,7 +403,7 @@
     ended: bool,
 }
 
-impl Holdings {
+impl HeldList {
     fn take(&mut self, line: &str) {
         let update: Option<Update> =
             (!line.is_empty()).then(|| serde_json::from_str(line).expect("an update"));
@@ -421,48 +424,48 @@
     }
 }
 
-/// A child that reads a relay's watch itself.
-pub struct RawChild {
+/// A subscriber that reads a relay's watch itself.
+pub struct RawSubscriber {
     pub head: Message,
     stream: TcpStream,
-    holdings: Arc<Mutex<Holdings>>,
+    list: Arc<Mutex<HeldList>>,
 }
 
-impl RawChild {
-    pub fn open(relay: SocketAddr, after: Option<u64>, services: &[&str]) -> RawChild {
-        RawChild::open_with(relay, after, services, Holdings::default())
+impl RawSubscriber {
+    pub fn open(relay: SocketAddr, after: Option<u64>, services: &[&str]) -> RawSubscriber {
+        RawSubscriber::open_with(relay, after, services, HeldList::default())
     }
 
     /// Goes on elsewhere from what this one holds.
-    pub fn resume(&self, relay: SocketAddr, services: &[&str]) -> RawChild {
-        let held = lock(&self.holdings).clone();
-        let holdings = Holdings { received: Vec::new(), ended: false, ..held.clone() };
-        RawChild::open_with(relay, Some(held.generation), services, holdings)
+    pub fn resume(&self, relay: SocketAddr, services: &[&str]) -> RawSubscriber {
+        let held = lock(&self.list).clone();
+        let list = HeldList { received: Vec::new(), ended: false, ..held.clone() };
+        RawSubscriber::open_with(relay, Some(held.generation), services, list)
     }
 
-    fn open_with(relay: SocketAddr, after: Option<u64>, services: &[&str], holdings: Holdings) -> RawChild {
+    fn open_with(relay: SocketAddr, after: Option<u64>, services: &[&str], list: HeldList) -> RawSubscriber {
         let watch = open_watch(relay, &watch_target(after, services)).expect("an answer of the relay");
         let OpenWatch { head, stream, mut lines } = watch;
-        let holdings = Arc::new(Mutex::new(holdings));
-        let (taken, ok) = (holdings.clone(), head.status() == 200);
+        let list = Arc::new(Mutex::new(list));
+        let (taken, ok) = (list.clone(), head.status() == 200);
         thread::spawn(move || {
             while let Some(line) = ok.then(|| lines.next_line()).flatten() {
                 lock(&taken).take(&line);
             }
             lock(&taken).ended = true;
         });
-        RawChild { head, stream, holdings }
+        RawSubscriber { head, stream, list }
     }
 
     /// Opens one and waits for its first message.
-    pub fn follow(relay: SocketAddr, after: Option<u64>, services: &[&str]) -> RawChild {
-        let child = RawChild::open(relay, after, services);
-        wait_until("the child has its first message", || !child.received().is_empty());
-        child
+    pub fn follow(relay: SocketAddr, after: Option<u64>, services: &[&str]) -> RawSubscriber {
+        let subscriber = RawSubscriber::open(relay, after, services);
+        wait_until("the subscriber has its first message", || !subscriber.received().is_empty());
+        subscriber
     }
 
     pub fn received(&self) -> Vec<Received> {
-        lock(&self.holdings).received.clone()
+        lock(&self.list).received.clone()
     }
 
     /// Its first message.
@@ -472,27 +475,27 @@
     }
 
     pub fn ids(&self) -> Vec<String> {
-        lock(&self.holdings).instances.keys().cloned().collect()
+        lock(&self.list).instances.keys().cloned().collect()
     }
 
     pub fn generation(&self) -> u64 {
-        lock(&self.holdings).generation
+        lock(&self.list).generation
     }
 
     pub fn digest_faults(&self) -> Vec<u64> {
-        lock(&self.holdings).digest_faults.clone()
+        lock(&self.list).digest_faults.clone()
     }
 
     pub fn has_ended(&self) -> bool {
-        lock(&self.holdings).ended
+        lock(&self.list).ended
     }
 
     pub fn wait_for(&self, generation: u64) {
-        wait_until("the child holds the generation", || self.generation() >= generation);
+        wait_until("the subscriber holds the generation", || self.generation() >= generation);
     }
 }
 
-impl Drop for RawChild {
+impl Drop for RawSubscriber {
     fn drop(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -551,20 +554,22 @@
 }
 
 fn forward(
-    mut child: &TcpStream,
+    mut subscriber: &TcpStream,
     upstream: SocketAddr,
     log: &Mutex<ProxyLog>,
     passes: &Passes,
 ) -> Option<()> {
-    child.set_nodelay(true).ok()?;
-    let request = Message::read(&mut BufReader::new(child.try_clone().ok()?))?;
+    subscriber.set_nodelay(true).ok()?;
+    let request = Message::read(&mut BufReader::new(subscriber.try_clone().ok()?))?;
     let target = target_of(&request.first);
     lock(log).targets.push(target.clone());
     let mut watch = open_watch(upstream, &target)?;
     if watch.head.status() != 200 {
-        return child.write_all(raw("503 Service Unavailable", "Retry-After: 1\r\n", "").as_bytes()).ok();
+        return subscriber
+            .write_all(raw("503 Service Unavailable", "Retry-After: 1\r\n", "").as_bytes())
+            .ok();
     }
-    child.write_all(WATCH_HEAD.as_bytes()).ok()?;
+    subscriber.write_all(WATCH_HEAD.as_bytes()).ok()?;
     while let Some(line) = watch.lines.next_line() {
         let update: Option<Update> = serde_json::from_str(&line).ok();
         if !passes(update.as_ref()) {
@@ -573,7 +578,7 @@
         if let Some(update) = update {
             lock(log).last_generation = Some(update.generation);
         }
-        child.write_all(chunk(&line).as_bytes()).ok()?;
+        subscriber.write_all(chunk(&line).as_bytes()).ok()?;
     }
     let _ = watch.stream.shutdown(Shutdown::Both);
     Some(())
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as told after this time, and after this time from a move.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// What discovery has counts as notified after this time, and after this time from a move.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
 
 fn list(generation: u64, servers: &[(&Fake, &str)]) -> String {
     let named = servers.iter().enumerate();
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn neither_spaces_nor_half_a_message_keep_a_dead_watch_alive() {
+fn neither_spaces_nor_a_partial_message_keep_a_dead_watch_alive() {
     let begun = "{\"generation\": 11, \"instances\": [ {\"instanceId\": \"s-0\", ";
-    let never_whole = ["".to_string(), begun.to_string(), begun.replace(' ', "\n\n")];
+    let never_whole = [String::new(), begun.to_string(), begun.replace(' ', "\n\n")];
     let cases: Vec<_> = never_whole
         .into_iter()
         .map(|start| {
@@ -86,11 +86,13 @@
                 let _limiter = Limiter::start(settings(), &discovery, counter().address);
                 let began = Instant::now();
                 wait_until("another watch is open", || discovery.count() > 1);
-                assert!(began.elapsed() < TOLD, "{:?}", began.elapsed());
+                assert!(began.elapsed() < NOTIFIED_AFTER, "{:?}", began.elapsed());
             })
         })
         .collect();
-    cases.into_iter().for_each(|case| case.join().expect("a case"));
+    for case in cases {
+        case.join().expect("a case");
+    }
 }
 
 /// How an opening may come to nothing.
@@ -124,7 +126,7 @@
 ];
 
 #[test]
-fn a_silent_watch_is_replaced_in_time_whatever_becomes_of_the_openings() {
+fn a_silent_watch_is_replaced_in_time_whatever_becomes_of_the_calls() {
     let rows = ROWS.map(|(fault, times)| {
         thread::spawn(move || {
             let (before, after) = swapped();
@@ -137,14 +139,16 @@
             // Not before the last sign of life.
             let began = Instant::now();
             wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
-            assert!(began.elapsed() < TOLD, "{fault:?} {times} times: {:?}", began.elapsed());
+            assert!(began.elapsed() < NOTIFIED_AFTER, "{fault:?} {times} times: {:?}", began.elapsed());
         })
     });
-    rows.into_iter().for_each(|row| row.join().expect("a row"));
+    for row in rows {
+        row.join().expect("a row");
+    }
 }
 
 #[test]
-fn a_moved_discovery_is_heard_in_time_whatever_becomes_of_the_openings() {
+fn a_moved_discovery_is_followed_in_time_whatever_becomes_of_the_calls() {
     let rows = ROWS.map(|(fault, times)| {
         thread::spawn(move || {
             let (before, after) = swapped();
@@ -154,14 +158,16 @@
             let began = Instant::now();
             limiter.move_to(new.address, count.address);
             wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
-            assert!(began.elapsed() < TOLD_AFTER_MOVE, "{fault:?} {times} times: {:?}", began.elapsed());
+            assert!(began.elapsed() < NOTIFIED_AFTER_MOVE, "{fault:?} {times} times: {:?}", began.elapsed());
         })
     });
-    rows.into_iter().for_each(|row| row.join().expect("a row"));
+    for row in rows {
+        row.join().expect("a row");
+    }
 }
 
 #[test]
-fn a_discovery_that_refuses_connections_is_heard_soon_after_its_return() {
+fn a_discovery_that_refuses_connections_is_followed_soon_after_its_return() {
     let (before, after) = swapped();
     let (old, count) = (watches(move |_| whole(&before)), counter());
     let limiter = Limiter::start(settings(), &old, count.address);
@@ -178,7 +184,7 @@
 
 /// What comes at the return counts at once, so one who asks has to be there in that moment.
 #[test]
-fn while_discovery_is_down_somebody_always_waits_for_its_return() {
+fn while_discovery_is_down_a_call_is_always_in_flight() {
     let server = Fake::new(|_| ok("served"));
     let line = list(10, &[(&server, "in_service")]);
     let discovery = watches(move |n| if n == 0 { whole(&line) } else { Reply::Silence });
@@ -197,7 +203,7 @@
 }
 
 #[test]
-fn a_watch_that_speaks_again_is_followed_on() {
+fn a_watch_with_a_heartbeat_after_silence_is_kept() {
     let (first, second) = two_servers();
     let before = list(10, &[(&first, "in_service"), (&second, "terminating")]);
     let discovery = watches(move |n| if n == 0 { whole(&before) } else { Reply::Silence });
--- a/crates/daemon/tests/inventory.rs
+++ b/crates/daemon/tests/inventory.rs
@@ -9,19 +9,19 @@
 const HEAD: &str = "id,address,zone,kind,cell,state,weight,started_ms\n";
 
 /// A folder of its own, with the operator's file in it.
-struct Room {
+struct InventoryDirectory {
     folder: PathBuf,
     file: PathBuf,
 }
 
-impl Room {
-    fn new(more: &str) -> Room {
+impl InventoryDirectory {
+    fn new(more: &str) -> InventoryDirectory {
         let folder = scratch("").with_extension("d");
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("nodes.csv");
         let operator = format!("[inventory]\ncsv = '{}'\n{more}", file.display());
         std::fs::write(folder.join("operator.toml"), operator).expect("write");
-        Room { folder, file }
+        InventoryDirectory { folder, file }
     }
 
     fn limiter(&self) -> Limiter {
@@ -33,7 +33,7 @@
 fn csv(version: u64, nodes: &[(&str, SocketAddr, &str)]) -> String {
     let mut text = format!("# version: {version}\n# count: {}\n{HEAD}", nodes.len());
     for (id, address, state) in nodes {
-        text.push_str(&format!("{id},{address},room-a,std,1,{state},1,\n"));
+        text += &[*id, address.to_string().as_str(), "room-a,std,1", *state, "1,\n"].join(",");
     }
     text
 }
@@ -58,19 +58,60 @@
 
 #[test]
 fn it_waits_for_the_first_file_and_then_goes_by_it_alone() {
-    let (room, a) = (Room::new(""), server("a"));
-    let limiter = room.limiter();
+    let (directory, a) = (InventoryDirectory::new(""), server("a"));
+    let limiter = directory.limiter();
     wait_until("it says that the file is missing", || limiter.errors().contains("the file is not there"));
     assert!(!limiter.up(), "without a list it takes no clients");
-    rename_over(&room.file, &csv(5, &[("s-a", a.address, "in_service")]));
+    rename_over(&directory.file, &csv(5, &[("s-a", a.address, "in_service")]));
     wait_until("it is up", || limiter.up());
     assert_eq!(served_by(&limiter), "a 5");
     assert!(limiter.errors().contains("inventory: version 5 adopted, 1 nodes"), "{}", limiter.errors());
 }
 
+/// Makes a link to the target, and puts it in one step where another may be.
+fn swap_link(directory: &InventoryDirectory, target: &Path, link: &Path) {
+    let new = directory.folder.join("..new");
+    let _ = std::fs::remove_file(&new);
+    std::os::unix::fs::symlink(target, &new).expect("a link");
+    std::fs::rename(&new, link).expect("rename");
+}
+
+/// Writes a version of the file, each in another of six ways. Some tools swap whole folders behind a link of the
+/// file into them.
+fn write_in_turn(directory: &InventoryDirectory, version: u64, text: &str) {
+    let spare = directory.folder.join(if version.is_multiple_of(2) { "one" } else { "two" });
+    let data = directory.folder.join("..data");
+    match version % 6 {
+        0 => rename_over(&directory.file, text),
+        1 => std::fs::write(&directory.file, text).expect("in place"),
+        2 => {
+            std::fs::remove_file(&directory.file).expect("remove");
+            std::fs::write(&directory.file, text).expect("write anew");
+        }
+        3 => {
+            let other = spare.join(format!("{version}.csv"));
+            std::fs::write(&other, text).expect("write");
+            swap_link(directory, &other, &directory.file);
+        }
+        4 => {
+            std::fs::write(spare.join("nodes.csv"), text).expect("write");
+            swap_link(directory, &spare, &data);
+            swap_link(directory, &data.join("nodes.csv"), &directory.file);
+        }
+        // A burst of writes of which only the last is complete.
+        _ => {
+            let _ = std::fs::remove_file(&directory.file);
+            for cut in 1..20 {
+                std::fs::write(&directory.file, &text[..text.len() * cut / 20]).expect("write a part");
+            }
+            std::fs::write(&directory.file, text).expect("write");
+        }
+    }
+}
+
 #[test]
-fn every_way_of_writing_is_seen() {
-    let (room, a, b) = (Room::new(""), server("a"), server("b"));
+fn every_way_of_writing_the_file_is_noticed() {
+    let (directory, a, b) = (InventoryDirectory::new(""), server("a"), server("b"));
     let to = |version: u64| {
         let node = if version.is_multiple_of(2) {
             ("s-a", a.address, "in_service")
@@ -80,49 +121,15 @@
         let text = csv(version, &[node]).replace("# count", "# removal: allowed\n# count");
         (text, format!("{} {version}", if version.is_multiple_of(2) { "a" } else { "b" }))
     };
-    rename_over(&room.file, &to(0).0);
-    let limiter = room.limiter();
+    rename_over(&directory.file, &to(0).0);
+    let limiter = directory.limiter();
     wait_until("it is up", || limiter.up());
-    // Folders that are swapped as a whole, as some tools do, behind a link of the file into them.
-    let (one, two, data) = (room.folder.join("one"), room.folder.join("two"), room.folder.join("..data"));
-    for folder in [&one, &two] {
-        std::fs::create_dir_all(folder).expect("a folder");
+    for folder in ["one", "two"] {
+        std::fs::create_dir_all(directory.folder.join(folder)).expect("a folder");
     }
-    let swap = |target: &Path, at: &Path| {
-        let new = room.folder.join("..new");
-        let _ = std::fs::remove_file(&new);
-        std::os::unix::fs::symlink(target, &new).expect("a link");
-        std::fs::rename(&new, at).expect("rename");
-    };
     for version in 1..=24 {
         let (text, expected) = to(version);
-        let spare = if version.is_multiple_of(2) { &one } else { &two };
-        match version % 6 {
-            0 => rename_over(&room.file, &text),
-            1 => std::fs::write(&room.file, &text).expect("in place"),
-            2 => {
-                std::fs::remove_file(&room.file).expect("remove");
-                std::fs::write(&room.file, &text).expect("write anew");
-            }
-            3 => {
-                let other = spare.join(format!("{version}.csv"));
-                std::fs::write(&other, &text).expect("write");
-                swap(&other, &room.file);
-            }
-            4 => {
-                std::fs::write(spare.join("nodes.csv"), &text).expect("write");
-                swap(spare, &data);
-                swap(&data.join("nodes.csv"), &room.file);
-            }
-            // A burst of writes of which only the last is whole.
-            _ => {
-                let _ = std::fs::remove_file(&room.file);
-                for cut in 1..20 {
-                    std::fs::write(&room.file, &text[..text.len() * cut / 20]).expect("write a part");
-                }
-                std::fs::write(&room.file, &text).expect("write");
-            }
-        }
+        write_in_turn(&directory, version, &text);
         wait_until(&format!("version {version} is adopted"), || served_by(&limiter) == expected);
     }
     let errors = limiter.errors();
@@ -134,10 +141,10 @@
 
 #[test]
 fn what_is_not_good_changes_nothing_and_is_said_once() {
-    let (room, a, b) = (Room::new(""), server("a"), server("b"));
+    let (directory, a, b) = (InventoryDirectory::new(""), server("a"), server("b"));
     let good = [("s-a", a.address, "in_service"), ("s-b", b.address, "in_service")];
-    rename_over(&room.file, &csv(7, &good));
-    let limiter = room.limiter();
+    rename_over(&directory.file, &csv(7, &good));
+    let limiter = directory.limiter();
     wait_until("it is up", || limiter.up());
     let bad = [
         (csv(8, &good).replacen("in_service", "up", 1), "state is \"up\", expected in_service"),
@@ -154,14 +161,14 @@
         (String::new(), "the file is empty"),
     ];
     for (text, why) in &bad {
-        rename_over(&room.file, text);
+        rename_over(&directory.file, text);
         wait_until(why, || limiter.errors().contains(why));
         assert!(served_by(&limiter).ends_with(" 7"), "the version before stays");
     }
-    std::fs::remove_file(&room.file).expect("remove");
+    std::fs::remove_file(&directory.file).expect("remove");
     wait_until("it says that the file is gone", || limiter.errors().contains("the file is not there"));
     assert!(served_by(&limiter).ends_with(" 7"));
-    rename_over(&room.file, &csv(8, &good));
+    rename_over(&directory.file, &csv(8, &good));
     wait_until("a good one is adopted", || served_by(&limiter).ends_with(" 8"));
     for (_, why) in &bad {
         assert_eq!(limiter.errors().matches(why).count(), 1, "{why}: {}", limiter.errors());
@@ -170,52 +177,53 @@
 
 #[test]
 fn a_drained_node_a_moved_one_and_one_without_weight_have_their_effects() {
-    let (room, a, b) = (Room::new("most_removed = 1.0\n"), server("a"), server("b"));
+    let (directory, a, b) = (InventoryDirectory::new("most_removed = 1.0\n"), server("a"), server("b"));
     let both = |state| [("s-a", a.address, state), ("s-b", b.address, "in_service")];
-    rename_over(&room.file, &csv(1, &both("in_service")));
-    let limiter = room.limiter();
+    rename_over(&directory.file, &csv(1, &both("in_service")));
+    let limiter = directory.limiter();
     wait_until("it is up", || limiter.up());
-    rename_over(&room.file, &csv(2, &both("terminating")));
+    rename_over(&directory.file, &csv(2, &both("terminating")));
     wait_until("the drain is adopted", || served_by(&limiter) == "b 2");
     let before = a.count();
     (0..20).for_each(|_| assert_eq!(served_by(&limiter), "b 2"));
     assert_eq!(a.count(), before, "nothing new goes to it");
     // The id of one at the address of the other, which is gone.
-    rename_over(&room.file, &csv(3, &[("s-a", b.address, "in_service")]));
+    rename_over(&directory.file, &csv(3, &[("s-a", b.address, "in_service")]));
     wait_until("the move is adopted", || served_by(&limiter) == "b 3");
     let weightless = csv(4, &both("in_service")).replacen(",1,\n", ",0,\n", 1);
-    rename_over(&room.file, &weightless);
+    rename_over(&directory.file, &weightless);
     wait_until("the weight is adopted", || served_by(&limiter) == "b 4");
     (0..20).for_each(|_| assert_eq!(served_by(&limiter), "b 4"));
 }
 
 #[test]
 fn what_is_open_at_a_removed_node_is_ended_and_at_a_moved_one_goes_on() {
-    let (room, b) = (Room::new("most_removed = 1.0\n"), server("b"));
+    let (directory, b) = (InventoryDirectory::new("most_removed = 1.0\n"), server("b"));
     let silent = Fake::new(|_| Reply::Silence);
     let only = |version, at: SocketAddr| csv(version, &[("s-a", at, "in_service")]);
-    rename_over(&room.file, &only(1, silent.address));
-    let limiter = room.limiter();
+    rename_over(&directory.file, &only(1, silent.address));
+    let limiter = directory.limiter();
     wait_until("it is up", || limiter.up());
     let mut client = limiter.client();
     client.send(&quote("roomy", 2_000));
     wait_until("it is at the silent one", || silent.count() == 1);
     // The same id elsewhere: what is open goes on where it is, what is new goes there.
-    rename_over(&room.file, &only(2, b.address));
+    rename_over(&directory.file, &only(2, b.address));
     wait_until("the move is adopted", || limiter.errors().contains("version 2 adopted"));
     assert_eq!(served_by(&limiter), "b 2");
     assert!(silent.let_go().is_empty(), "the open attempt is left alone");
     // Removed: the open attempt is ended at once, and a safe request goes to another node.
-    rename_over(&room.file, &csv(3, &[("s-b", b.address, "in_service")]));
+    rename_over(&directory.file, &csv(3, &[("s-b", b.address, "in_service")]));
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "b 3"));
     wait_until("its connection is closed", || silent.let_go().len() == 1);
 }
 
 #[test]
-fn the_operator_s_file_is_checked_at_the_start() {
-    let (room, _) = (Room::new("quiet_ms = 0\n"), ());
-    let output = command().arg("--operator").arg(room.folder.join("operator.toml")).output().expect("run");
+fn the_operator_file_is_validated_at_the_start() {
+    let directory = InventoryDirectory::new("quiet_ms = 0\n");
+    let output =
+        command().arg("--operator").arg(directory.folder.join("operator.toml")).output().expect("run");
     assert_eq!(output.status.code(), Some(1));
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(said.contains("operator.toml:3:12: quiet_ms is 0, expected 1 to 10000"), "{said}");
@@ -223,7 +231,7 @@
 
 #[test]
 fn files_are_checked_converted_and_compared_on_the_command_line() {
-    let room = Room::new("");
+    let directory = InventoryDirectory::new("");
     let run = |args: &[&str]| {
         let output =
             Command::new(env!("CARGO_BIN_EXE_liftrouter")).arg("inventory").args(args).output().expect("run");
@@ -233,7 +241,8 @@
     };
     let at = |n: u16| SocketAddr::from(([10, 0, 0, 1], n));
     let two = [("s-1", at(1), "in_service"), ("s-2", at(2), "in_service")];
-    let (old, new) = (room.file.display().to_string(), room.folder.join("new.yaml").display().to_string());
+    let (old, new) =
+        (directory.file.display().to_string(), directory.folder.join("new.yaml").display().to_string());
     std::fs::write(&old, csv(1, &two)).expect("write");
     assert_eq!(run(&["check", &old]), (Some(0), format!("{old}: good, 2 nodes, version 1\n")));
     let (code, yaml) = run(&["convert", &old, "--to", "yaml"]);
--- a/crates/daemon/tests/program.rs
+++ b/crates/daemon/tests/program.rs
@@ -20,7 +20,7 @@
 // ----- relaying -----
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+fn a_request_is_forwarded_unchanged_and_its_answer_returned() {
     let server = Fake::new(|m| ok(&format!("echo {}", m.text())));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_customer_beyond_its_quota_is_refused_with_advice() {
+fn a_customer_beyond_its_quota_is_rejected_with_retry_after() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
@@ -59,7 +59,7 @@
         let answer = client.ask(&quote("small", 9000));
         match answer.status() {
             200 => served += 1,
-            429 => refused.push(answer.header("retry-after").map(|v| v.parse::<f64>())),
+            429 => refused.push(answer.header("retry-after").map(str::parse::<f64>)),
             _ => panic!("{}", answer.first),
         }
         matches!(refused.last(), Some(Some(_)))
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_bucket_that_is_spent_borrows_from_a_quota_that_lies_idle() {
+fn an_empty_bucket_borrows_from_idle_quota() {
     let server = Fake::new(|_| ok("served"));
     let (discovery, counter) = (discovery(vec![instance("s-0", server.address, "in_service")]), counter());
     let mut settings = settings();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran_and_another_server_gets_the_request() {
+fn a_request_whose_connection_was_refused_is_retried_at_another_server() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
         let good = Fake::new(|_| ok("served"));
         let (one, other) = (nobody(), nobody());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_request_turned_away_unseen_is_sent_again_whatever_its_class() {
+fn an_unprocessed_request_is_retried_whatever_its_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
             let (answer, seen) = after(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_if_its_class_permits() {
+fn a_request_that_may_have_run_is_retried_only_if_its_class_permits() {
     let faults: [fn() -> Reply; 6] = [
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
         // Without its mark, a 503 does not say that the request never ran.
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn the_next_attempt_starts_only_when_the_one_before_is_closed() {
+fn an_attempt_starts_only_when_the_previous_one_is_closed() {
     // Requests hang; the module calls attempts off and tries another server, which answers only once the
     // first has seen its connection end, or notes that it did not.
     let overlaps = Arc::new(AtomicU32::new(0));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_its_server_closed_costs_no_request() {
+fn an_idle_connection_closed_by_its_server_fails_no_request() {
     // Every answer is followed by a close that no header announces.
     let server = Fake::new(|_| Reply::Last(raw("200 OK", "", "bye")));
     let limiter = Limiter::over(&[&server]);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn servers_that_were_left_out_for_failing_count_again_later() {
+fn ejected_servers_are_used_again_later() {
     let (failing, go) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
     let servers: Vec<Fake> = (0..4)
         .map(|_| {
@@ -228,9 +228,10 @@
                 while !gate.load(Ordering::SeqCst) && Instant::now() < end {
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                match failing.load(Ordering::SeqCst) {
-                    true => Reply::Raw(raw("500 Internal Server Error", "", "")),
-                    false => ok("served"),
+                if failing.load(Ordering::SeqCst) {
+                    Reply::Raw(raw("500 Internal Server Error", "", ""))
+                } else {
+                    ok("served")
                 }
             })
         })
@@ -274,7 +275,7 @@
 // ----- discovery -----
 
 #[test]
-fn a_server_that_drains_while_it_is_connected_to_gets_nothing() {
+fn a_server_that_drains_during_a_connect_gets_no_request() {
     let (listener, stuck, filled) = never_up();
     let good = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
@@ -301,7 +302,7 @@
 }
 
 #[test]
-fn a_server_told_gone_loses_what_is_out_at_it() {
+fn requests_in_flight_at_a_removed_server_are_ended() {
     let (hung, good) = (Fake::new(|_| Reply::Silence), Fake::new(|_| ok("served")));
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     // One late answer alone never makes the module call an attempt off: only the news can end this one.
@@ -333,7 +334,7 @@
 }
 
 #[test]
-fn a_broken_watch_is_taken_up_where_it_ended() {
+fn a_broken_watch_is_resumed_at_its_revision() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -366,7 +367,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_broken() {
+fn a_silent_watch_is_replaced() {
     // A peer that is cut off never errs.
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
@@ -378,7 +379,7 @@
 // ----- the counter -----
 
 #[test]
-fn the_counter_is_told_what_was_sent_on() {
+fn the_counter_is_notified_of_forwarded_requests() {
     let (server, counter) = (Fake::new(|_| ok("served")), counter());
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter.address);
@@ -397,7 +398,7 @@
 }
 
 #[test]
-fn a_silent_or_senseless_counter_holds_no_request_up() {
+fn a_silent_or_faulty_counter_delays_no_request() {
     let late = || {
         std::thread::sleep(Duration::from_millis(300));
         ok("999999")
@@ -421,7 +422,7 @@
 }
 
 #[test]
-fn a_counter_that_refuses_connections_is_found_again() {
+fn a_counter_that_refuses_connections_is_reconnected() {
     let server = Fake::new(|_| ok("served"));
     let (counter, address) = nobody();
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
@@ -441,7 +442,7 @@
 // ----- start and end -----
 
 #[test]
-fn a_log_that_is_closed_ends_nothing() {
+fn a_closed_log_does_not_end_the_limiter() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -455,7 +456,7 @@
 }
 
 #[test]
-fn a_missing_or_bad_configuration_is_named_in_one_line() {
+fn a_missing_or_malformed_configuration_is_named_in_one_line() {
     let whole = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
     let with = |key: &str, value: serde_json::Value| {
         let mut config = whole.clone();
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -1,4 +1,4 @@
-//! The list of servers through a tree of real relays: who is told what, failover, repair, and staleness.
+//! The list of servers through a tree of real relays: who is notified of what, failover, repair, and staleness.
 mod common;
 #[path = "relays/regions.rs"]
 mod regions;
@@ -17,7 +17,7 @@
 
 /// A change is in force everywhere within this time.
 const IN_FORCE: Duration = Duration::from_secs(8);
-/// A request may come to a server so long after its drain counts as told.
+/// A request may come to a server so long after its drain counts as notified.
 const GRACE: Duration = Duration::from_millis(250);
 /// A limiter without a list waits so long for one before it goes by its configuration.
 const FIRST_LIST: Duration = Duration::from_millis(8_500);
@@ -34,7 +34,7 @@
 /// The revision of the burst at which a server begins to drain, and the one at which the relay is killed.
 const DRAIN_AT: u64 = 30;
 const KILL_AT: u64 = 50;
-/// Changes of a service that a child does not follow.
+/// Changes of a service that a subscriber does not follow.
 const FOREIGN_CHANGES: u32 = 100;
 /// The pause between two revisions of a burst.
 const BURST_PAUSE: Duration = Duration::from_millis(10);
@@ -86,31 +86,31 @@
     let foreign_instance = server("s-foreign", "service-2", foreign.fake.address);
     let tree = Tree::of(&[server("s-own", "service-1", own.fake.address), foreign_instance.clone()]);
     let limiter = tree.limiter(&["service-1"]);
-    let child = RawChild::follow(tree.zones[0].address, None, &["service-1"]);
-    let other_child = RawChild::follow(tree.zones[0].address, None, &["service-2"]);
+    let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
+    let other_subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-2"]);
     let load = Load::on(&limiter);
     for step in 1..=20 {
         let generation = tree.discovery.put(weighted(&foreign_instance, 1.0 + f64::from(step)));
-        other_child.wait_for(generation);
+        other_subscriber.wait_for(generation);
     }
     wait_until("requests were served", || load.statuses().len() >= 100);
     drop(load);
     assert_eq!(foreign.arrivals().len(), 0);
     assert!(own.arrivals().len() >= 100);
-    assert_eq!(child.ids(), ["s-own"]);
-    let told: Vec<String> = child
+    assert_eq!(subscriber.ids(), ["s-own"]);
+    let notified: Vec<String> = subscriber
         .received()
         .iter()
         .flat_map(|r| r.ids().into_iter().map(str::to_string).collect::<Vec<_>>())
         .collect();
-    assert_eq!(told, ["s-own"], "it is told of its own server, once");
+    assert_eq!(notified, ["s-own"], "it is notified of its own server, once");
     assert_eq!(limiter.discovery.accepted(), 0, "discovery is not asked");
 }
 
-/// A child whose services are quiet gets the signs of life that are due by the clock, however many changes there are.
+/// A subscriber whose services are quiet gets the heartbeats that are due by the clock, however many changes there are.
 /// Larger than the longest message of a limiter, 4 MiB: the relays of a fleet hold what no limiter does.
 #[test]
-fn a_list_that_no_limiter_could_read_reaches_children_by_service() {
+fn a_list_beyond_the_message_limit_of_limiters_reaches_subscribers_by_service() {
     const SERVERS: usize = 30_000;
     const SERVICES: usize = 500;
     let servers: Vec<_> = (0..SERVERS)
@@ -119,26 +119,26 @@
     let discovery = ServiceDiscovery::new(&servers);
     let root = Relay::root(&discovery);
     let zone = Relay::zone(&[root.address], 1);
-    let list = RawChild::follow(zone.address, None, &["service-7"]).first();
+    let list = RawSubscriber::follow(zone.address, None, &["service-7"]).first();
     assert_eq!((list.reset, list.instances.len()), (true, SERVERS / SERVICES));
 }
 
 #[test]
-fn a_change_of_another_service_costs_a_child_no_message() {
+fn a_change_of_another_service_costs_a_subscriber_no_message() {
     let own = unreachable_server("s-own", "service-1");
     let foreign = unreachable_server("s-foreign", "service-2");
     let tree = Tree::of(&[own.clone(), foreign.clone()]);
-    let child = RawChild::follow(tree.zones[0].address, None, &["service-1"]);
-    let other_child = RawChild::follow(tree.zones[0].address, None, &["service-2"]);
+    let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
+    let other_subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-2"]);
     // What is under way comes before this change.
-    child.wait_for(tree.discovery.put(weighted(&own, 2.0)));
-    let (before, began) = (child.received().len(), Instant::now());
+    subscriber.wait_for(tree.discovery.put(weighted(&own, 2.0)));
+    let (before, began) = (subscriber.received().len(), Instant::now());
     for step in 1..=FOREIGN_CHANGES {
         let generation = tree.discovery.put(weighted(&foreign, 1.0 + f64::from(step)));
-        other_child.wait_for(generation);
+        other_subscriber.wait_for(generation);
     }
     let heartbeats_due = 1 + (began.elapsed().as_secs_f64() / HEARTBEAT.as_secs_f64()) as usize;
-    let later: Vec<Received> = child.received().split_off(before);
+    let later: Vec<Received> = subscriber.received().split_off(before);
     assert!(later.iter().all(|received| received.ids().is_empty()), "{later:?}");
     let count = later.len();
     assert!(
@@ -147,12 +147,12 @@
     );
 }
 
-/// Discovery writes no empty lines while it tells changes. All the same no child may take its relay for dead.
+/// Discovery writes no empty lines while it announces changes. All the same no subscriber may take its relay for dead.
 #[test]
-fn a_child_whose_services_are_quiet_hears_signs_of_life_while_others_change() {
+fn a_subscriber_of_unchanged_services_gets_heartbeats_while_others_change() {
     let foreign = unreachable_server("s-foreign", "service-2");
     let tree = Tree::of(&[unreachable_server("s-own", "service-1"), foreign.clone()]);
-    let child = RawChild::follow(tree.zones[0].address, None, &["service-1"]);
+    let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let began = Instant::now();
     let mut step = 1.0;
     while began.elapsed() < OUTAGE {
@@ -161,31 +161,31 @@
         thread::sleep(BURST_PAUSE);
     }
     let ended = Instant::now();
-    let moments: Vec<Instant> = child.received().iter().map(|r| r.at).chain([ended]).collect();
-    let longest = moments.windows(2).map(|pair| pair[1] - pair[0]).max().expect("signs of life");
-    assert!(longest < SILENCE_RELAYED, "the child heard nothing for {longest:?}");
-    assert!(!child.has_ended());
+    let moments: Vec<Instant> = subscriber.received().iter().map(|r| r.at).chain([ended]).collect();
+    let longest = moments.windows(2).map(|pair| pair[1] - pair[0]).max().expect("heartbeats");
+    assert!(longest < SILENCE_RELAYED, "the subscriber got nothing for {longest:?}");
+    assert!(!subscriber.has_ended());
 }
 
 #[test]
-fn a_child_gets_what_it_lacks() {
+fn a_subscriber_gets_what_it_lacks() {
     let own = unreachable_server("s-1", "service-1");
     let still = unreachable_server("s-2", "service-1");
     let tree = Tree::of(&[own.clone(), still, unreachable_server("s-3", "service-2")]);
     let zone = tree.zones[0].address;
-    let follower = RawChild::follow(zone, None, &["service-1"]);
+    let follower = RawSubscriber::follow(zone, None, &["service-1"]);
     let first_change = tree.discovery.put(weighted(&own, 2.0));
     follower.wait_for(first_change);
     let second_change = tree.discovery.put(weighted(&own, 3.0));
     follower.wait_for(second_change);
 
-    let delta = RawChild::follow(zone, Some(first_change), &["service-1"]).first();
+    let delta = RawSubscriber::follow(zone, Some(first_change), &["service-1"]).first();
     assert_eq!((delta.reset, delta.generation, ids(&delta)), (false, second_change, vec!["s-1"]));
-    let nothing_new = RawChild::follow(zone, Some(second_change), &["service-1"]).first();
+    let nothing_new = RawSubscriber::follow(zone, Some(second_change), &["service-1"]).first();
     assert_eq!((nothing_new.reset, ids(&nothing_new)), (false, vec![]));
     // Without a revision, with one of before the relay's first list, and with one that was never.
     for after in [None, Some(1), Some(second_change + 1_000)] {
-        let whole = RawChild::follow(zone, after, &["service-1"]).first();
+        let whole = RawSubscriber::follow(zone, after, &["service-1"]).first();
         assert_eq!((whole.reset, ids(&whole)), (true, vec!["s-1", "s-2"]), "after {after:?}");
         assert_eq!(whole.generation, second_change);
     }
@@ -196,28 +196,30 @@
 }
 
 #[test]
-fn heartbeats_and_children_stop_with_those_of_upstream() {
+fn heartbeats_and_subscriptions_stop_with_the_heartbeats_of_upstream() {
     let own = unreachable_server("s-1", "service-1");
     let discovery = ServiceDiscovery::with_heartbeat(FAST_HEARTBEAT, std::slice::from_ref(&own));
     let root = Relay::root(&discovery);
-    let child = RawChild::follow(root.address, None, &["service-1"]);
-    wait_until("heartbeats come", || child.received().iter().filter(|r| r.update.is_none()).count() >= 3);
+    let subscriber = RawSubscriber::follow(root.address, None, &["service-1"]);
+    wait_until("heartbeats come", || {
+        subscriber.received().iter().filter(|r| r.update.is_none()).count() >= 3
+    });
     discovery.stop_heartbeats();
     let last = discovery.put(weighted(&own, 2.0));
-    child.wait_for(last);
-    let told = child
+    subscriber.wait_for(last);
+    let change = subscriber
         .received()
         .iter()
         .position(|r| r.ids() == ["s-1"] && !r.update.as_ref().is_some_and(|u| u.reset));
-    let told = told.expect("the change");
+    let change = change.expect("the change");
     wait_until("the relay says that it is stale", || root.up() == 503);
-    let later = child.received().split_off(told + 1);
-    // The change itself is a sign of life, whose digest may follow it.
+    let later = subscriber.received().split_off(change + 1);
+    // The change itself is a heartbeat, whose digest may follow it.
     assert!(
         later.len() <= 1 && later.iter().all(|r| r.digest().is_some()),
-        "signs of life of its own: {later:?}"
+        "heartbeats of its own: {later:?}"
     );
-    let refused = RawChild::open(root.address, None, &["service-1"]);
+    let refused = RawSubscriber::open(root.address, None, &["service-1"]);
     assert_eq!(refused.head.status(), 503);
     assert!(refused.head.header("retry-after").is_some());
     wait_until("it logs so", || root.log().contains("stale: upstream gave no sign of life"));
@@ -232,15 +234,15 @@
 }
 
 #[test]
-fn one_heartbeat_in_five_carries_a_digest_of_what_the_child_holds() {
+fn one_heartbeat_in_five_carries_a_digest_of_what_the_subscriber_holds() {
     let own = unreachable_server("s-1", "service-1");
     let servers =
         [own.clone(), unreachable_server("s-2", "service-2"), unreachable_server("s-3", "service-3")];
     let root = Relay::root(&ServiceDiscovery::with_heartbeat(FAST_HEARTBEAT, &servers));
-    let idle = RawChild::follow(root.address, None, &["service-1", "service-3"]);
-    wait_until("signs of life come", || idle.received().len() >= 6 * DIGEST_EVERY);
+    let idle = RawSubscriber::follow(root.address, None, &["service-1", "service-3"]);
+    wait_until("heartbeats come", || idle.received().len() >= 6 * DIGEST_EVERY);
     for run in idle.received().windows(DIGEST_EVERY) {
-        assert!(run.iter().any(|sign| sign.digest().is_some()), "no digest in {run:?}");
+        assert!(run.iter().any(|received| received.digest().is_some()), "no digest in {run:?}");
     }
     assert_eq!(idle.digest_faults(), Vec::<u64>::new());
 }
@@ -250,20 +252,20 @@
     let own = unreachable_server("s-1", "service-1");
     let discovery = ServiceDiscovery::with_heartbeat(FAST_HEARTBEAT, std::slice::from_ref(&own));
     let root = Relay::root(&discovery);
-    let child = RawChild::follow(root.address, None, &["service-1"]);
+    let subscriber = RawSubscriber::follow(root.address, None, &["service-1"]);
     for step in 1..=20 {
         let generation = discovery.put_all([
             weighted(&own, 1.0 + f64::from(step)),
             unreachable_server(&format!("s-new-{step}"), "service-1"),
             unreachable_server(&format!("s-other-{step}"), "service-2"),
         ]);
-        child.wait_for(generation);
+        subscriber.wait_for(generation);
     }
-    let seen = child.received().len();
-    let has_digest = || child.received()[seen..].iter().any(|sign| sign.digest().is_some());
+    let seen = subscriber.received().len();
+    let has_digest = || subscriber.received()[seen..].iter().any(|received| received.digest().is_some());
     wait_until("a digest comes", has_digest);
-    assert_eq!(child.digest_faults(), Vec::<u64>::new());
-    assert_eq!(child.ids().len(), 21);
+    assert_eq!(subscriber.digest_faults(), Vec::<u64>::new());
+    assert_eq!(subscriber.ids().len(), 21);
 }
 
 #[test]
@@ -310,7 +312,7 @@
 }
 
 #[test]
-fn a_limiter_leaves_a_relay_that_stands_still() {
+fn a_limiter_leaves_a_suspended_relay() {
     let [steady, drained] = ["steady", "drained"].map(TimedServer::new);
     let drained_instance = server("s-drained", "service-1", drained.fake.address);
     let tree = Tree::of(&[server("s-steady", "service-1", steady.fake.address), drained_instance.clone()]);
@@ -349,15 +351,15 @@
     });
     let slow = Relay::zone(&[slow_upstream.address], 1);
     let mut current = Relay::zone(&[root.address], 2);
-    // The slow one is not there for the limiter until the current one has told it of the drain.
+    // The slow one is not there for the limiter until the current one has announced the drain to it.
     let closed = held_back.clone();
     let slow_front = WatchProxy::filtered(slow.address, move |_| !closed.load(Ordering::SeqCst));
     let current_front = WatchProxy::new(current.address);
     let limiter = FollowingLimiter::start(&[current_front.address, slow_front.address], &["service-1"]);
     let load = Load::on(&limiter);
     let drain = discovery.put(draining(&drained_instance));
-    wait_until("the limiter is told", || current_front.last_generation() >= Some(drain));
-    let told_at = Instant::now();
+    wait_until("the limiter is notified", || current_front.last_generation() >= Some(drain));
+    let notified_at = Instant::now();
     held_back.store(false, Ordering::SeqCst);
     let calls_before = slow_front.targets().len();
     current.kill();
@@ -367,22 +369,22 @@
     passing.store(true, Ordering::SeqCst);
     discovery.put(late_instance);
     wait_until("the slow relay has caught up", || !late.arrivals().is_empty());
-    assert_eq!(arrivals_after(&drained, told_at + GRACE), 0);
+    assert_eq!(arrivals_after(&drained, notified_at + GRACE), 0);
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
 
 #[test]
-fn one_revision_tells_each_child_of_its_own_services() {
+fn one_revision_notifies_each_subscriber_of_its_own_services() {
     let services = ["service-1", "service-2", "service-3"];
     let servers = services.map(|service| unreachable_server(&format!("s-of-{service}"), service));
     let tree = Tree::of(&servers);
     let zone = tree.zones[0].address;
-    let children = services.map(|service| RawChild::follow(zone, None, &[service]));
-    let both = RawChild::follow(zone, None, &services[..2]);
+    let subscribers = services.map(|service| RawSubscriber::follow(zone, None, &[service]));
+    let both = RawSubscriber::follow(zone, None, &services[..2]);
     let last = tree.discovery.put_all(servers.iter().map(|server| weighted(server, 2.0)));
-    for (child, server) in children.iter().zip(&servers) {
-        child.wait_for(last);
-        let delta = child.received().into_iter().filter_map(|r| r.update).find(|update| !update.reset);
+    for (subscriber, server) in subscribers.iter().zip(&servers) {
+        subscriber.wait_for(last);
+        let delta = subscriber.received().into_iter().filter_map(|r| r.update).find(|update| !update.reset);
         assert_eq!(ids(&delta.expect("a delta")), [server.instance_id.as_str()]);
     }
     both.wait_for(last);
@@ -390,13 +392,13 @@
 }
 
 #[test]
-fn a_child_that_was_away_for_long_gets_a_whole_list_of_its_services() {
+fn a_subscriber_that_was_away_for_long_gets_a_complete_list_of_its_services() {
     let own = unreachable_server("s-1", "service-1");
     let tree = Tree::of(&[own.clone(), unreachable_server("s-2", "service-2")]);
-    let follower = RawChild::follow(tree.zones[0].address, None, &["service-1"]);
+    let follower = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let last = tree.discovery.put(weighted(&own, 2.0));
     follower.wait_for(last);
-    let back = RawChild::follow(tree.zones[0].address, Some(1), &["service-1"]).first();
+    let back = RawSubscriber::follow(tree.zones[0].address, Some(1), &["service-1"]).first();
     assert_eq!((back.reset, back.generation, ids(&back)), (true, last, vec!["s-1"]));
 }
 
@@ -437,7 +439,7 @@
 }
 
 #[test]
-fn many_children_at_once_all_get_their_list() {
+fn many_subscribers_at_once_all_get_their_list() {
     const CHILDREN: usize = 200;
     const SERVICES: usize = 40;
     const FOLLOWED: usize = 20;
@@ -456,15 +458,15 @@
             .collect();
         expected.sort();
         start.wait();
-        let child = RawChild::follow(root.address, None, &followed);
-        assert_eq!(child.ids(), expected);
-        assert_eq!(child.digest_faults(), Vec::<u64>::new());
+        let subscriber = RawSubscriber::follow(root.address, None, &followed);
+        assert_eq!(subscriber.ids(), expected);
+        assert_eq!(subscriber.digest_faults(), Vec::<u64>::new());
     });
 }
 
 #[test]
-fn a_child_that_never_reads_is_cut_off_and_costs_the_others_nothing() {
-    /// Enough for the buffers of the sockets and the queue of the child to be full.
+fn a_subscriber_that_never_reads_is_disconnected_and_costs_the_others_nothing() {
+    /// Enough for the buffers of the sockets and the queue of the subscriber to be full.
     const SERVERS: usize = 400;
     const MOST_REVISIONS: u32 = 400;
     let bulk: Vec<_> = (0..SERVERS).map(|n| unreachable_server(&format!("s-{n}"), "bulk")).collect();
@@ -474,8 +476,8 @@
     let mut never_reads = Client::to(root.address);
     let target = watch_target(None, &["bulk"]);
     never_reads.send(&format!("GET {target} HTTP/1.1\r\nHost: relay\r\n\r\n"));
-    let reader = RawChild::follow(root.address, None, &["bulk"]);
-    let bystander = RawChild::follow(root.address, None, &["small"]);
+    let reader = RawSubscriber::follow(root.address, None, &["bulk"]);
+    let bystander = RawSubscriber::follow(root.address, None, &["small"]);
     let cut_off = || root.log().contains("reads too slowly");
     for step in 1..=MOST_REVISIONS {
         if cut_off() {
@@ -505,7 +507,7 @@
     tree.discovery.cut_off();
     let cut_at = Instant::now();
     wait_until("the outage is long", || cut_at.elapsed() > OUTAGE);
-    // Changes that nobody can be told of yet.
+    // Changes that nobody can be notified of yet.
     let last = tree.discovery.put_all([draining(&first_instance), second_instance]);
     wait_until("the limiter says that its list is stale", || {
         limiter.log().contains("stale: going on by a list")
@@ -527,24 +529,24 @@
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
 
-/// A list may lack a change that discovery had right after its last sign of life, so it is stale when that change
-/// has to be in force. What a relay tells a child that comes later makes it no fresher.
+/// A list may lack a change that discovery had right after its last heartbeat, so it is stale when that change
+/// has to be in force. What a relay sends a subscriber that comes later makes it no fresher.
 #[test]
-fn a_limiter_is_stale_so_long_after_the_last_sign_of_life_of_discovery() {
+fn a_limiter_is_stale_a_fixed_time_after_the_last_heartbeat_of_discovery() {
     let only = TimedServer::new("only");
     let tree = Tree::of(&[server("s-only", "service-1", only.fake.address)]);
     let limiter = tree.limiter(&["service-1"]);
     tree.discovery.cut_off();
-    let last_sign = tree.discovery.last_sign();
+    let last_heartbeat = tree.discovery.last_heartbeat();
     let is_stale = || limiter.log().contains("stale: going on by a list");
     // Waits on behind the bound, so that a failure tells how late it was.
-    while !is_stale() && last_sign.elapsed() < LONGEST_UNTIL_STALE {
+    while !is_stale() && last_heartbeat.elapsed() < LONGEST_UNTIL_STALE {
         thread::sleep(BURST_PAUSE);
     }
-    let (stale, took) = (is_stale(), last_sign.elapsed());
+    let (stale, took) = (is_stale(), last_heartbeat.elapsed());
     assert!(
         stale && took <= IN_FORCE + GRACE,
-        "stale: {stale}, {took:?} after the last sign of life of discovery; calls: {:?} and {:?}",
+        "stale: {stale}, {took:?} after the last heartbeat of discovery; calls: {:?} and {:?}",
         tree.proxies[0].targets(),
         tree.proxies[1].targets()
     );
@@ -590,13 +592,13 @@
 }
 
 #[test]
-fn a_relay_ends_with_0_when_it_is_told_to() {
+fn a_relay_exits_with_0_after_sigterm() {
     let discovery = ServiceDiscovery::new(&[unreachable_server("s-1", "service-1")]);
     let mut root = Relay::root(&discovery);
     let mut zone = Relay::zone(&[root.address], 1);
-    let child = RawChild::follow(zone.address, None, &["service-1"]);
+    let subscriber = RawSubscriber::follow(zone.address, None, &["service-1"]);
     assert_eq!(zone.terminate().code(), Some(0));
-    wait_until("its child is let go", || child.has_ended());
+    wait_until("its subscriber is let go", || subscriber.has_ended());
     assert_eq!(root.terminate().code(), Some(0));
     wait_until("it logs so", || root.log().contains("SIGTERM: ending"));
 }
--- a/crates/daemon/tests/relays/regions.rs
+++ b/crates/daemon/tests/relays/regions.rs
@@ -10,7 +10,7 @@
 
 /// A change is in force everywhere within this time.
 const IN_FORCE: Duration = Duration::from_secs(8);
-/// A request may come to a server so long after its drain was told.
+/// A request may come to a server so long after its drain was announced.
 const GRACE: Duration = Duration::from_millis(250);
 /// A limiter waits so long for the first list of each region.
 const FIRST_LIST: Duration = Duration::from_millis(8_500);
@@ -72,20 +72,22 @@
     let last_east = east.discovery.put_all([draining(&instances[2]), instances[3].clone()]);
     wait_until("the change of the near region is in force", || west_new.arrivals().len() >= SOME);
     assert!(west_new.arrivals()[0].at <= changed_at + IN_FORCE);
-    let told = west_new.arrivals()[0].at;
-    wait_until("the far region's last list is in use", || arrivals_after(&east_old, told + GRACE) >= SOME);
-    assert_eq!(arrivals_after(&west_old, told + GRACE), 0);
+    let arrived_at = west_new.arrivals()[0].at;
+    wait_until("the far region's last list is in use", || {
+        arrivals_after(&east_old, arrived_at + GRACE) >= SOME
+    });
+    assert_eq!(arrivals_after(&west_old, arrived_at + GRACE), 0);
     assert_eq!(east_new.arrivals().len(), 0);
     assert!(!limiter.log().contains("region west: stale"), "{}", limiter.log());
 
     east.discovery.restore();
     let restored_at = Instant::now();
     wait_until("the changes of the far region are in force", || east_new.arrivals().len() >= SOME);
-    let told = east_new.arrivals()[0].at;
-    assert!(told <= restored_at + IN_FORCE, "they came {:?} late", told - restored_at);
-    wait_until("more is served", || arrivals_after(&east_new, told + GRACE) >= SOME);
-    assert_eq!(arrivals_after(&east_old, told + GRACE), 0);
-    assert_eq!(arrivals_after(&west_old, told + GRACE), 0);
+    let arrived_at = east_new.arrivals()[0].at;
+    assert!(arrived_at <= restored_at + IN_FORCE, "they came {:?} late", arrived_at - restored_at);
+    wait_until("more is served", || arrivals_after(&east_new, arrived_at + GRACE) >= SOME);
+    assert_eq!(arrivals_after(&east_old, arrived_at + GRACE), 0);
+    assert_eq!(arrivals_after(&west_old, arrived_at + GRACE), 0);
     wait_until("it says so", || {
         limiter.log().contains("region east: the list of servers is confirmed again")
     });
--- /dev/null
+++ b/crates/daemon/tests/start_errors.rs
@@ -0,0 +1,109 @@
+//! What an operator reads where the program cannot start: the text says what was tried, with what, and what was
+//! expected.
+mod common;
+
+use common::*;
+use serde_json::{json, Value};
+use std::net::TcpListener;
+use std::process::Command;
+
+/// Runs the program to its end: its exit code and what it wrote to standard error.
+fn run(command: &mut Command) -> (Option<i32>, String) {
+    let output = command.output().expect("run");
+    (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
+}
+
+/// Runs a limiter with this configuration; `FILE` in the expected text stands for the file's name.
+fn assert_limiter_error(config: &str, variables: &[(&str, &str)], expected: &str) {
+    let file = scratch(config);
+    let name = file.display().to_string();
+    let mut command = command();
+    command.env("ROUTER_CONFIG", &file).envs(variables.iter().copied());
+    assert_eq!(run(&mut command), (Some(1), format!("liftrouter: {}\n", expected.replace("FILE", &name))));
+    let _ = std::fs::remove_file(file);
+}
+
+fn config_without(key: &str) -> String {
+    let mut config = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
+    config[key] = Value::Null;
+    config.to_string()
+}
+
+fn config_with_empty(key: &str) -> String {
+    let mut config = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
+    config["settings"][key] = json!([]);
+    config.to_string()
+}
+
+#[test]
+fn a_missing_configuration_file_is_named() {
+    assert_eq!(run(&mut command()), (Some(1), "liftrouter: ROUTER_CONFIG is not set\n".into()));
+    let expected =
+        "liftrouter: ROUTER_CONFIG: cannot read no/such/file: No such file or directory (os error 2)\n";
+    assert_eq!(run(command().env("ROUTER_CONFIG", "no/such/file")), (Some(1), expected.into()));
+}
+
+#[test]
+fn a_malformed_configuration_file_is_located() {
+    let expected = "ROUTER_CONFIG: FILE: EOF while parsing a value at line 1 column 10";
+    assert_limiter_error("{\"listen\":", &[], expected);
+}
+
+#[test]
+fn missing_and_empty_settings_are_named() {
+    assert_limiter_error(&config_without("settings"), &[], "ROUTER_CONFIG: FILE: no settings");
+    let expected = "ROUTER_CONFIG: FILE: settings: no classes";
+    assert_limiter_error(&config_with_empty("classes"), &[], expected);
+    let expected = "ROUTER_CONFIG: FILE: settings: no tariffs";
+    assert_limiter_error(&config_with_empty("tariffs"), &[], expected);
+}
+
+#[test]
+fn a_missing_or_malformed_address_is_named() {
+    let expected = "ROUTER_LISTEN is not set, and FILE names no listen";
+    assert_limiter_error(&config_without("listen"), &[], expected);
+    let expected = "ROUTER_DISCOVERY is not set, and FILE names no discovery";
+    assert_limiter_error(&config_without("discovery"), &[], expected);
+    let expected = "ROUTER_LISTEN: not an address: \"nowhere\"";
+    assert_limiter_error(&config_without("listen"), &[("ROUTER_LISTEN", "nowhere")], expected);
+}
+
+#[test]
+fn an_address_in_use_is_named() {
+    let taken = TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = taken.local_addr().expect("address").to_string();
+    let expected = format!("cannot listen on {address}: Address already in use (os error 98)");
+    assert_limiter_error(&config_without("listen"), &[("ROUTER_LISTEN", &address)], &expected);
+    let relay = run(command().args(["relay", "--listen", &address, "--discovery", "127.0.0.1:1"]));
+    assert_eq!(relay, (Some(2), format!("liftrouter: {expected}\n")));
+}
+
+#[test]
+fn an_address_in_use_for_grpc_is_named() {
+    let taken = TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = taken.local_addr().expect("address");
+    let (config, operator) =
+        (scratch(&config_without("none")), scratch(&format!("[grpc]\nlisten = '{address}'\n")));
+    let mut command = command();
+    command.env("ROUTER_CONFIG", &config).arg("--operator").arg(&operator);
+    let expected =
+        format!("liftrouter: cannot listen on {address} for gRPC: Address already in use (os error 98)\n");
+    assert_eq!(run(&mut command), (Some(1), expected));
+    for file in [config, operator] {
+        let _ = std::fs::remove_file(file);
+    }
+}
+
+#[test]
+fn a_missing_operator_file_is_named() {
+    let expected = "liftrouter: no/such/file: cannot be read: No such file or directory (os error 2)\n";
+    assert_eq!(run(command().args(["--operator", "no/such/file"])), (Some(1), expected.into()));
+}
+
+#[test]
+fn an_inventory_file_that_cannot_be_read_is_named() {
+    let expected = "liftrouter: nodes.txt: expected a name that ends in .csv, .yaml or .yml\n";
+    assert_eq!(run(command().args(["inventory", "check", "nodes.txt"])), (Some(2), expected.into()));
+    let expected = "liftrouter: nowhere.csv: No such file or directory (os error 2)\n";
+    assert_eq!(run(command().args(["inventory", "check", "nowhere.csv"])), (Some(2), expected.into()));
+}
--- a/crates/scale/src/run/hollow/limiter.rs
+++ b/crates/scale/src/run/hollow/limiter.rs
@@ -8,7 +8,7 @@
 use crate::run::standin::{list_digest, service_name, ListedServer};
 use liftrouter::counter::client::CounterClient;
 use liftrouter::counter::pool::CounterPool;
-use liftrouter::discovery::calls::Discovery;
+use liftrouter::discovery::client::DiscoveryClient;
 use liftrouter::discovery::upstream::Upstream;
 use liftrouter::events::EventQueue;
 use liftrouter::upstream::servers::Servers;
@@ -63,9 +63,11 @@
             ListUpstream::Relays(relays) => {
                 let service = number as usize % arguments.services.max(1);
                 let subscription = Subscription::services([service_name(service)]);
-                (Discovery::by_relays(relays, subscription, seed), Some(service))
+                (DiscoveryClient::by_relays(relays, &subscription, seed), Some(service))
+            }
+            ListUpstream::Discovery(address) => {
+                (DiscoveryClient::new(address, arguments.delivery.into()), None)
             }
-            ListUpstream::Discovery(address) => (Discovery::new(address, arguments.delivery.into()), None),
         };
         let discovery = Rc::new(discovery);
         let upstream = discovery.upstream(ONLY_REGION).clone();
@@ -116,7 +118,7 @@
             generation: self.upstream.revision(),
             digest,
             service: self.service,
-            list_bytes: self.upstream.received().get(),
+            list_bytes: self.upstream.received_bytes().get(),
             restarts: self.restarts,
             ..self.observed.status()
         }
--- a/crates/scale/src/slopes/list_memory.rs
+++ b/crates/scale/src/slopes/list_memory.rs
@@ -2,7 +2,7 @@
 
 use super::process::{resident, MeasureError, Reading};
 use super::workload::{self, Driver};
-use liftrouter::discovery::update::listed;
+use liftrouter::discovery::endpoint::listed_endpoint;
 use liftrouter_catalog::{Replica, Update};
 use liftrouter_decision::Event;
 use std::hint::black_box;
@@ -25,7 +25,7 @@
     let mut update: Update = serde_json::from_str(text)?;
     update.reset |= replica.generation().is_none();
     // Generated messages have one generation and no digest: they always fit.
-    let _ = replica.apply(update);
+    let _ = replica.apply(&update);
     Ok(())
 }
 
@@ -55,7 +55,7 @@
     let text = workload::update_json(0..servers, true, seed);
     let mut replica = Replica::new();
     read_into(&mut replica, &text)?;
-    let entries = replica.instances().map(|instance| listed(instance).entry).collect();
+    let entries = replica.instances().map(|instance| listed_endpoint(instance).entry).collect();
     driver.event(Event::EndpointList(entries));
     let after = resident()?;
     black_box((&driver.limiter, &replica, &text));
