--- a/crates/decision/src/endpoints/class_breaker.rs
+++ b/crates/decision/src/endpoints/class_breaker.rs
@@ -4,7 +4,7 @@
 //! with no good response of that class between opens the breaker for the class and says nothing of the
 //! others. Meanwhile the limits of the other endpoints widen for the class. What it can get wrong: an
 //! endpoint that is full twice in a row is avoided for a while; a class that all endpoints reject still gets
-//! some attempts through. Held by `tests/class_breaker.rs`.
+//! some attempts through. Held by `tests/decision/class_breaker.rs`.
 
 use super::endpoint_set::{fleet_objective, EndpointSet};
 use super::latency::Progress;
--- a/crates/decision/src/endpoints/concurrency_limit.rs
+++ b/crates/decision/src/endpoints/concurrency_limit.rs
@@ -3,7 +3,7 @@
 //!
 //! The limit grows while responses come as fast as the work allows and the limit is used, and shrinks by a
 //! factor when attempts fail or responses wait. What it can get wrong: a burst of late responses to one queue
-//! is one event; therefore it shrinks once in half a latency objective. Held by `tests/concurrency_limit.rs`.
+//! is one event; therefore it shrinks once in half a latency objective. Held by `tests/decision/concurrency_limit.rs`.
 
 /// Attempts from all limiters together that an endpoint gets at first.
 const INITIAL_ATTEMPTS: f64 = 4.0;
--- a/crates/decision/src/endpoints/endpoint_set.rs
+++ b/crates/decision/src/endpoints/endpoint_set.rs
@@ -2,7 +2,7 @@
 //!
 //! What it can get wrong: a list that names an endpoint as started anew although only its start time was
 //! corrected. Therefore attempts in flight and recent sends of slow start are kept over it. Held by
-//! `tests/endpoint_list.rs` and `tests/slow_start.rs`.
+//! `tests/decision/endpoint_list.rs` and `tests/decision/slow_start.rs`.
 
 use super::concurrency_limit::Pace;
 use super::endpoint::{Endpoint, Location};
--- a/crates/decision/src/endpoints/fleet_limit.rs
+++ b/crates/decision/src/endpoints/fleet_limit.rs
@@ -3,7 +3,7 @@
 //! It is the sum of the endpoints' limits times a factor that follows the fleet's latency: the factor grows
 //! while responses do not wait and the limit is used, and shrinks while they wait. The work's own time is
 //! learned while the fleet is held back, since holding back more does not make work shorter. What it can get
-//! wrong: where others fill the fleet all along, their queue looks like work. Held by `tests/fleet_limit.rs`.
+//! wrong: where others fill the fleet all along, their queue looks like work. Held by `tests/decision/fleet_limit.rs`.
 
 use super::concurrency_limit::{DECREASE_ABOVE_RATIO, MIN_ATTEMPTS};
 use crate::ewma::ewma;
--- a/crates/decision/src/endpoints/latency.rs
+++ b/crates/decision/src/endpoints/latency.rs
@@ -2,7 +2,7 @@
 //!
 //! The ratio is an average that forgets: without news it returns to 1, and news weighs more the older the
 //! average is, so that an endpoint that is used rarely is judged by its latest responses. Held by
-//! `tests/endpoint_selection.rs`.
+//! `tests/decision/endpoint_selection.rs`.
 
 use crate::ewma::ewma;
 
--- a/crates/decision/src/endpoints/outlier_detection.rs
+++ b/crates/decision/src/endpoints/outlier_detection.rs
@@ -2,7 +2,7 @@
 //!
 //! Ejections get longer with each in a row. What it can get wrong: a fault that all endpoints share looks
 //! like many outliers, and ejecting them would move all load to the rest; therefore a share of the endpoints
-//! always stays. Held by `tests/outlier_detection.rs`.
+//! always stays. Held by `tests/decision/outlier_detection.rs`.
 
 use super::endpoint_set::{fleet_objective, EndpointSet};
 use crate::context::Context;
--- a/crates/decision/src/endpoints/selection.rs
+++ b/crates/decision/src/endpoints/selection.rs
@@ -2,8 +2,8 @@
 //!
 //! The score is a product of named factors, see [`Scoring::score`]. What it can get wrong: if every endpoint
 //! is ejected or rejects the class, a wrong guess would stop all requests; therefore the least suspect one
-//! still gets some. Held by `tests/endpoint_selection.rs`, `tests/outlier_detection.rs` and
-//! `tests/class_breaker.rs`.
+//! still gets some. Held by `tests/decision/endpoint_selection.rs`, `tests/decision/outlier_detection.rs` and
+//! `tests/decision/class_breaker.rs`.
 
 use super::endpoint::{Endpoint, Location};
 use super::endpoint_set::{fleet_objective, EndpointSet};
--- a/crates/decision/src/endpoints/slow_start.rs
+++ b/crates/decision/src/endpoints/slow_start.rs
@@ -4,7 +4,7 @@
 //! capacity at which an endpoint fails if the load lasts for the overload window. The budget is a share of
 //! that multiple of what warm endpoints take. What it can get wrong: many limiters with one attempt each
 //! exceed a budget below one attempt. Therefore each sends a part of an attempt in that part of its windows,
-//! at moments of its own. Held by `tests/slow_start.rs`.
+//! at moments of its own. Held by `tests/decision/slow_start.rs`.
 
 use super::endpoint::Endpoint;
 use super::endpoint_set::EndpointSet;
--- a/crates/decision/src/endpoints/subset.rs
+++ b/crates/decision/src/endpoints/subset.rs
@@ -4,7 +4,7 @@
 //! gets about the same number of limiters. With few limiters each uses all endpoints; evidence of many
 //! endpoints would be thin. What it can get wrong: where most endpoints are ejected, the rest get more
 //! limiters than were meant to use them, which the slow-start budget has to know. Held by
-//! `tests/slow_start.rs`, `limiters_that_share_the_remaining_endpoints_keep_the_budget`.
+//! `tests/decision/slow_start.rs`, `limiters_that_share_the_remaining_endpoints_keep_the_budget`.
 
 use crate::hash::fnv1a;
 use crate::interface::EndpointId;
--- a/crates/decision/src/interface/settings/wire.rs
+++ b/crates/decision/src/interface/settings/wire.rs
@@ -1,7 +1,7 @@
 //! The names of the settings on the wire, mapped to the fields of [`Settings`].
 //!
 //! A key that is not listed here is skipped; a missing one takes the zero of its type. The names are fixed by
-//! the deployments that write them; `tests/settings.rs` compares each with its field.
+//! the deployments that write them; `tests/decision/settings.rs` compares each with its field.
 
 use super::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 use serde::{Deserialize, Deserializer};
--- a/crates/decision/src/quota/concurrency_limit.rs
+++ b/crates/decision/src/quota/concurrency_limit.rs
@@ -3,7 +3,7 @@
 //! The share follows the demand but is not below the even share. Own demand is known from this limiter's
 //! start and all demand from the epoch's, so that the ratio can exceed 1 and is cut there: otherwise a
 //! limiter that starts late in an epoch would hold many times the whole limit. Held by
-//! `tests/quota_accounts.rs`, `a_limiter_that_starts_late_in_an_epoch_keeps_the_concurrency_limit`.
+//! `tests/decision/quota_accounts.rs`, `a_limiter_that_starts_late_in_an_epoch_keeps_the_concurrency_limit`.
 
 use super::Quota;
 use crate::interface::Settings;
--- a/crates/decision/src/quota/counter_encoding.rs
+++ b/crates/decision/src/quota/counter_encoding.rs
@@ -3,7 +3,7 @@
 //! The counter is exact to seven digits. Steps below [`REJECTED_UNIT`] are units accepted, multiples of it
 //! units rejected; a step stands for as many units as the plan's use in an epoch needs. What it can get
 //! wrong: accepted units that run over into the rejected ones. Therefore a call adds at most its part of half
-//! the steps that were free at the last reply. Held by `tests/counter.rs`,
+//! the steps that were free at the last reply. Held by `tests/decision/counter.rs`,
 //! `no_demand_runs_over_from_one_packed_number_into_the_other`.
 
 use super::counter_epoch::EPOCH_SECONDS;
--- a/crates/decision/src/quota/counter_epoch.rs
+++ b/crates/decision/src/quota/counter_epoch.rs
@@ -2,7 +2,7 @@
 //! old key.
 //!
 //! What it can get wrong: in a new epoch the totals begin at zero, which [`super::counter_reply`] takes into
-//! account. Held by `tests/counter.rs`, `a_doubled_increment_is_gone_with_the_next_epoch`.
+//! account. Held by `tests/decision/counter.rs`, `a_doubled_increment_is_gone_with_the_next_epoch`.
 
 use crate::hash::fnv1a;
 
--- a/crates/decision/src/quota/counter_health.rs
+++ b/crates/decision/src/quota/counter_health.rs
@@ -2,7 +2,7 @@
 //!
 //! Hundreds of limiters with many rare customers could crowd the counter: a slow answer lowers the share of
 //! requests that call it, a quick one raises it. A counter that left several calls in a row unanswered is
-//! called once a period. Held by `tests/counter.rs`, the two tests of a silent and of a slow counter.
+//! called once a period. Held by `tests/decision/counter.rs`, the two tests of a silent and of a slow counter.
 
 use super::usage_report::CALL_PERIOD_SECONDS;
 use crate::interface::Outcome;
--- a/crates/decision/src/quota/counter_reply.rs
+++ b/crates/decision/src/quota/counter_reply.rs
@@ -3,7 +3,7 @@
 //! A reply is compared with the one before in the same epoch. A call that was not added is reported again
 //! with the next; one that timed out is not, since it may have been added. A total that did not grow by at
 //! least the own increment shows that the counter lost its counts: totals are missing until the next
-//! difference. Held by `tests/counter.rs` and `tests/quota_share.rs`.
+//! difference. Held by `tests/decision/counter.rs` and `tests/decision/quota_share.rs`.
 
 use super::counter_encoding::{units_per_step, Baseline, Usage};
 use super::counter_epoch::epoch_start;
--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -1,7 +1,7 @@
 //! A customer's account at this limiter.
 //!
 //! An account is forgotten only when a new one would hold no more: otherwise an idle customer would get its
-//! burst twice. Held by `tests/quota_accounts.rs`.
+//! burst twice. Held by `tests/decision/quota_accounts.rs`.
 
 use super::counter_encoding::{Baseline, Usage};
 use super::counter_epoch::EPOCH_SECONDS;
--- a/crates/decision/src/quota/demand_share.rs
+++ b/crates/decision/src/quota/demand_share.rs
@@ -12,7 +12,7 @@
 //!
 //! `prior` is a demand that all limiters begin with evenly, so that one request out of many is no share by
 //! itself. What the rule can get wrong: several limiters may use the same unused quota within one counter
-//! period, so that together they exceed it until the next totals. Held by `tests/quota_share.rs`.
+//! period, so that together they exceed it until the next totals. Held by `tests/decision/quota_share.rs`.
 
 use super::usage_totals::UsageTotals;
 
--- a/crates/decision/src/quota/hard_limit.rs
+++ b/crates/decision/src/quota/hard_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! The share starts empty with the limiter, so that a restart does not draw the burst a second time. What it
 //! can get wrong: where demand is uneven, limiters with little demand leave their share unused. Held by
-//! `tests/quota_accounts.rs`, `the_hard_limit_holds_over_all_limiters_and_a_restart`.
+//! `tests/decision/quota_accounts.rs`, `the_hard_limit_holds_over_all_limiters_and_a_restart`.
 
 use crate::interface::Plan;
 
--- a/crates/decision/src/quota/idle_quota_borrowing.rs
+++ b/crates/decision/src/quota/idle_quota_borrowing.rs
@@ -2,7 +2,7 @@
 //!
 //! A bucket of less than one request rejects most however idle the quota is, and any other lags behind demand
 //! that moves here, a restart or lost counter calls. What it can get wrong: many limiters that lend the same
-//! idle units within one counter period go beyond the quota together. Held by `tests/quota_share.rs`,
+//! idle units within one counter period go beyond the quota together. Held by `tests/decision/quota_share.rs`,
 //! `an_idle_quota_lends_to_a_bucket_of_under_one_request`.
 
 use super::usage_totals::UsageTotals;
--- a/crates/decision/src/quota/probabilistic_admission.rs
+++ b/crates/decision/src/quota/probabilistic_admission.rs
@@ -5,7 +5,7 @@
 //! limiter admits the same share of its requests: the quota divided by all demand, corrected by how far the
 //! shared bucket is from full. On average that is the limit of [`super::demand_share`]. A customer that was
 //! not read yet gets the mean probability of its plan's customers. What it can get wrong: a customer unlike
-//! its plan gets too much or too little until its first reply. Held by `tests/quota_shared_bucket.rs`.
+//! its plan gets too much or too little until its first reply. Held by `tests/decision/quota_shared_bucket.rs`.
 
 use super::shared_bucket::SharedBucket;
 use super::usage_totals::UsageTotals;
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -2,7 +2,7 @@
 //!
 //! The order is: probabilistic admission where each limiter's share is below one token, otherwise the token
 //! bucket with what it may borrow, then the hard limit. Nothing is drawn here: a request that no endpoint can
-//! take costs no units. Held by `tests/quota_share.rs` and `tests/quota_shared_bucket.rs`.
+//! take costs no units. Held by `tests/decision/quota_share.rs` and `tests/decision/quota_shared_bucket.rs`.
 
 use super::customer::Customer;
 use super::demand_share;
--- a/crates/decision/src/quota/shared_bucket.rs
+++ b/crates/decision/src/quota/shared_bucket.rs
@@ -3,7 +3,7 @@
 //!
 //! It matters where one request from each limiter is already more than the burst: local buckets cannot hold
 //! such a quota. What it can get wrong: between readings the level is as old as the last reply. Held by
-//! `tests/quota_shared_bucket.rs`.
+//! `tests/decision/quota_shared_bucket.rs`.
 
 use super::usage_totals::UsageTotals;
 use crate::interface::Plan;
--- a/crates/decision/src/quota/token_bucket.rs
+++ b/crates/decision/src/quota/token_bucket.rs
@@ -2,8 +2,8 @@
 //!
 //! It is refilled at the limiter's share of the quota. What it can get wrong: a bucket of less than one
 //! request would reject all, so it holds at least the request that is checked. Tokens above a burst that
-//! shrank are kept. Settlement may leave it below zero. Held by `tests/quota_share.rs` and
-//! `tests/quota_accounts.rs`.
+//! shrank are kept. Settlement may leave it below zero. Held by `tests/decision/quota_share.rs` and
+//! `tests/decision/quota_accounts.rs`.
 
 pub struct TokenBucket {
     tokens: f64,
--- a/crates/decision/src/requests/admission.rs
+++ b/crates/decision/src/requests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether a request is sent on, checked in order of quota, load, concurrency limit and endpoints.
 //!
 //! Units are drawn only once an endpoint is found. A rejection that the quota does not cause advises a retry
-//! after one service time. Held by `tests/admission.rs`.
+//! after one service time. Held by `tests/decision/admission.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
--- a/crates/decision/src/requests/authorization.rs
+++ b/crates/decision/src/requests/authorization.rs
@@ -2,7 +2,7 @@
 //! limiter.
 //!
 //! Nobody tells of the call's end: it counts as in flight until its deadline, or until the client is known
-//! not to have got the authorization. Its units stay drawn. Held by `tests/authorization.rs`.
+//! not to have got the authorization. Its units stay drawn. Held by `tests/decision/authorization.rs`.
 
 use super::Requests;
 use crate::context::Context;
--- a/crates/decision/src/requests/completion.rs
+++ b/crates/decision/src/requests/completion.rs
@@ -1,7 +1,7 @@
 //! The one final answer of a request.
 //!
 //! A rejection promises that the request has no effect, or that a repeat has none; where that cannot be
-//! promised the request fails. Held by `tests/request_answers.rs`.
+//! promised the request fails. Held by `tests/decision/request_answers.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
--- a/crates/decision/src/requests/outcome.rs
+++ b/crates/decision/src/requests/outcome.rs
@@ -1,8 +1,8 @@
 //! What the end of an attempt says of its endpoint, and what becomes of the request.
 //!
 //! Rejections and failed connections prove that an attempt did not run. What it can get wrong: a time-out
-//! says nothing of whether it ran, so it counts as run. Held by `tests/retry.rs` and
-//! `tests/request_answers.rs`.
+//! says nothing of whether it ran, so it counts as run. Held by `tests/decision/retry.rs` and
+//! `tests/decision/request_answers.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
--- a/crates/decision/src/requests/retry.rs
+++ b/crates/decision/src/requests/retry.rs
@@ -1,7 +1,7 @@
 //! Whether a request is retried, and the retry itself.
 //!
 //! A retry needs a request that still waits for its answer, an attempt left, time for a usual response, an
-//! effect that allows it and a retry in the budget. Held by `tests/retry.rs`.
+//! effect that allows it and a retry in the budget. Held by `tests/decision/retry.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
--- a/crates/decision/src/requests/retry_budget.rs
+++ b/crates/decision/src/requests/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Each request earns a part of a retry; a retry that succeeds in time earns back most of itself, so that
 //! more are sent where they help. What it can get wrong: a burst of failures uses up what was saved, and
-//! requests fail that a retry would have served. Held by `tests/retry.rs`.
+//! requests fail that a retry would have served. Held by `tests/decision/retry.rs`.
 
 /// Retries earned by each request.
 const EARNED_BY_REQUEST: f64 = 0.1;
--- a/crates/decision/src/requests/service_times.rs
+++ b/crates/decision/src/requests/service_times.rs
@@ -2,7 +2,7 @@
 //!
 //! It says how long a response usually takes: for slow attempts, for the time left for a retry and for the
 //! advice on when to retry. What it can get wrong: it follows a change over some tens of responses only. Held
-//! by `tests/admission.rs`, `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
+//! by `tests/decision/admission.rs`, `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
 
 use crate::ewma::ewma;
 use crate::interface::Settings;
--- a/crates/decision/src/requests/slow_attempt.rs
+++ b/crates/decision/src/requests/slow_attempt.rs
@@ -5,7 +5,7 @@
 //! in the endpoint's limit, since it may hang. What it can get wrong: after a pause of this process
 //! everything looks slow, which is no endpoint's fault; an endpoint that is seen rarely is not lost after one
 //! slow response; and an endpoint that answered others meanwhile is slow, not gone: ejecting it would move
-//! its load to the rest. Held by `tests/slow_attempt.rs`.
+//! its load to the rest. Held by `tests/decision/slow_attempt.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::service_times::ServiceTimes;
--- /dev/null
+++ b/crates/decision/tests/decision/admission.rs
@@ -0,0 +1,63 @@
+//! Rejections by the concurrency limit and by load, and that retries cost other customers nothing.
+
+use crate::support::*;
+use liftrouter_decision::*;
+
+#[test]
+fn the_concurrency_limit_rejects_at_once_and_admits_after_a_response() {
+    let mut host = Host::new(settings());
+    let (first, actions) = host.request("c", "capped", "read", 1.0);
+    assert!(sent_endpoint(&actions).is_some());
+    let (_, actions) = host.request("c", "capped", "read", 1.0);
+    assert!(
+        sent_endpoint(&actions).is_none() && rejections(&actions) == 1,
+        "two open over two limiters is one each"
+    );
+    host.end_attempt(first, 0, Outcome::Ok, None);
+    assert!(sent_endpoint(&host.request("c", "capped", "read", 1.0).1).is_some());
+}
+
+#[test]
+fn a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time() {
+    let advice = |actions: &[Action]| {
+        actions.iter().find_map(|a| match a {
+            Action::Reject { retry_after, .. } => Some(*retry_after),
+            _ => None,
+        })
+    };
+    // Answers take a fifth of the latency objective as far as anyone knows.
+    let mut host = Host::new(settings());
+    host.request("c", "capped", "read", 1.0);
+    let capped = advice(&host.request("c", "capped", "read", 1.0).1).expect("refused");
+    assert!((0.19..0.21).contains(&capped), "{capped}");
+    let full = (0..100).find_map(|n| advice(&host.request(&format!("c{n}"), "plain", "read", 1.0).1));
+    assert!((0.19..0.21).contains(&full.expect("refused")), "{full:?}");
+    // And later as long as they were seen to take.
+    let mut host = Host::new(settings()).with_quick_counter();
+    host.request("c", "capped", "read", 1.0);
+    let capped = advice(&host.request("c", "capped", "read", 1.0).1).expect("refused");
+    assert!((0.05..0.19).contains(&capped), "{capped}");
+    // Not where clients take no advice.
+    let mut host = Host::new(Settings { may_send_retry_after: false, ..settings() });
+    host.request("c", "capped", "read", 1.0);
+    assert_eq!(advice(&host.request("c", "capped", "read", 1.0).1), Some(0.0));
+}
+
+#[test]
+fn unmarked_retries_take_nothing_from_other_customers() {
+    // One customer's clients repeat each rejected request many times at once, without a mark.
+    let served = |abuse: bool| {
+        let mut host = Host::new(settings());
+        let mut others = 0;
+        for n in 0..600u32 {
+            host.now += 0.05;
+            for _ in 0..if abuse { 20 } else { 0 } {
+                host.serve("abuser", "plain", 1.0);
+            }
+            others += u32::from(host.serve(&format!("c{}", n % 10), "plain", 1.0));
+            host.answer_counter_calls(|add| (Outcome::Ok, add));
+        }
+        others
+    };
+    assert_eq!(served(true), served(false));
+}
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/decision/settings.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn each_settings_key_reaches_its_field() {
-    let settings: Settings = serde_json::from_str(include_str!("fixtures/settings.json")).expect("settings");
+    let settings: Settings =
+        serde_json::from_str(include_str!("../fixtures/settings.json")).expect("settings");
     assert_eq!(settings.instance_index, 3);
     assert_eq!(settings.instance_count, 12);
     assert_eq!(settings.zone, "zone-b");
@@ -34,7 +35,8 @@
 
 #[test]
 fn each_key_of_a_class_reaches_its_field() {
-    let settings: Settings = serde_json::from_str(include_str!("fixtures/settings.json")).expect("settings");
+    let settings: Settings =
+        serde_json::from_str(include_str!("../fixtures/settings.json")).expect("settings");
     let [quote, bind, pay] = &settings.classes[..] else { panic!("{:?}", settings.classes) };
     assert_eq!(quote.name, "price-quote");
     assert_eq!(quote.latency_objective, 0.75);
@@ -55,7 +57,8 @@
 
 #[test]
 fn each_key_of_a_plan_reaches_its_field() {
-    let settings: Settings = serde_json::from_str(include_str!("fixtures/settings.json")).expect("settings");
+    let settings: Settings =
+        serde_json::from_str(include_str!("../fixtures/settings.json")).expect("settings");
     let plan = &settings.plans[0];
     assert_eq!(plan.name, "gold");
     assert_eq!(plan.rate, 40.5);
