--- a/crates/decision/src/endpoints/class_breaker.rs
+++ b/crates/decision/src/endpoints/class_breaker.rs
@@ -72,6 +72,7 @@
         self.rejections.get(class).map_or(1.0, |rejections| rejections.penalty(objective, now))
     }
 
+    /// Slow attempts of a class since its last response.
     pub fn consecutive_slow_attempts(&self, class: usize) -> u32 {
         self.slow_attempts.get(class).map_or(0, |slow| slow.count)
     }
--- a/crates/decision/src/endpoints/concurrency_limit.rs
+++ b/crates/decision/src/endpoints/concurrency_limit.rs
@@ -3,7 +3,8 @@
 //!
 //! The limit grows while responses come as fast as the work allows and the limit is used, and shrinks by a
 //! factor when attempts fail or responses wait. What it can get wrong: a burst of late responses to one queue
-//! is one event; therefore it shrinks once in half a latency objective. Held by `tests/decision/concurrency_limit.rs`.
+//! is one event; therefore it shrinks once in half a latency objective. Held by
+//! `tests/decision/concurrency_limit.rs`.
 
 /// Attempts from all limiters together that an endpoint gets at first.
 const INITIAL_ATTEMPTS: f64 = 4.0;
@@ -21,9 +22,9 @@
 /// Growth with each response, divided by the limit: this much in one round of responses.
 const INCREASE: f64 = 0.3;
 /// Least limit that the growth is divided by.
-const INCREASE_MIN_LIMIT: f64 = 4.0;
+const INCREASE_DIVISOR_MIN: f64 = 4.0;
 /// Free places from which on a limit counts as not used.
-const SPARE_ATTEMPTS: u32 = 2;
+const UNUSED_ATTEMPTS: u32 = 2;
 
 /// How an attempt went, as far as limits depend on it.
 pub struct Pace {
@@ -35,29 +36,35 @@
     pub failed: bool,
 }
 
+/// The limit of one endpoint.
 pub struct ConcurrencyLimit {
     limit: f64,
     decreased_at: f64,
 }
 
 impl ConcurrencyLimit {
+    /// This limiter's even part of what an endpoint gets at first.
     pub fn new(instance_count: u32) -> Self {
         ConcurrencyLimit { limit: INITIAL_ATTEMPTS / f64::from(instance_count.max(1)), decreased_at: 0.0 }
     }
 
+    /// Attempts that may be in flight; below 1, one attempt in so many response times.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
+    /// Adjusts the limit by an attempt that ended, with `in_flight` attempts left and the latency at this
+    /// endpoint as a ratio of what is usual.
     pub fn adjust(&mut self, instance_count: u32, in_flight: u32, latency_ratio: f64, pace: &Pace, now: f64) {
         if pace.failed || latency_ratio > DECREASE_ABOVE_RATIO {
             if now - self.decreased_at > pace.latency_objective / 2.0 {
-                let at_least = MIN_ATTEMPTS / f64::from(instance_count.max(1));
-                self.limit = (self.limit * DECREASE_FACTOR).max(at_least);
+                let min_limit = MIN_ATTEMPTS / f64::from(instance_count.max(1));
+                self.limit = (self.limit * DECREASE_FACTOR).max(min_limit);
                 self.decreased_at = now;
             }
-        } else if latency_ratio < INCREASE_BELOW_RATIO && f64::from(in_flight + SPARE_ATTEMPTS) > self.limit {
-            self.limit = (self.limit + INCREASE / self.limit.max(INCREASE_MIN_LIMIT)).min(MAX_ATTEMPTS);
+        } else if latency_ratio < INCREASE_BELOW_RATIO && f64::from(in_flight + UNUSED_ATTEMPTS) > self.limit
+        {
+            self.limit = (self.limit + INCREASE / self.limit.max(INCREASE_DIVISOR_MIN)).min(MAX_ATTEMPTS);
         }
     }
 }
--- a/crates/decision/src/endpoints/endpoint.rs
+++ b/crates/decision/src/endpoints/endpoint.rs
@@ -14,6 +14,7 @@
     pub cell: i64,
 }
 
+/// One endpoint, as its attempts from here show it.
 pub struct Endpoint {
     pub location: Location,
     /// Capacity relative to other endpoints.
@@ -34,6 +35,7 @@
 }
 
 impl Endpoint {
+    /// An endpoint of which only its entry in the list is known; its state is not taken from it yet.
     pub fn new(entry: &EndpointEntry, instance_count: u32, now: f64) -> Self {
         Endpoint {
             location: Location { zone: entry.zone.clone(), cell: entry.cell },
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Whether the list has it in service.
     pub fn is_in_service(&self) -> bool {
         self.state == EndpointState::InService
     }
--- a/crates/decision/src/endpoints/endpoint_set.rs
+++ b/crates/decision/src/endpoints/endpoint_set.rs
@@ -36,6 +36,7 @@
 }
 
 impl EndpointSet {
+    /// A set without endpoints, for one of so many limiters.
     pub fn new(instance_count: u32, now: f64) -> Self {
         EndpointSet {
             endpoints: BTreeMap::new(),
--- a/crates/decision/src/endpoints/fleet_limit.rs
+++ b/crates/decision/src/endpoints/fleet_limit.rs
@@ -3,7 +3,8 @@
 //! It is the sum of the endpoints' limits times a factor that follows the fleet's latency: the factor grows
 //! while responses do not wait and the limit is used, and shrinks while they wait. The work's own time is
 //! learned while the fleet is held back, since holding back more does not make work shorter. What it can get
-//! wrong: where others fill the fleet all along, their queue looks like work. Held by `tests/decision/fleet_limit.rs`.
+//! wrong: where others fill the fleet all along, their queue looks like work. Held by
+//! `tests/decision/fleet_limit.rs`.
 
 use super::concurrency_limit::{DECREASE_ABOVE_RATIO, MIN_ATTEMPTS};
 use crate::ewma::ewma;
@@ -33,8 +34,9 @@
 /// Weight of one request in the saturation.
 const SATURATION_GAIN: f64 = 0.05;
 /// Free places from which on the limit counts as not used.
-const SPARE_ATTEMPTS: u32 = 2;
+const UNUSED_ATTEMPTS: u32 = 2;
 
+/// The limit over all endpoints.
 pub struct FleetLimit {
     /// Attempts in flight at all endpoints.
     in_flight: u32,
@@ -57,6 +59,7 @@
 }
 
 impl FleetLimit {
+    /// The limit of one of so many limiters, before any endpoint is known.
     pub fn new(instance_count: u32) -> Self {
         // A limiter with little traffic would take seconds to learn that responses do not wait: it begins so.
         let has_low_traffic = low_traffic_factor(instance_count) > 0.0;
@@ -72,15 +75,18 @@
         }
     }
 
+    /// Takes in the sum of the serving endpoints' limits.
     pub fn refresh(&mut self, limit_sum: f64, instance_count: u32) {
         self.limit_sum = limit_sum;
         self.low_traffic_factor = low_traffic_factor(instance_count);
     }
 
+    /// Counts an attempt as in flight.
     pub fn on_attempt_started(&mut self) {
         self.in_flight += 1;
     }
 
+    /// No longer counts an attempt as in flight.
     pub fn on_attempt_released(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -118,7 +124,7 @@
 
     /// Grows only while the limit is used, which it is at a limiter that gets more requests than others.
     fn increase_factor(&self) -> f64 {
-        let is_used = f64::from(self.in_flight + SPARE_ATTEMPTS) > self.limit() || self.limit_factor < 1.0;
+        let is_used = f64::from(self.in_flight + UNUSED_ATTEMPTS) > self.limit() || self.limit_factor < 1.0;
         if is_used {
             INCREASE_FACTOR.max(1.0 + LOW_TRAFFIC_INCREASE * self.low_traffic_step())
         } else {
--- a/crates/decision/src/endpoints/latency.rs
+++ b/crates/decision/src/endpoints/latency.rs
@@ -23,12 +23,14 @@
     StillWaiting,
 }
 
+/// Average of response times as a ratio of what is usual for their class.
 pub struct LatencyRatio {
     ratio: f64,
     updated_at: f64,
 }
 
 impl LatencyRatio {
+    /// The ratio before any response.
     pub fn usual() -> Self {
         LatencyRatio { ratio: 1.0, updated_at: 0.0 }
     }
@@ -47,6 +49,7 @@
         (-(now - self.updated_at) / (FORGET_OBJECTIVES * objective)).exp()
     }
 
+    /// Takes in one ratio; `objective` is the fleet's latency objective in seconds.
     pub fn record(&mut self, sample: f64, objective: f64, now: f64) {
         let remembered = self.remembered(objective, now);
         let gain = RATIO_GAIN.max(RATIO_GAIN_WHEN_FORGOTTEN * (1.0 - remembered));
--- a/crates/decision/src/endpoints/outlier_detection.rs
+++ b/crates/decision/src/endpoints/outlier_detection.rs
@@ -28,18 +28,22 @@
 }
 
 impl OutlierState {
+    /// The state of an endpoint that was not used yet.
     pub fn healthy() -> Self {
         OutlierState { consecutive_failures: 0, ejections: 0, ejected_until: f64::MIN, last_success: 0.0 }
     }
 
+    /// Whether it is ejected at a time.
     pub fn is_ejected(&self, now: f64) -> bool {
         self.ejected_until > now
     }
 
+    /// End of its latest ejection.
     pub fn ejected_until(&self) -> f64 {
         self.ejected_until
     }
 
+    /// Failures since its last good response.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
@@ -49,6 +53,7 @@
         self.consecutive_failures >= EJECT_AFTER_FAILURES
     }
 
+    /// Records a good response: failures and ejections count from zero again.
     pub fn record_success(&mut self, now: f64) {
         self.last_success = now;
         self.consecutive_failures = 0;
@@ -75,6 +80,7 @@
 }
 
 impl EjectionBudget {
+    /// The budget with so many endpoints in service, of which some are ejected.
     pub fn of(in_service: f64, ejected: f64) -> Self {
         EjectionBudget { remaining: in_service * MAX_EJECTED_RATIO - ejected }
     }
--- a/crates/decision/src/endpoints/slow_start.rs
+++ b/crates/decision/src/endpoints/slow_start.rs
@@ -29,10 +29,12 @@
 }
 
 impl SlowStartBudget {
+    /// The budget of a limiter that starts now.
     pub fn new(now: f64) -> Self {
         SlowStartBudget { started_at: now, warm_responses: VecDeque::new(), warm_weight: 0.0 }
     }
 
+    /// Counts a good response of a warm endpoint.
     pub fn on_warm_response(&mut self, now: f64) {
         self.warm_responses.push_back(now);
     }
@@ -100,7 +102,7 @@
         let seed = fnv1a(id) ^ u64::from(settings.instance_index) << 32;
         let phase = fastrand::Rng::with_seed(seed).f64();
         let turn = (now / window + phase).floor();
-        let has_begun = (turn - phase) * window >= endpoint.listed_at;
-        recent < 1.0 && has_begun && fastrand::Rng::with_seed(seed ^ turn as u64).f64() < budget
+        let has_started = (turn - phase) * window >= endpoint.listed_at;
+        recent < 1.0 && has_started && fastrand::Rng::with_seed(seed ^ turn as u64).f64() < budget
     }
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -5,7 +5,7 @@
 //! Several limiters in front of the same endpoints keep each customer's quota together through a counter
 //! service; each decides every request from what it has itself seen.
 //!
-//! [`quota`] decides whether a customer may, [`endpoints`] which endpoint takes a request, [`requests`] what
+//! `quota` decides whether a customer may, `endpoints` which endpoint takes a request, `requests` what
 //! becomes of it in between. Each file there holds one decision with its constants, and says what the
 //! decision can get wrong and which test holds it.
 //!
--- a/crates/decision/src/quota/counter_encoding.rs
+++ b/crates/decision/src/quota/counter_encoding.rs
@@ -72,10 +72,10 @@
 /// of a step is rounded at random (`draw`, from 0 to 1), so that the mean is right.
 pub fn report_steps(units: Usage, units_per_step: f64, baseline: Usage, callers: f64, draw: f64) -> Usage {
     let steps = |units: f64, read: f64, capacity: f64| {
-        let at_least = if read > capacity / 2.0 { 0.0 } else { 1.0 };
-        let free = ((capacity - read) / 2.0 / callers).floor().max(at_least);
+        let min_steps = if read > capacity / 2.0 { 0.0 } else { 1.0 };
+        let max_steps = ((capacity - read) / 2.0 / callers).floor().max(min_steps);
         let rounding = if units % units_per_step == 0.0 { 0.0 } else { draw };
-        (units / units_per_step + rounding).floor().clamp(0.0, free)
+        (units / units_per_step + rounding).floor().clamp(0.0, max_steps)
     };
     Usage {
         accepted: steps(units.accepted, baseline.accepted, MAX_ACCEPTED_STEPS),
--- a/crates/decision/src/quota/counter_health.rs
+++ b/crates/decision/src/quota/counter_health.rs
@@ -2,7 +2,8 @@
 //!
 //! Hundreds of limiters with many rare customers could crowd the counter: a slow answer lowers the share of
 //! requests that call it, a quick one raises it. A counter that left several calls in a row unanswered is
-//! called once a period. Held by `tests/decision/counter.rs`, the two tests of a silent and of a slow counter.
+//! called once a period. Held by `tests/decision/counter.rs`, the two tests of a silent and of a slow
+//! counter.
 
 use super::usage_report::CALL_PERIOD_SECONDS;
 use crate::interface::Outcome;
@@ -18,6 +19,7 @@
 /// Share of the call's time-out within which an answer is quick.
 const QUICK_TIMEOUT_RATIO: f64 = 0.2;
 
+/// What the replies of the counter service show of it.
 pub struct CounterHealth {
     misses: u32,
     next_probe_at: f64,
@@ -25,10 +27,12 @@
 }
 
 impl CounterHealth {
+    /// A counter that was not called yet.
     pub fn new(now: f64) -> Self {
         CounterHealth { misses: 0, next_probe_at: now, call_probability: INITIAL_CALL_PROBABILITY }
     }
 
+    /// Whether it left so many calls in a row unanswered that it counts as down.
     pub fn is_down(&self) -> bool {
         self.misses >= DOWN_AFTER_MISSES
     }
@@ -48,10 +52,12 @@
         }
     }
 
+    /// Notes a call, after which a counter that is down is left alone for a period.
     pub fn on_call(&mut self, now: f64) {
         self.next_probe_at = now + CALL_PERIOD_SECONDS;
     }
 
+    /// Takes in a reply, or that there was none, `elapsed` seconds after the call.
     pub fn on_reply(&mut self, outcome: Outcome, elapsed: f64, timeout: f64) {
         let answered = outcome == Outcome::Ok;
         let probability = if answered && elapsed <= QUICK_TIMEOUT_RATIO * timeout {
--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -17,6 +17,7 @@
 /// Epochs after which totals count as missing although the counter answers.
 const STALE_TOTALS_EPOCHS: f64 = 2.0;
 
+/// One customer, as this limiter knows it.
 pub struct Customer {
     /// Index of its plan.
     pub plan: usize,
@@ -42,6 +43,7 @@
 }
 
 impl Customer {
+    /// The account of a customer that has not been seen, or was forgotten.
     pub fn new(
         plan_index: usize,
         plan: &Plan,
--- a/crates/decision/src/quota/hard_limit.rs
+++ b/crates/decision/src/quota/hard_limit.rs
@@ -6,11 +6,13 @@
 
 use crate::interface::Plan;
 
+/// This limiter's share of a customer's hard limit.
 pub struct HardLimit {
     tokens: f64,
 }
 
 impl HardLimit {
+    /// The share of a limiter that started `limiter_age` seconds ago.
     pub fn new(plan: &Plan, instances: f64, limiter_age: f64) -> Self {
         let tokens = (plan.hard_limit_rate / instances * limiter_age).min(plan.hard_limit_burst / instances);
         HardLimit { tokens }
@@ -22,6 +24,7 @@
         self.tokens = (self.tokens + rate * elapsed).min(burst);
     }
 
+    /// Takes units out.
     pub fn draw(&mut self, units: f64) {
         self.tokens -= units;
     }
--- a/crates/decision/src/quota/idle_quota_borrowing.rs
+++ b/crates/decision/src/quota/idle_quota_borrowing.rs
@@ -2,8 +2,8 @@
 //!
 //! A bucket of less than one request rejects most however idle the quota is, and any other lags behind demand
 //! that moves here, a restart or lost counter calls. What it can get wrong: many limiters that lend the same
-//! idle units within one counter period go beyond the quota together. Held by `tests/decision/quota_share.rs`,
-//! `an_idle_quota_lends_to_a_bucket_of_under_one_request`.
+//! idle units within one counter period go beyond the quota together. Held by
+//! `tests/decision/quota_share.rs`, `an_idle_quota_lends_to_a_bucket_of_under_one_request`.
 
 use super::usage_totals::UsageTotals;
 use crate::interface::Plan;
@@ -23,7 +23,7 @@
 ) -> f64 {
     let idle_ratio =
         totals.map_or(0.0, |totals| (usable_ratio - totals.accepted / plan.rate.max(1e-9)).max(0.0));
-    let most =
+    let borrowable_when_idle =
         if burst < request_units { SMALL_BUCKET_BORROW_RATIO * plan.burst } else { BORROW_RATIO * burst };
-    most * idle_ratio
+    borrowable_when_idle * idle_ratio
 }
--- a/crates/decision/src/quota/mod.rs
+++ b/crates/decision/src/quota/mod.rs
@@ -46,6 +46,7 @@
 }
 
 impl Quota {
+    /// A limiter that starts now and knows no customer.
     pub fn new(now: f64) -> Self {
         Quota {
             started_at: now,
--- a/crates/decision/src/quota/probabilistic_admission.rs
+++ b/crates/decision/src/quota/probabilistic_admission.rs
@@ -5,7 +5,8 @@
 //! limiter admits the same share of its requests: the quota divided by all demand, corrected by how far the
 //! shared bucket is from full. On average that is the limit of [`super::demand_share`]. A customer that was
 //! not read yet gets the mean probability of its plan's customers. What it can get wrong: a customer unlike
-//! its plan gets too much or too little until its first reply. Held by `tests/decision/quota_shared_bucket.rs`.
+//! its plan gets too much or too little until its first reply. Held by
+//! `tests/decision/quota_shared_bucket.rs`.
 
 use super::shared_bucket::SharedBucket;
 use super::usage_totals::UsageTotals;
@@ -40,10 +41,12 @@
     /// Before any reading all requests are admitted, as by a fallback.
     pub const UNREAD: PlanAdmission = PlanAdmission { mean_probability: 1.0, readings: 0.0 };
 
+    /// The mean probability of the plan's customers, from 0 to 1.
     pub fn mean_probability(&self) -> f64 {
         self.mean_probability
     }
 
+    /// Takes in the probability of a customer that was read.
     pub fn update(&mut self, probability: f64) {
         self.readings = (self.readings + 1.0).min(PLAN_MEAN_READINGS);
         self.mean_probability = ewma(self.mean_probability, probability.clamp(0.0, 1.0), 1.0 / self.readings);
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -110,8 +110,8 @@
         let refill_wait =
             (units - self.bucket.tokens() - refilled.borrowable) / refilled.rate.max(MIN_REFILL_RATE);
         // Where the quota is idle, the next totals are worth more than the wait for tokens.
-        let longest =
+        let max_wait =
             if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait };
-        Err(QuotaExceeded { retry_after: refill_wait.min(longest) })
+        Err(QuotaExceeded { retry_after: refill_wait.min(max_wait) })
     }
 }
--- a/crates/decision/src/quota/shared_bucket.rs
+++ b/crates/decision/src/quota/shared_bucket.rs
@@ -8,6 +8,7 @@
 use super::usage_totals::UsageTotals;
 use crate::interface::Plan;
 
+/// The bucket of one customer.
 pub struct SharedBucket {
     /// Units left at the last reading; overdrawn by one burst at most.
     level: f64,
@@ -21,10 +22,12 @@
 }
 
 impl SharedBucket {
+    /// A bucket that nothing was drawn from.
     pub fn full(plan: &Plan) -> Self {
         SharedBucket { level: plan.burst }
     }
 
+    /// Units left at the last reading; negative if overdrawn.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/decision/src/quota/token_bucket.rs
+++ b/crates/decision/src/quota/token_bucket.rs
@@ -5,20 +5,24 @@
 //! shrank are kept. Settlement may leave it below zero. Held by `tests/decision/quota_share.rs` and
 //! `tests/decision/quota_accounts.rs`.
 
+/// The bucket of one customer.
 pub struct TokenBucket {
     tokens: f64,
     refilled_at: f64,
 }
 
 impl TokenBucket {
+    /// A bucket with so many units.
     pub fn new(tokens: f64, now: f64) -> Self {
         TokenBucket { tokens, refilled_at: now }
     }
 
+    /// Units in the bucket at the last refill, less what was drawn since; negative if in debt.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
+    /// Time of the last refill, which each check of a request makes.
     pub fn refilled_at(&self) -> f64 {
         self.refilled_at
     }
--- a/crates/decision/src/quota/usage_report.rs
+++ b/crates/decision/src/quota/usage_report.rs
@@ -2,8 +2,8 @@
 //!
 //! A share of the requests calls the counter and stands for all, so that hundreds of limiters stay within its
 //! capacity; for a period after a call, and while one is in flight, units are saved up for the next. What it
-//! can get wrong: rare customers are reported with chance, right only on average. Held by `tests/decision/counter.rs`,
-//! `requests_of_customers_seen_once_are_reported_for_all_that_do_not_call`.
+//! can get wrong: rare customers are reported with chance, right only on average. Held by
+//! `tests/decision/counter.rs`, `requests_of_customers_seen_once_are_reported_for_all_that_do_not_call`.
 
 use super::counter_encoding::{report_steps, units_per_step, Usage};
 use super::counter_epoch::{counter_key, counter_ttl, epoch_at};
--- a/crates/decision/src/requests/admission.rs
+++ b/crates/decision/src/requests/admission.rs
@@ -34,13 +34,13 @@
         self.send(context, id, admitted.endpoint, actions);
     }
 
-    /// Checks a request and draws its units; rejects it if it is not admitted. `has_room` is whether this
+    /// Checks a request and draws its units; rejects it if it is not admitted. `has_capacity` is whether this
     /// limiter can keep another one of its kind.
     pub(super) fn check_admission(
         &mut self,
         context: Context,
         request: &Request,
-        has_room: bool,
+        has_capacity: bool,
         actions: &mut Vec<Action>,
     ) -> Option<Admitted> {
         let Context { settings, .. } = context;
@@ -57,7 +57,7 @@
             self.reject_over_quota(context, request, units, exceeded, actions);
             return None;
         }
-        let Some(endpoint) = self.find_endpoint(context, request, class, has_room) else {
+        let Some(endpoint) = self.find_endpoint(context, request, class, has_capacity) else {
             self.reject(context, request.id, self.service_times.mean(), actions);
             return None;
         };
@@ -89,11 +89,12 @@
         context: Context,
         request: &Request,
         class: usize,
-        has_room: bool,
+        has_capacity: bool,
     ) -> Option<EndpointId> {
         let draw = self.rng.f64();
         let is_shed = self.sheds(context.settings, class);
-        if is_shed || !has_room || self.quota.is_at_concurrency_limit(context.settings, &request.customer) {
+        if is_shed || !has_capacity || self.quota.is_at_concurrency_limit(context.settings, &request.customer)
+        {
             return None;
         }
         let constraints = Constraints { class, binding: None, tried: Vec::new() };
--- a/crates/decision/src/requests/attempt.rs
+++ b/crates/decision/src/requests/attempt.rs
@@ -5,6 +5,7 @@
 use crate::endpoints::Location;
 use crate::interface::{Action, EndpointId, RequestId};
 
+/// An attempt, and what is known of its end.
 pub struct Attempt {
     pub endpoint: EndpointId,
     pub location: Location,
--- a/crates/decision/src/requests/authorization.rs
+++ b/crates/decision/src/requests/authorization.rs
@@ -15,8 +15,8 @@
 impl Requests {
     /// Authorizes a client's own call, or rejects it.
     pub fn authorize(&mut self, context: Context, request: Request, actions: &mut Vec<Action>) {
-        let has_room = self.authorizations.len() < MAX_AUTHORIZATIONS;
-        if self.check_admission(context, &request, has_room, actions).is_none() {
+        let has_capacity = self.authorizations.len() < MAX_AUTHORIZATIONS;
+        if self.check_admission(context, &request, has_capacity, actions).is_none() {
             return;
         }
         let Request { id, customer, deadline, .. } = request;
--- a/crates/decision/src/requests/idempotency.rs
+++ b/crates/decision/src/requests/idempotency.rs
@@ -4,7 +4,8 @@
 //! An idempotent request may always be retried. A request without an idempotency key is retried only if no
 //! attempt may have run. One with a key is retried within its deduplication scope and window, counted from
 //! the first attempt that may have run. What it can get wrong: an attempt counts as run until its outcome
-//! proves otherwise, so that some retries that would have been safe are not sent. Held by `tests/decision/retry.rs`.
+//! proves otherwise, so that some retries that would have been safe are not sent. Held by
+//! `tests/decision/retry.rs`.
 
 use super::attempt::Attempt;
 use super::in_flight_request::InFlightRequest;
--- a/crates/decision/src/requests/in_flight_request.rs
+++ b/crates/decision/src/requests/in_flight_request.rs
@@ -5,6 +5,7 @@
 use crate::requests::Requests;
 use std::sync::Arc;
 
+/// The request and its attempts.
 pub struct InFlightRequest {
     pub customer: Arc<str>,
     /// Index of its class.
@@ -21,6 +22,7 @@
 }
 
 impl InFlightRequest {
+    /// A request without attempts.
     pub fn new(customer: Arc<str>, class: usize, units: f64, deadline: f64) -> Self {
         InFlightRequest {
             customer,
@@ -38,10 +40,12 @@
         !self.is_answered && !self.is_streaming
     }
 
+    /// Whether the end of an attempt is still to come.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 
+    /// Whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
--- a/crates/decision/src/requests/load_shedding.rs
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -2,8 +2,8 @@
 //!
 //! The quota has decided before, so that shedding takes nothing from one customer for another. What it can
 //! get wrong: a class with long service times is shed first although it may be the one that clients need.
-//! Held by `tests/decision/admission.rs` as far as rejections go; which class gives way is seen in the simulator's
-//! days.
+//! Held by `tests/decision/admission.rs` as far as rejections go; which class gives way is held only by the
+//! simulator's days.
 
 use super::Requests;
 use crate::interface::Settings;
--- a/crates/decision/src/requests/mod.rs
+++ b/crates/decision/src/requests/mod.rs
@@ -40,6 +40,7 @@
 }
 
 impl Requests {
+    /// No requests; the seed determines all random draws.
     pub fn new(settings: &Settings, seed: u64, now: f64) -> Self {
         Requests {
             quota: Quota::new(now),
--- a/crates/decision/src/requests/retry_budget.rs
+++ b/crates/decision/src/requests/retry_budget.rs
@@ -11,27 +11,33 @@
 /// Most retries that are saved.
 const MAX_BALANCE: f64 = 10.0;
 
+/// Retries that were earned and not spent.
 pub struct RetryBudget {
     balance: f64,
 }
 
 impl RetryBudget {
+    /// The budget at the start.
     pub fn full() -> Self {
         RetryBudget { balance: MAX_BALANCE }
     }
 
+    /// Earns the part of a request.
     pub fn on_request(&mut self) {
         self.balance = (self.balance + EARNED_BY_REQUEST).min(MAX_BALANCE);
     }
 
+    /// Earns back a part of a retry that was answered in time.
     pub fn on_retry_success(&mut self) {
         self.balance = (self.balance + EARNED_BY_SUCCESS).min(MAX_BALANCE);
     }
 
+    /// Whether a whole retry is left.
     pub fn allows_retry(&self) -> bool {
         self.balance >= 1.0
     }
 
+    /// Takes out one retry.
     pub fn spend(&mut self) {
         self.balance -= 1.0;
     }
--- a/crates/decision/src/requests/service_times.rs
+++ b/crates/decision/src/requests/service_times.rs
@@ -2,7 +2,8 @@
 //!
 //! It says how long a response usually takes: for slow attempts, for the time left for a retry and for the
 //! advice on when to retry. What it can get wrong: it follows a change over some tens of responses only. Held
-//! by `tests/decision/admission.rs`, `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
+//! by `tests/decision/admission.rs`,
+//! `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
 
 use crate::ewma::ewma;
 use crate::interface::Settings;
@@ -12,11 +13,13 @@
 /// Weight of one response.
 const GAIN: f64 = 0.02;
 
+/// The means, by class.
 pub struct ServiceTimes {
     means: Vec<f64>,
 }
 
 impl ServiceTimes {
+    /// The means before any response.
     pub fn new(settings: &Settings) -> Self {
         let initial = |objective: f64| objective * INITIAL_MEAN_OBJECTIVES;
         ServiceTimes {
@@ -29,6 +32,7 @@
         self.means[class]
     }
 
+    /// Takes in one response.
     pub fn record(&mut self, class: usize, seconds_per_unit: f64) {
         self.means[class] = ewma(self.means[class], seconds_per_unit, GAIN);
     }
--- a/crates/decision/tests/decision/authorization.rs
+++ b/crates/decision/tests/decision/authorization.rs
@@ -43,7 +43,8 @@
 #[test]
 fn an_authorization_draws_on_the_same_bucket_as_requests() {
     let mut host = Host::new(settings());
-    // The bucket holds 10 (see the quota's tests): six is_authorized, three sent, one more is_authorized, then none.
+    // The bucket holds 10 (see the quota's tests): six is_authorized, three sent, one more is_authorized,
+    // then none.
     assert!((1..=6).all(|id| is_authorized(&mut host, id, "plain", 1.0)));
     let mut sent = 0;
     for id in 7..=9 {
--- a/crates/decision/tests/decision/counter.rs
+++ b/crates/decision/tests/decision/counter.rs
@@ -1,4 +1,5 @@
-//! Reports to the counter service: how often, how they are packed, and replies that are lost, doubled or late.
+//! Reports to the counter service: how often, how they are packed, and replies that are lost, doubled or
+//! late.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -132,7 +133,8 @@
 
 #[test]
 fn requests_of_customers_seen_once_are_reported_for_all_that_do_not_call() {
-    // At first one request in two calls and stands for two: of four units each, eight units reported by one call.
+    // At first one request in two calls and stands for two: of four units each, eight units reported by one
+    // call.
     let mut host = Host::new(Settings { instance_count: 250, ..settings() });
     host.reachable_instances = 250;
     let mut told = 0.0;
--- a/crates/decision/tests/decision/quota_accounts.rs
+++ b/crates/decision/tests/decision/quota_accounts.rs
@@ -1,4 +1,5 @@
-//! A customer's account at one limiter: settlement, the hard limit, the concurrency limit, and when it is forgotten.
+//! A customer's account at one limiter: settlement, the hard limit, the concurrency limit, and when it is
+//! forgotten.
 
 use crate::support::*;
 use liftrouter_decision::*;
--- a/crates/decision/tests/decision/quota_share.rs
+++ b/crates/decision/tests/decision/quota_share.rs
@@ -82,8 +82,8 @@
         }
         drained_rate(&mut host, "c")
     };
-    // Four fifths of the demand: of all the quota, of half of it (but no less than is left of the fallback), and
-    // none of it.
+    // Four fifths of the demand: of all the quota, of half of it (but no less than is left of the fallback),
+    // and none of it.
     assert!((7..=8).contains(&settled(None)));
     assert_eq!(settled(Some(1.0)), settled(None));
     assert!((3..=4).contains(&settled(Some(0.5))));
@@ -98,8 +98,8 @@
     host.now += 10.0;
     let before = settle_demand(&mut host, "c", 4.0, 4.0);
     assert!(before > 100.0);
-    // The counter replies with old totals for some calls and then has none of them; limiters go on adding as before.
-    // The first difference tells of a second or so.
+    // The counter replies with old totals for some calls and then has none of them; limiters go on adding as
+    // before. The first difference tells of a second or so.
     let (mut total, mut heard) = (before, 0);
     while heard < 8 {
         host.now += 0.1;
--- a/crates/decision/tests/decision/quota_shared_bucket.rs
+++ b/crates/decision/tests/decision/quota_shared_bucket.rs
@@ -12,8 +12,8 @@
     host
 }
 
-/// Lets some seconds pass in which all limiters draw and are rejected so many units a second; one request of this
-/// limiter ends them and reads the totals.
+/// Lets some seconds pass in which all limiters draw and are rejected so many units a second; one request of
+/// this limiter ends them and reads the totals.
 fn report_others(host: &mut Host, total: &mut (f64, f64), seconds: f64, used: f64, refused: f64) {
     host.now += seconds;
     *total = (total.0 + used * seconds, total.1 + refused * seconds);
@@ -33,7 +33,8 @@
     report_others(&mut host, &mut total, 4.0, 30.0, 30.0);
     let passed = (0..40).filter(|_| host.serve("c", "plain", 1.0)).count();
     assert_eq!(passed, 0, "the joint store is overdrawn by a whole burst");
-    // The same demand, with next to nothing passed: the shared bucket fills, and some requests are admitted again.
+    // The same demand, with next to nothing passed: the shared bucket fills, and some requests are admitted
+    // again.
     report_others(&mut host, &mut total, 4.0, 1.0, 59.0);
     let passed = (0..400).filter(|_| host.serve("c", "plain", 1.0)).count();
     assert!((40..160).contains(&passed), "{passed} of 400, a sixth by quota and some of the store");
@@ -62,7 +63,8 @@
     assert_eq!(passed, 0);
 }
 
-/// Reads so many customers of a plan, each of which all limiters ask for so many units a second, and get all of.
+/// Reads so many customers of a plan, each of which all limiters ask for so many units a second, and get all
+/// of.
 fn read_customers(host: &mut Host, plan: &str, count: u32, demand: f64) {
     host.now += 4.0;
     for n in 0..count {
@@ -85,8 +87,8 @@
     let mut host = one_of_many_limiters();
     read_customers(&mut host, "plain", 30, 2.0);
     assert_eq!(first(&mut host, "plain"), 200);
-    // Where they ask for thrice their quota, one request from each limiter would be several bursts. Another plan's
-    // customers have their own chance.
+    // Where they ask for thrice their quota, one request from each limiter would be several bursts. Another
+    // plan's customers have their own chance.
     let mut host = one_of_many_limiters();
     read_customers(&mut host, "plain", 30, 30.0);
     let passed = first(&mut host, "plain");
--- a/crates/decision/tests/decision/slow_attempt.rs
+++ b/crates/decision/tests/decision/slow_attempt.rs
@@ -5,7 +5,8 @@
 
 #[test]
 fn an_attempt_that_hangs_holds_its_place_for_one_latency_objective_at_most() {
-    // Guards against hung attempts (incident ief87c6): each would fill a small limit until its client disconnected.
+    // Guards against hung attempts (incident ief87c6): each would fill a small limit until its client
+    // disconnected.
     let mut host = Host::new(Settings { instance_count: 4, ..settings() });
     host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::InService, None)]));
     let (id, actions) = host.request("c", "plain", "unsafe", 1.0);
@@ -25,7 +26,8 @@
 
 #[test]
 fn an_attempt_is_cancelled_only_after_two_slow_ones_in_a_row() {
-    // Guards against the ejection spiral and against rare evidence read as a fault: one late response is slow.
+    // Guards against the ejection spiral and against rare evidence read as a fault: one late response is
+    // slow.
     let late = |host: &mut Host, id: u64, actions: &[Action]| {
         let (at, token) = find_timer(actions, id, 2).expect("patience");
         host.now = host.now.max(at);
--- a/crates/decision/tests/decision/slow_start.rs
+++ b/crates/decision/tests/decision/slow_start.rs
@@ -1,5 +1,5 @@
-//! Endpoints in slow start under the sum of what all limiters send: within N attempts in any stretch of the overload
-//! window, and 2 x root of N + 2 for chance, N being what the settings allow.
+//! Endpoints in slow start under the sum of what all limiters send: within N attempts in any stretch of the
+//! overload window, and 2 x root of N + 2 for chance, N being what the settings allow.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -112,13 +112,18 @@
 proptest! {
     #![proptest_config(cases(48))]
 
-    /// A start that all limiters learn of at once, while every limiter has requests that no warm endpoint takes.
+    /// A start that all limiters learn of at once, while every limiter has requests that no warm endpoint
+    /// takes.
     #[test]
-    fn a_start_that_all_learn_of_at_once_is_no_moment_to_rush(instances in 1u32..31, at in 0.0f64..OVERLOAD_WINDOW) {
+    fn a_start_that_all_learn_of_at_once_is_no_moment_to_rush(
+        instances in 1u32..31,
+        at in 0.0f64..OVERLOAD_WINDOW,
+    ) {
         let in_service = EndpointState::InService;
         let warm = vec![endpoint(A, "east", in_service, None), endpoint(B, "east", in_service, None)];
         let mut limiters = Limiters::new(instances, warm.clone());
-        let outcome_of = |server: &str| if server == STARTED_ENDPOINT { Outcome::Ok } else { Outcome::Overloaded };
+        let outcome_of =
+            |endpoint: &str| if endpoint == STARTED_ENDPOINT { Outcome::Ok } else { Outcome::Overloaded };
         let (start, mut applied) = (104.0 + at, false);
         // What a warm endpoint is sent, as long as they accept requests.
         let each = 40;
@@ -135,7 +140,8 @@
         let sent = limiters.sent(STARTED_ENDPOINT);
         prop_assert!(!sent.is_empty(), "it never warms by work");
         for from in sent {
-            let within = sent.iter().filter(|t| (0.0..=OVERLOAD_WINDOW).contains(&(**t - from))).count() as f64;
+            let window = 0.0..=OVERLOAD_WINDOW;
+            let within = sent.iter().filter(|time| window.contains(&(**time - from))).count() as f64;
             let warmth = 0.2 + 0.8 * (from - start) / 20.0;
             let n = 3.0 * warmth * f64::from(each) * OVERLOAD_WINDOW;
             prop_assert!(within <= allowed(n), "{within} by {instances} limiters, {} allowed", allowed(n));
@@ -144,21 +150,28 @@
 
     /// Limiters that forget what they sent, a few times within one window, all or some of them.
     #[test]
-    fn attempts_that_a_restart_forgot_are_not_sent_twice(instances in 1u32..31, every in 0.2f64..1.5, part in 1usize..4) {
+    fn attempts_that_a_restart_forgot_are_not_sent_twice(
+        instances in 1u32..31,
+        every in 0.2f64..1.5,
+        part in 1usize..4,
+    ) {
         let mut limiters = Limiters::new(instances, vec![started_at(100.0)]);
         let mut next = 100.0 + every;
         while limiters.now < 110.0 {
             limiters.now += 0.02;
             if limiters.now >= next {
                 next += every;
-                (0..instances as usize).filter(|instance| instance % part == 0).for_each(|instance| limiters.restart(instance));
+                for instance in (0..instances as usize).filter(|instance| instance % part == 0) {
+                    limiters.restart(instance);
+                }
             }
             for instance in 0..instances as usize {
                 limiters.request(instance, |_| Outcome::Ok);
             }
         }
         let most = most_in_one_window(limiters.sent(STARTED_ENDPOINT)) as f64;
-        prop_assert!(most <= allowed(MIN_ATTEMPTS), "{most} by {instances} limiters, {} allowed", allowed(MIN_ATTEMPTS));
+        let allowed = allowed(MIN_ATTEMPTS);
+        prop_assert!(most <= allowed, "{most} by {instances} limiters, {allowed} allowed");
     }
 
     /// A list that corrects a start, back and forth.
@@ -177,12 +190,13 @@
             }
         }
         let most = most_in_one_window(limiters.sent(STARTED_ENDPOINT)) as f64;
-        prop_assert!(most <= allowed(MIN_ATTEMPTS), "{most} by {instances} limiters, {} allowed", allowed(MIN_ATTEMPTS));
+        let allowed = allowed(MIN_ATTEMPTS);
+        prop_assert!(most <= allowed, "{most} by {instances} limiters, {allowed} allowed");
     }
 }
 
-/// Requests that all come within a tenth of a second, wherever that lies in the limiters' windows: on average no
-/// moment gets more than the others.
+/// Requests that all come within a tenth of a second, wherever that lies in the limiters' windows: on average
+/// no moment gets more than the others.
 #[test]
 fn requests_that_all_come_at_once_find_no_better_moment() {
     const CASES: u32 = 24;
@@ -204,8 +218,8 @@
     }
 }
 
-/// Over 48 limiters each uses a part of the endpoints. Where most of those are ejected, the rest are shared by more
-/// limiters than were meant to use them.
+/// Over 48 limiters each uses a part of the endpoints. Where most of those are ejected, the rest are shared
+/// by more limiters than were meant to use them.
 #[test]
 fn limiters_that_share_the_remaining_endpoints_keep_the_budget() {
     let in_service = EndpointState::InService;
