--- a/crates/decision/src/quota/counter_encoding.rs
+++ b/crates/decision/src/quota/counter_encoding.rs
@@ -3,7 +3,7 @@
 //! The counter is exact to seven digits. Steps below [`REJECTED_UNIT`] are units accepted, multiples of it
 //! units rejected; a step stands for as many units as the plan's use in an epoch needs. What it can get
 //! wrong: accepted units that run over into the rejected ones. Therefore a call adds at most its part of half
-//! the steps that were free at the last reply. Held by `tests/counter.rs`,
+//! the steps that were free at the last reply. Held by `tests/decision/counter.rs`,
 //! `no_demand_runs_over_from_one_packed_number_into_the_other`.
 
 use super::counter_epoch::EPOCH_SECONDS;
@@ -72,10 +72,10 @@
 /// of a step is rounded at random (`draw`, from 0 to 1), so that the mean is right.
 pub fn report_steps(units: Usage, units_per_step: f64, baseline: Usage, callers: f64, draw: f64) -> Usage {
     let steps = |units: f64, read: f64, capacity: f64| {
-        let at_least = if read > capacity / 2.0 { 0.0 } else { 1.0 };
-        let free = ((capacity - read) / 2.0 / callers).floor().max(at_least);
+        let min_steps = if read > capacity / 2.0 { 0.0 } else { 1.0 };
+        let max_steps = ((capacity - read) / 2.0 / callers).floor().max(min_steps);
         let rounding = if units % units_per_step == 0.0 { 0.0 } else { draw };
-        (units / units_per_step + rounding).floor().clamp(0.0, free)
+        (units / units_per_step + rounding).floor().clamp(0.0, max_steps)
     };
     Usage {
         accepted: steps(units.accepted, baseline.accepted, MAX_ACCEPTED_STEPS),
--- a/crates/decision/src/quota/hard_limit.rs
+++ b/crates/decision/src/quota/hard_limit.rs
@@ -2,15 +2,17 @@
 //!
 //! The share starts empty with the limiter, so that a restart does not draw the burst a second time. What it
 //! can get wrong: where demand is uneven, limiters with little demand leave their share unused. Held by
-//! `tests/quota_accounts.rs`, `the_hard_limit_holds_over_all_limiters_and_a_restart`.
+//! `tests/decision/quota_accounts.rs`, `the_hard_limit_holds_over_all_limiters_and_a_restart`.
 
 use crate::interface::Plan;
 
+/// This limiter's share of a customer's hard limit.
 pub struct HardLimit {
     tokens: f64,
 }
 
 impl HardLimit {
+    /// The share of a limiter that started `limiter_age` seconds ago.
     pub fn new(plan: &Plan, instances: f64, limiter_age: f64) -> Self {
         let tokens = (plan.hard_limit_rate / instances * limiter_age).min(plan.hard_limit_burst / instances);
         HardLimit { tokens }
@@ -22,6 +24,7 @@
         self.tokens = (self.tokens + rate * elapsed).min(burst);
     }
 
+    /// Takes units out.
     pub fn draw(&mut self, units: f64) {
         self.tokens -= units;
     }
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -2,7 +2,7 @@
 //!
 //! The order is: probabilistic admission where each limiter's share is below one token, otherwise the token
 //! bucket with what it may borrow, then the hard limit. Nothing is drawn here: a request that no endpoint can
-//! take costs no units. Held by `tests/quota_share.rs` and `tests/quota_shared_bucket.rs`.
+//! take costs no units. Held by `tests/decision/quota_share.rs` and `tests/decision/quota_shared_bucket.rs`.
 
 use super::customer::Customer;
 use super::demand_share;
@@ -110,8 +110,8 @@
         let refill_wait =
             (units - self.bucket.tokens() - refilled.borrowable) / refilled.rate.max(MIN_REFILL_RATE);
         // Where the quota is idle, the next totals are worth more than the wait for tokens.
-        let longest =
+        let max_wait =
             if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait };
-        Err(QuotaExceeded { retry_after: refill_wait.min(longest) })
+        Err(QuotaExceeded { retry_after: refill_wait.min(max_wait) })
     }
 }
--- a/crates/decision/src/requests/authorization.rs
+++ b/crates/decision/src/requests/authorization.rs
@@ -2,7 +2,7 @@
 //! limiter.
 //!
 //! Nobody tells of the call's end: it counts as in flight until its deadline, or until the client is known
-//! not to have got the authorization. Its units stay drawn. Held by `tests/authorization.rs`.
+//! not to have got the authorization. Its units stay drawn. Held by `tests/decision/authorization.rs`.
 
 use super::Requests;
 use crate::context::Context;
@@ -15,8 +15,8 @@
 impl Requests {
     /// Authorizes a client's own call, or rejects it.
     pub fn authorize(&mut self, context: Context, request: Request, actions: &mut Vec<Action>) {
-        let has_room = self.authorizations.len() < MAX_AUTHORIZATIONS;
-        if self.check_admission(context, &request, has_room, actions).is_none() {
+        let has_capacity = self.authorizations.len() < MAX_AUTHORIZATIONS;
+        if self.check_admission(context, &request, has_capacity, actions).is_none() {
             return;
         }
         let Request { id, customer, deadline, .. } = request;
