--- /dev/null
+++ b/crates/daemon/src/authoriser/error.rs
@@ -0,0 +1,84 @@
+//! Why a check request got no decision.
+
+use hyper::header::{HeaderMap, HeaderValue};
+use liftrouter_authz::WrongFrame;
+use std::error::Error;
+use thiserror::Error;
+
+pub(super) const GRPC_STATUS: &str = "grpc-status";
+
+/// A fault of the authoriser, as the operator reads it.
+#[derive(Debug, Error)]
+pub(super) enum CheckError {
+    #[error("HTTP status {0}, expected 200")]
+    HttpStatus(u16),
+    #[error("content-type {0:?}, expected application/grpc")]
+    ContentType(String),
+    #[error("a compressed answer, and none was offered to be")]
+    Compressed,
+    #[error("grpc-status {0}, expected 0")]
+    GrpcStatus(String),
+    #[error("no grpc-status, expected 0")]
+    NoGrpcStatus,
+    #[error("{0}")]
+    Frame(WrongFrame),
+    #[error("the answer is malformed: {0}")]
+    Malformed(String),
+    /// The response is well formed and contradicts itself.
+    #[error("{0}")]
+    Verdict(String),
+    #[error("{0}")]
+    Http2(String),
+    #[error("{0}")]
+    Hyper(String),
+    #[error("refused twice, unseen")]
+    RefusedTwice,
+    #[error("no answer in time")]
+    Timeout,
+}
+
+/// How one attempt to ask failed, by whether the authoriser may have seen it (RFC 9113, section 8.7).
+#[derive(Debug)]
+pub(super) enum AttemptError {
+    /// Not seen, for this stream was refused: it may be asked again.
+    StreamRefused,
+    /// Not seen, for the connection takes nothing more: it may be asked again over another.
+    ConnectionClosed,
+    /// It may have been seen.
+    Failed(CheckError),
+}
+
+impl From<CheckError> for AttemptError {
+    fn from(error: CheckError) -> Self {
+        AttemptError::Failed(error)
+    }
+}
+
+impl From<WrongFrame> for AttemptError {
+    fn from(wrong: WrongFrame) -> Self {
+        AttemptError::Failed(CheckError::Frame(wrong))
+    }
+}
+
+impl From<&hyper::Error> for AttemptError {
+    fn from(error: &hyper::Error) -> Self {
+        match error.source().and_then(|source| source.downcast_ref::<h2::Error>()) {
+            // A GOAWAY of the peer fails only the streams above its last id.
+            Some(http2) if http2.is_remote() && http2.is_go_away() => AttemptError::ConnectionClosed,
+            Some(http2) if http2.is_remote() && http2.reason() == Some(h2::Reason::REFUSED_STREAM) => {
+                AttemptError::StreamRefused
+            }
+            Some(http2) => CheckError::Http2(http2.to_string()).into(),
+            None => CheckError::Hyper(error.to_string()).into(),
+        }
+    }
+}
+
+/// Checks that the headers or trailers have a status of OK.
+pub(super) fn check_status(headers: &HeaderMap) -> Result<(), CheckError> {
+    match headers.get(GRPC_STATUS).map(HeaderValue::as_bytes) {
+        Some(b"0") => Ok(()),
+        Some(status) => Err(CheckError::GrpcStatus(String::from_utf8_lossy(status).into_owned())),
+        None => Err(CheckError::NoGrpcStatus),
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/authoriser/settings.rs
@@ -0,0 +1,36 @@
+//! The operator's settings of an authoriser.
+
+use liftrouter_authz::BreakerPolicy;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// What becomes of a request whose authoriser gave no usable decision.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WhenUnsure {
+    /// It goes on (fail open).
+    Pass,
+    /// It is rejected (fail closed).
+    Refuse,
+}
+
+/// An authoriser as the operator names it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AuthoriserSettings {
+    /// Its name in the log.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The most connections to it.
+    pub connections: usize,
+    /// The most check requests open at once.
+    pub questions: usize,
+    /// The longest wait for a response.
+    pub timeout: Duration,
+    /// The most bytes of a response.
+    pub message: usize,
+    /// When it is left alone after failures.
+    pub breaker: BreakerPolicy,
+    /// The classes whose requests it is asked about, and what becomes of them without a decision.
+    pub classes: HashMap<String, WhenUnsure>,
+}
--- a/crates/daemon/src/count.rs
+++ b/crates/daemon/src/count.rs
@@ -3,10 +3,11 @@
 use std::cell::Cell;
 use std::ops::Deref;
 
-/// Counts one while it is held, whoever owns the count.
+/// Adds one to a count, borrowed or shared, until it is dropped.
 pub struct Count<C: Deref<Target = Cell<usize>>>(C);
 
 impl<C: Deref<Target = Cell<usize>>> Count<C> {
+    /// Adds one to `count`.
     pub fn new(count: C) -> Self {
         count.set(count.get() + 1);
         Count(count)
--- a/crates/daemon/src/http2.rs
+++ b/crates/daemon/src/http2.rs
@@ -1,4 +1,4 @@
-//! What both sides of HTTP/2 share: an executor of this thread, and a socket whose frames are counted.
+//! What HTTP/2 clients and servers share: an executor of this thread, and a socket whose frames are metered.
 
 use hyper::rt::Executor;
 use liftrouter_authz::FrameMeter;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Runs what hyper starts on this thread.
+/// Runs the tasks that hyper starts on this thread.
 #[derive(Clone, Copy)]
 pub struct Local;
 
@@ -25,65 +25,70 @@
     }
 }
 
-/// A socket whose frames are counted as they come.
+/// A socket that ends with an error when its peer exceeds the frame rates of a meter.
 pub struct Metered {
     stream: TcpStream,
     meter: FrameMeter,
-    born: Instant,
-    heard: Rc<Cell<Instant>>,
+    /// Times of the meter are seconds from here.
+    opened_at: Instant,
+    last_read: Rc<Cell<Instant>>,
 }
 
 impl Metered {
-    /// Times of the meter are seconds from now.
+    /// Meters a socket from now on.
     pub fn new(stream: TcpStream, meter: FrameMeter) -> Metered {
         let now = Instant::now();
-        Metered { stream, meter, born: now, heard: Rc::new(Cell::new(now)) }
+        Metered { stream, meter, opened_at: now, last_read: Rc::new(Cell::new(now)) }
     }
 
-    /// When anything last came.
-    pub fn heard(&self) -> Rc<Cell<Instant>> {
-        self.heard.clone()
+    /// When anything last came, kept up to date.
+    pub fn last_read(&self) -> Rc<Cell<Instant>> {
+        self.last_read.clone()
     }
 }
 
 impl AsyncRead for Metered {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
+        let before = buffer.filled().len();
+        ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
         let now = Instant::now();
-        self.heard.set(now);
-        let passed = now.saturating_duration_since(self.born).as_secs_f64();
-        let read = self.meter.read(&buf.filled()[before..], passed);
+        self.last_read.set(now);
+        let seconds = now.saturating_duration_since(self.opened_at).as_secs_f64();
+        let read = self.meter.read(&buffer.filled()[before..], seconds);
         Poll::Ready(read.map_err(|flood| io::Error::other(flood.to_string())))
     }
 }
 
 impl AsyncWrite for Metered {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.stream).poll_write(cx, buf)
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write(context, buffer)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
+        context: &mut Context<'_>,
+        buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.stream).poll_write_vectored(cx, bufs)
+        Pin::new(&mut self.stream).poll_write_vectored(context, buffers)
     }
 
     fn is_write_vectored(&self) -> bool {
         true
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
     }
 }
--- a/crates/daemon/src/listeners/accept.rs
+++ b/crates/daemon/src/listeners/accept.rs
@@ -1,21 +1,22 @@
-//! Accepting, the same for all fronts: no more connections than allowed, and failures that pass.
+//! Accepts connections, the same way for every listener: within a connection limit, and through passing failures.
 
-use crate::log;
+use crate::log::log;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Pause before accepting is tried again: after a failure, which most likely means that descriptors ran out,
-/// and where all connections that may be open are busy.
+/// Pause before accepting is tried again, after a failure (most likely no descriptor was left) and while every
+/// allowed connection is busy.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as it is polled. While `full`, which may ask one that is idle to close, the
-/// rest wait with the kernel until `closed` tells of one that has: a connection that is accepted may carry a
-/// request, and ending it would lose that one.
+/// Accepts connections for as long as it is polled, and hands each to `take`.
+///
+/// While `full` returns true, further clients wait in the kernel's backlog until `closed` is notified: an accepted
+/// connection may carry a request, and closing it would lose that request. `full` may ask an idle connection to close.
 pub async fn accept(
     listener: TcpListener,
-    part: &str,
+    log_part: &str,
     closed: &Notify,
     full: impl Fn() -> bool,
     take: impl Fn(TcpStream),
@@ -26,8 +27,8 @@
         }
         match listener.accept().await {
             Ok((stream, _)) => take(stream),
-            Err(e) => {
-                log(part, format_args!("cannot accept: {e}"));
+            Err(error) => {
+                log(log_part, format_args!("cannot accept: {error}"));
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- /dev/null
+++ b/crates/daemon/src/listeners/grpc/health.rs
@@ -0,0 +1,95 @@
+//! `grpc.health.v1.Health`: the state of the limiter, asked once or watched.
+
+use super::connection::OpenCall;
+use super::context::CallContext;
+use super::reply::{self, Reply};
+use super::unary::{read_deadline, read_message};
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::HeaderMap;
+use hyper::Response;
+use liftrouter_authz::messages::grpc::health::v1::health_check_response::ServingStatus;
+use liftrouter_authz::messages::grpc::health::v1::{HealthCheckRequest, HealthCheckResponse};
+use liftrouter_authz::{frame, Code, Status, SERVICES};
+use std::rc::Rc;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// `Check`: the state now.
+///
+/// # Errors
+/// The status of a malformed call, or of one about an unknown service.
+pub(super) async fn check(
+    context: &CallContext,
+    headers: &HeaderMap,
+    body: Incoming,
+    received_at: Instant,
+) -> Result<HealthCheckResponse, Status> {
+    let deadline = read_deadline(headers, received_at)?;
+    let (request, _reservation) =
+        read_message::<HealthCheckRequest>(context, headers, body, deadline).await?;
+    match serving_status(context, &request.service) {
+        ServingStatus::ServiceUnknown => Err(Status::new(Code::NotFound, "no such service")),
+        status => Ok(response(status)),
+    }
+}
+
+/// `Watch`: the state now and each change of it, until the client leaves or its connection goes away.
+///
+/// # Errors
+/// The status of a malformed call.
+pub(super) async fn watch(
+    context: &Rc<CallContext>,
+    headers: &HeaderMap,
+    body: Incoming,
+    received_at: Instant,
+    open_call: OpenCall,
+) -> Result<Response<Reply>, Status> {
+    let deadline = read_deadline(headers, received_at)?;
+    let (HealthCheckRequest { service }, _) = read_message(context, headers, body, deadline).await?;
+    let (sender, messages) = mpsc::channel(1);
+    tokio::task::spawn_local(send_changes(context.clone(), service, open_call, sender));
+    Ok(reply::stream(messages))
+}
+
+async fn send_changes(
+    context: Rc<CallContext>,
+    service: String,
+    open_call: OpenCall,
+    sender: mpsc::Sender<Result<Bytes, Status>>,
+) {
+    let mut serving = context.serving.subscribe();
+    let mut last_sent = None;
+    loop {
+        serving.mark_unchanged();
+        let status = serving_status(&context, &service);
+        if last_sent.replace(status) != Some(status)
+            && sender.send(Ok(frame(&response(status)))).await.is_err()
+        {
+            return;
+        }
+        if open_call.is_going_away() {
+            let end = Status::new(Code::Unavailable, "the connection is being closed");
+            let _ = sender.send(Err(end)).await;
+            return;
+        }
+        tokio::select! {
+            _ = serving.changed() => {}
+            () = open_call.going_away() => {}
+            () = sender.closed() => return,
+        }
+    }
+}
+
+fn serving_status(context: &CallContext, service: &str) -> ServingStatus {
+    let is_known = service.is_empty() || SERVICES.contains(&service);
+    match (is_known, *context.serving.borrow()) {
+        (true, true) => ServingStatus::Serving,
+        (true, false) => ServingStatus::NotServing,
+        (false, _) => ServingStatus::ServiceUnknown,
+    }
+}
+
+fn response(status: ServingStatus) -> HealthCheckResponse {
+    HealthCheckResponse { status: status.into() }
+}
--- a/crates/daemon/src/listeners/grpc/reply.rs
+++ b/crates/daemon/src/listeners/grpc/reply.rs
@@ -1,6 +1,6 @@
-//! Answers: one message and its status, a status alone, or a stream of messages.
+//! Replies: one message and its status, a status alone, or a stream of messages.
 
-use super::connection::Untaken;
+use super::connection::UntakenReply;
 use crate::events::DisconnectGuard;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -16,26 +16,26 @@
 const GRPC_MESSAGE: HeaderName = HeaderName::from_static("grpc-message");
 const ACCEPT_ENCODING: HeaderName = HeaderName::from_static("grpc-accept-encoding");
 
-/// What is sent of an answer beside its head.
-pub struct Reply {
-    parts: Parts,
-    /// While it is not taken, its connection counts it.
-    _untaken: Option<Untaken>,
-    /// Told if it is dropped before its message was taken.
-    gone: Option<DisconnectGuard>,
+/// The body of a reply.
+pub(super) struct Reply {
+    content: Content,
+    /// The connection counts the reply until the client has taken it.
+    _untaken: Option<UntakenReply>,
+    /// Reports a disconnect if the reply is dropped before its message was taken.
+    disconnect: Option<DisconnectGuard>,
 }
 
 impl Reply {
-    /// The same, but somebody is to know if its client leaves before it takes it.
-    pub fn owed_to(mut self, gone: Option<DisconnectGuard>) -> Reply {
-        self.gone = gone;
+    /// The same reply; `disconnect` reports if its client leaves before it takes the message.
+    pub(super) fn with_disconnect_guard(mut self, disconnect: Option<DisconnectGuard>) -> Reply {
+        self.disconnect = disconnect;
         self
     }
 }
 
-enum Parts {
+enum Content {
     /// A message, then trailers.
-    One {
+    Unary {
         message: Option<Bytes>,
         trailers: Option<HeaderMap>,
     },
@@ -45,6 +45,12 @@
     },
 }
 
+impl Content {
+    fn empty() -> Content {
+        Content::Unary { message: None, trailers: None }
+    }
+}
+
 fn trailers(status: &Status) -> HeaderMap {
     let mut trailers = HeaderMap::with_capacity(2);
     trailers.insert(GRPC_STATUS, HeaderValue::from(status.code as u16));
@@ -56,21 +62,21 @@
     trailers
 }
 
-fn respond(parts: Parts, untaken: Option<Untaken>) -> Response<Reply> {
-    let mut response = Response::new(Reply { parts, _untaken: untaken, gone: None });
+fn grpc_response(content: Content, untaken: Option<UntakenReply>) -> Response<Reply> {
+    let mut response = Response::new(Reply { content, _untaken: untaken, disconnect: None });
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/grpc"));
     response
 }
 
-/// One message.
-pub fn message(message: &impl Message, untaken: Untaken) -> Response<Reply> {
+/// One message and status OK.
+pub(super) fn message(message: &impl Message, untaken: UntakenReply) -> Response<Reply> {
     let trailers = Some(trailers(&Status::new(Code::Ok, "")));
-    respond(Parts::One { message: Some(frame(message)), trailers }, Some(untaken))
+    grpc_response(Content::Unary { message: Some(frame(message)), trailers }, Some(untaken))
 }
 
-/// A status alone: in the head, which no window holds up.
-pub fn status(status: &Status) -> Response<Reply> {
-    let mut response = respond(Parts::One { message: None, trailers: None }, None);
+/// A status alone: in the head, which no flow-control window holds up.
+pub(super) fn status(status: &Status) -> Response<Reply> {
+    let mut response = grpc_response(Content::empty(), None);
     response.headers_mut().extend(trailers(status));
     if status.code == Code::Unimplemented {
         response.headers_mut().insert(ACCEPT_ENCODING, HeaderValue::from_static("identity"));
@@ -78,17 +84,16 @@
     response
 }
 
-/// What is no gRPC is told so in plain HTTP.
-pub fn plain(status: StatusCode) -> Response<Reply> {
-    let parts = Parts::One { message: None, trailers: None };
-    let mut response = Response::new(Reply { parts, _untaken: None, gone: None });
+/// The reply to a request that is no gRPC: a plain HTTP status.
+pub(super) fn http_status(status: StatusCode) -> Response<Reply> {
+    let mut response = Response::new(Reply { content: Content::empty(), _untaken: None, disconnect: None });
     *response.status_mut() = status;
     response
 }
 
 /// Messages as they come; the end of the channel is status OK.
-pub fn stream(messages: mpsc::Receiver<Result<Bytes, Status>>) -> Response<Reply> {
-    respond(Parts::Stream { messages, ended: false }, None)
+pub(super) fn stream(messages: mpsc::Receiver<Result<Bytes, Status>>) -> Response<Reply> {
+    grpc_response(Content::Stream { messages, ended: false }, None)
 }
 
 impl Body for Reply {
@@ -97,22 +102,22 @@
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let reply = &mut *self;
-        Poll::Ready(match &mut reply.parts {
-            Parts::One { message, trailers } => match message.take() {
-                Some(message) => Some(Ok(Frame::data(message))),
-                None => {
-                    // hyper asks for more once the peer has opened a window for the message.
-                    if let Some(gone) = reply.gone.take() {
-                        gone.disarm();
-                    }
-                    trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))
+        Poll::Ready(match &mut reply.content {
+            Content::Unary { message, trailers } => {
+                if let Some(message) = message.take() {
+                    return Poll::Ready(Some(Ok(Frame::data(message))));
                 }
-            },
-            Parts::Stream { ended: true, .. } => None,
-            Parts::Stream { messages, ended } => match messages.poll_recv(cx) {
+                // hyper asks for more once the client has opened a window for the message.
+                if let Some(disconnect) = reply.disconnect.take() {
+                    disconnect.disarm();
+                }
+                trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))
+            }
+            Content::Stream { ended: true, .. } => None,
+            Content::Stream { messages, ended } => match messages.poll_recv(context) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(message))) => Some(Ok(Frame::data(message))),
                 Poll::Ready(end) => {
@@ -126,8 +131,8 @@
 
     fn is_end_stream(&self) -> bool {
         matches!(
-            &self.parts,
-            Parts::One { message: None, trailers: None } | Parts::Stream { ended: true, .. }
+            &self.content,
+            Content::Unary { message: None, trailers: None } | Content::Stream { ended: true, .. }
         )
     }
 
--- /dev/null
+++ b/crates/daemon/src/listeners/http/head.rs
@@ -0,0 +1,153 @@
+//! Reads and checks the head of a request: everything that the decisions or a server rely on.
+//!
+//! A request that fails here reaches neither the decisions, whose totals go by customer, nor a server. The checks
+//! stay cheap, and nothing is kept or logged of the request: malformed requests may come at full speed.
+
+use super::rejection::RequestError;
+use crate::listeners::fields::{self, MAX_ID_BYTES};
+use crate::number::read_number;
+use crate::upstream::servers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::Method;
+use liftrouter_decision::{Class, Idempotency, Settings};
+use std::time::Duration;
+
+const METERING: HeaderName = HeaderName::from_static("x-metering");
+const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
+/// Marks a request that its client sends again.
+pub(super) const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
+
+/// The most headers that hyper reads of a request.
+const MAX_HEADERS: usize = 100;
+
+/// What was read from a valid head.
+pub(super) struct CheckedHead {
+    pub class: String,
+    pub customer: String,
+    pub plan: String,
+    pub correlation_id: HeaderValue,
+    pub time_left: Duration,
+    pub metering: Metering,
+}
+
+/// What a request counts, and how the customer's requests are spread over the instances.
+pub(super) struct Metering {
+    pub units: f64,
+    pub reachable_instances: u32,
+}
+
+/// Checks a head. `raw` has the bytes that the connection has brought since the request before, the head first; they
+/// are read only for a chunked request.
+///
+/// # Errors
+/// The first fault that was found. The path is checked first: an unknown one is not found, whatever its headers say.
+pub(super) fn check(
+    settings: &Settings,
+    head: &Parts,
+    body: &Incoming,
+    raw: &[u8],
+) -> Result<CheckedHead, RequestError> {
+    let headers = &head.headers;
+    let (class, customer) = read_path(settings, head.uri.path())?;
+    if headers.contains_key(TRANSFER_ENCODING) && !is_only_chunked(raw) {
+        return Err(RequestError::AmbiguousLength);
+    }
+    let customer = fields::read_customer(customer).ok_or(RequestError::MalformedCustomer)?;
+    let correlation_id = read_id(headers, CORRELATION_ID).ok_or(RequestError::MalformedCorrelationId)?;
+    let plan = read_single(headers, CONTRACT).ok_or(RequestError::UnknownContract)?;
+    if !settings.plans.iter().any(|known| known.name == plan) {
+        return Err(RequestError::UnknownContract);
+    }
+    let time_left = read_single(headers, TIME_LEFT).and_then(|text| fields::read_time_left(text, class));
+    let time_left = time_left.ok_or(RequestError::MalformedTimeLeft)?;
+    let metering = read_single(headers, METERING).and_then(|text| read_metering(settings, text));
+    let metering = metering.ok_or(RequestError::MalformedMetering)?;
+    check_idempotency(class, head, body)?;
+    Ok(CheckedHead {
+        class: class.name.clone(),
+        customer,
+        plan: plan.to_string(),
+        correlation_id: HeaderValue::from_str(correlation_id).map_err(|_| RequestError::MalformedHeader)?,
+        time_left,
+        metering,
+    })
+}
+
+/// Splits `/class/customer`.
+fn read_path<'s, 'p>(settings: &'s Settings, path: &'p str) -> Result<(&'s Class, &'p str), RequestError> {
+    let (name, customer) =
+        path.strip_prefix('/').and_then(|path| path.split_once('/')).ok_or(RequestError::UnknownPath)?;
+    let class = settings.classes.iter().find(|class| class.name == name);
+    let class = class.ok_or(RequestError::UnknownPath)?;
+    if customer.contains('/') {
+        return Err(RequestError::UnknownPath);
+    }
+    Ok((class, customer))
+}
+
+/// The value of a header that stands once: given twice, it may be read one way here and another way at a server.
+fn read_single(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next().filter(|value| !value.is_empty()).and_then(|value| value.to_str().ok());
+    value.filter(|_| values.next().is_none())
+}
+
+fn read_id(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+    read_single(headers, name).filter(|id| id.len() <= MAX_ID_BYTES)
+}
+
+/// Whether method, body and idempotency key fit the class.
+fn check_idempotency(class: &Class, head: &Parts, body: &Incoming) -> Result<(), RequestError> {
+    let is_idempotent = class.idempotency == Idempotency::Idempotent;
+    let method = if is_idempotent { Method::GET } else { Method::POST };
+    if head.method != method {
+        return Err(RequestError::WrongMethod);
+    }
+    if is_idempotent && !body.is_end_stream() {
+        return Err(RequestError::BodyOfGet);
+    }
+    let needs_key = class.idempotency == Idempotency::IdempotencyKey;
+    if needs_key && read_id(&head.headers, IDEMPOTENCY_KEY).is_none() {
+        return Err(RequestError::MalformedIdempotencyKey);
+    }
+    Ok(())
+}
+
+/// Whether a chunked request came without a length.
+///
+/// hyper removes the length where both are there, and a peer that goes by the length would find another request in
+/// the body (request smuggling): so the head is parsed once more as it came.
+fn is_only_chunked(raw: &[u8]) -> bool {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    // A head that cannot be found again (it was written behind another request) is treated as one with both.
+    matches!(head.parse(raw), Ok(httparse::Status::Complete(_)))
+        && head.headers.iter().all(|header| !header.name.eq_ignore_ascii_case(CONTENT_LENGTH.as_str()))
+}
+
+/// Reads `units=2,spread=3,first=1`: the units, the number of instances that the customer reaches, and the first of
+/// them, which is checked alone. Further names are ignored.
+fn read_metering(settings: &Settings, text: &str) -> Option<Metering> {
+    let (mut units, mut spread, mut first) = (None, None, None);
+    for pair in text.split(',') {
+        let (name, value) = pair.split_once('=')?;
+        let value = read_number(value.trim())?;
+        let duplicate = match name.trim() {
+            "units" => units.replace(value),
+            "spread" => spread.replace(value),
+            "first" => first.replace(value),
+            _ => None,
+        };
+        if duplicate.is_some() {
+            return None;
+        }
+    }
+    let instances = settings.instance_count.max(1);
+    first.filter(|first| first.fract() == 0.0 && *first < f64::from(instances))?;
+    Some(Metering {
+        units: fields::check_units(units?, settings)?,
+        reachable_instances: fields::check_reachable_instances(spread?, settings)?,
+    })
+}
--- /dev/null
+++ b/crates/daemon/src/listeners/http/reply.rs
@@ -0,0 +1,89 @@
+//! Builds replies to clients.
+
+use super::rejection::RequestError;
+use crate::events::{Answer, Rejection};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
+use hyper::{Method, Response, StatusCode};
+use liftrouter_authz::{Changes, Denial};
+
+pub(super) type Reply = Response<Full<Bytes>>;
+
+/// Announces that the connection closes after this reply.
+pub(super) fn close_connection(reply: &mut Reply) {
+    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// The reply to a request that was not admitted.
+pub(super) fn not_admitted(error: RequestError) -> Reply {
+    immediate(error.status(), error.body())
+}
+
+/// The reply to `/up`, the readiness check.
+pub(super) fn readiness(method: &Method, is_ready: bool) -> Reply {
+    match (method, is_ready) {
+        (&Method::GET, true) => immediate(StatusCode::OK, "up\n"),
+        (&Method::GET, false) => immediate(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        _ => immediate(StatusCode::METHOD_NOT_ALLOWED, "only GET\n"),
+    }
+}
+
+/// The reply to an answered request. `changes` are the authoriser's changes to the headers of a served answer.
+pub(super) fn from_answer(answer: Answer, changes: &Changes) -> Reply {
+    match answer {
+        Answer::Served(answer) => served(answer, changes),
+        Answer::Rejected(rejection) => rejected(&rejection),
+        Answer::Denied(denial) => denied(denial),
+        // A forwarded request is never answered with an authorisation.
+        Answer::Failed | Answer::Authorized(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+    }
+}
+
+/// A reply to a request that may not have been read to its end: a fault closes the connection, so that the rest is
+/// not taken for the next request.
+fn immediate(status: StatusCode, body: &'static str) -> Reply {
+    let mut reply = plain(status, body);
+    if status != StatusCode::OK && status != StatusCode::SERVICE_UNAVAILABLE {
+        close_connection(&mut reply);
+    }
+    reply
+}
+
+fn served(answer: Response<Bytes>, changes: &Changes) -> Reply {
+    let (head, body) = answer.into_parts();
+    let mut reply = Response::new(Full::new(body));
+    if let Some(content_type) = head.headers.get(CONTENT_TYPE) {
+        reply.headers_mut().insert(CONTENT_TYPE, content_type.clone());
+    }
+    changes.apply_to_answer(reply.headers_mut(), &[RETRY_AFTER]);
+    reply
+}
+
+fn rejected(rejection: &Rejection) -> Reply {
+    let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, rejection.text());
+    if rejection.retry_after > 0.0 {
+        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", rejection.retry_after)) {
+            reply.headers_mut().insert(RETRY_AFTER, seconds);
+        }
+    }
+    reply
+}
+
+/// A denial as its authoriser wants it; `Denial` has no headers that belong to the connection.
+fn denied(denial: Denial) -> Reply {
+    let mut reply = Response::new(Full::new(Bytes::from(denial.body)));
+    *reply.status_mut() = StatusCode::from_u16(denial.status).unwrap_or(StatusCode::FORBIDDEN);
+    for (name, value) in denial.headers {
+        if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
+            reply.headers_mut().append(name, value);
+        }
+    }
+    reply
+}
+
+fn plain(status: StatusCode, body: &'static str) -> Reply {
+    let mut reply = Response::new(Full::new(Bytes::from_static(body.as_bytes())));
+    *reply.status_mut() = status;
+    reply
+}
--- a/crates/daemon/src/listeners/mod.rs
+++ b/crates/daemon/src/listeners/mod.rs
@@ -1,8 +1,10 @@
-//! Fronts: where clients ask. A front reads and checks, asks through the events, and writes the one answer.
+//! Listeners: where clients connect. A listener reads and checks a request, submits it to the host through the event
+//! queue, and writes its one answer.
 
 pub mod accept;
-pub mod fields;
-pub mod gate;
+pub mod admission;
+pub mod body_budget;
+mod fields;
 pub mod grpc;
-pub mod head;
 pub mod http;
+pub mod open_ids;
--- a/crates/daemon/src/number.rs
+++ b/crates/daemon/src/number.rs
@@ -1,7 +1,10 @@
-//! Numbers as they come in from peers and clients.
+//! Reads decimal numbers that come from peers and clients.
 
-/// Plain digits with at most one point: what else `f64` reads (signs, exponents, infinity) is no number here.
+/// More characters than any valid number has.
+const MAX_CHARACTERS: usize = 20;
+
+/// Reads digits with at most one point. What else `f64` parses (signs, exponents, infinity) is no number here.
 pub fn read_number(text: &str) -> Option<f64> {
-    let plain = text.len() <= 20 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse::<f64>().ok().filter(|n| plain && n.is_finite())
+    let is_plain = text.len() <= MAX_CHARACTERS && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    text.parse::<f64>().ok().filter(|number| is_plain && number.is_finite())
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -10,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::authoriser::Asked;
+use crate::authoriser::AuthoriserSettings;
 use crate::cluster::Setup;
 use crate::discovery::file::Source;
 pub use grpc::Grpc;
@@ -42,7 +42,7 @@
     /// The gRPC front.
     pub grpc: Option<Grpc>,
     /// Who is asked first; their classes are still to be checked.
-    pub authorisers: Vec<Asked>,
+    pub authorisers: Vec<AuthoriserSettings>,
     /// How keepers are judged and followed, if they are.
     pub keeper: Option<Judged>,
     /// How this limiter is a member of a group, if it is.
--- a/crates/daemon/src/operator/authoriser.rs
+++ b/crates/daemon/src/operator/authoriser.rs
@@ -1,7 +1,7 @@
 //! `[[authoriser]]`: a service that is asked about requests of some classes first.
 
 use super::Place;
-use crate::authoriser::{Asked, WhenUnsure};
+use crate::authoriser::{AuthoriserSettings, WhenUnsure};
 use liftrouter_authz::BreakerPolicy;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -29,7 +29,7 @@
     place: &Place,
     a: AuthoriserFile,
     places: &mut Vec<(String, String)>,
-) -> Result<Asked, String> {
+) -> Result<AuthoriserSettings, String> {
     let address = place.address("address is", &a.address)?;
     let mut classes = HashMap::new();
     for (class, unsure) in a.classes {
@@ -52,7 +52,7 @@
     }
     let ms = |value, key, default| place.number(value, (key, "milliseconds"), 1..=600_000, default);
     let rest = ms(a.rest_ms, "rest_ms", 500)?;
-    Ok(Asked {
+    Ok(AuthoriserSettings {
         name: a.name,
         address,
         connections: place.number(a.connections, ("connections", "connections"), 1..=64, 1)? as usize,
--- a/crates/daemon/src/serve/fronts.rs
+++ b/crates/daemon/src/serve/fronts.rs
@@ -1,8 +1,8 @@
 //! The fronts at which clients come: HTTP always, gRPC where the operator has one.
 
-use crate::listeners::gate::Gate;
-use crate::listeners::grpc::{Grpc, Limits};
-use crate::listeners::http::Clients;
+use crate::listeners::admission::Admission;
+use crate::listeners::grpc::{GrpcServer, Limits};
+use crate::listeners::http::HttpServer;
 use crate::log::log;
 use crate::operator::Operator;
 use liftrouter_authz::Mapping;
@@ -62,21 +62,26 @@
 
 /// The running fronts.
 pub(super) struct Fronts {
-    clients: Accepting<Clients>,
-    grpc: Option<Accepting<Grpc>>,
+    clients: Accepting<HttpServer>,
+    grpc: Option<Accepting<GrpcServer>>,
 }
 
 impl Fronts {
     /// Accepts connections from now on, and says so in the log.
-    pub fn start(listeners: Listeners, gate: &Rc<Gate>, client_sockets: usize, name: String) -> Rc<Self> {
-        let clients = Clients::new(gate.clone(), client_sockets);
+    pub fn start(
+        listeners: Listeners,
+        gate: &Rc<Admission>,
+        client_sockets: usize,
+        name: String,
+    ) -> Rc<Self> {
+        let clients = HttpServer::new(gate.clone(), client_sockets);
         let task = spawn_local({
             let (clients, listener) = (clients.clone(), listeners.clients);
             async move { clients.accept(listener).await }
         });
         let clients = Accepting { front: clients, task };
         let grpc = listeners.grpc.map(|GrpcListener { listener, limits, mapping }| {
-            let front = Grpc::new(gate.clone(), limits, mapping, name);
+            let front = GrpcServer::new(gate.clone(), limits, mapping, name);
             if let Ok(address) = listener.local_addr() {
                 log("liftrouter", format_args!("gRPC on {address}"));
             }
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -13,7 +13,7 @@
 use crate::discovery::calls::Discovery;
 use crate::events::EventQueue;
 use crate::host::{Host, Peers};
-use crate::listeners::gate::Gate;
+use crate::listeners::admission::Admission;
 use crate::listeners::grpc;
 use crate::log::log;
 use crate::operator::{Judged, Operator};
@@ -86,7 +86,7 @@
     let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
     let memory_mb = config.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(MEMORY_MB_DEFAULT);
     let body_bytes = (memory_mb * BODY_SHARE * 1024.0 * 1024.0) as usize;
-    let gate = Gate::new(events.clone(), settings, body_bytes, authorisers);
+    let gate = Admission::new(events.clone(), settings, body_bytes, authorisers);
 
     spawn_local(host.run());
     let group = members.map(|members| members.start(&servers));
--- a/crates/daemon/src/serve/shutdown.rs
+++ b/crates/daemon/src/serve/shutdown.rs
@@ -3,7 +3,7 @@
 use super::fronts::Fronts;
 use crate::cluster::Group;
 use crate::events::{EventQueue, HostEvent};
-use crate::listeners::gate::Gate;
+use crate::listeners::admission::Admission;
 use crate::log::log;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 /// Requests were left open.
 pub(super) async fn shut_down(
     fronts: &Fronts,
-    gate: &Gate,
+    gate: &Admission,
     group: Option<&Group>,
     events: &Rc<EventQueue>,
     longest_deadline: f64,
@@ -36,7 +36,7 @@
     let deadline = Duration::from_secs_f64(longest_deadline.min(LONGEST_DEADLINE));
     let killed = Instant::now() + KILLED_AFTER + deadline;
     log("liftrouter", format_args!("SIGTERM: finishing {} requests", events.owed()));
-    gate.end_at(killed - LAST_CALL);
+    gate.set_shutdown_deadline(killed - LAST_CALL);
     fronts.drain();
     if let Some(group) = group {
         group.leave();
