--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_spoilt_answer_fails_at_once_and_ends_its_connection() {
+fn a_malformed_response_fails_at_once_and_closes_its_connection() {
     let faults = [
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part",
         "HTTP/1.1 200 OK\r\nX-Endless: ",
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_stands_behind_an_answer_is_no_answer_to_the_next_request() {
+fn surplus_bytes_after_a_response_do_not_answer_the_next_request() {
     let own = |m: &Message| m.header("x-correlation-id").unwrap_or_default().to_string();
     for pause in [None, Some(0), Some(1), Some(3), Some(8), Some(12)] {
         let server = Fake::new(move |m| {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_informational_answer_ahead_is_skipped_however_long_the_answer_takes() {
+fn an_informational_response_is_skipped_however_late_the_final_one_is() {
     let server = Fake::new(|_| {
         Reply::Pieces(vec![
             (Duration::ZERO, "HTTP/1.1 102 Processing\r\n\r\n".into()),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_figure_that_no_request_can_have_stops_no_customer() {
+fn impossible_units_in_a_response_block_no_customer() {
     for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
         let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
         let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
--- /dev/null
+++ b/crates/daemon/tests/authoriser/unusable.rs
@@ -0,0 +1,93 @@
+//! Responses that are no decision: the class says what becomes of the request.
+
+use super::*;
+
+/// The frames with which an authoriser answers a stream.
+type Rule = fn(u32) -> Vec<Say>;
+
+fn say(parts: &[Vec<u8>]) -> Vec<Say> {
+    vec![Say::Write(parts.concat())]
+}
+
+fn data(stream: u32, payload: &[u8]) -> Vec<u8> {
+    raw_frame(DATA, 0, stream, payload)
+}
+
+fn head(stream: u32, fields: &[(&str, &str)], end: bool) -> Vec<u8> {
+    let flags = END_HEADERS | if end { END_STREAM } else { 0 };
+    raw_frame(HEADERS, flags, stream, &header_block(fields))
+}
+
+fn message() -> Vec<u8> {
+    frame(&allow()).to_vec()
+}
+
+const UNUSABLE_RESPONSES: [(&str, Rule); 21] = [
+    ("twice", |stream| {
+        say(&[
+            answer_head(stream),
+            data(stream, &[message(), message()].concat()),
+            answer_status(stream, "0"),
+        ])
+    }),
+    ("half", |stream| {
+        say(&[answer_head(stream), data(stream, b"\0\0\0\0\x09\x0a"), answer_status(stream, "0")])
+    }),
+    ("length too long", |stream| {
+        say(&[answer_head(stream), data(stream, b"\0\0\0\0\x05\x0a\0"), answer_status(stream, "0")])
+    }),
+    ("length too short", |stream| {
+        say(&[answer_head(stream), data(stream, b"\0\0\0\0\x01\x0a\0"), answer_status(stream, "0")])
+    }),
+    ("length beyond all", |stream| say(&[answer_head(stream), data(stream, b"\0\xff\xff\xff\xff")])),
+    ("compressed", |stream| {
+        say(&[answer_head(stream), data(stream, b"\x01\0\0\0\x02\x0a\0"), answer_status(stream, "0")])
+    }),
+    ("a flag of no meaning", |stream| {
+        say(&[answer_head(stream), data(stream, b"\x40\0\0\0\0"), answer_status(stream, "0")])
+    }),
+    ("encoded", |stream| {
+        let fields = [(":status", "200"), ("content-type", "application/grpc"), ("grpc-encoding", "gzip")];
+        say(&[head(stream, &fields, false), data(stream, &message()), answer_status(stream, "0")])
+    }),
+    ("no protocol buffer", |stream| {
+        say(&[answer_head(stream), data(stream, b"\0\0\0\0\x02\x0a\x09"), answer_status(stream, "0")])
+    }),
+    ("trailers only, an error", |stream| {
+        let fields = [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "13")];
+        say(&[head(stream, &fields, true)])
+    }),
+    ("trailers only, no error", |stream| {
+        let fields = [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "0")];
+        say(&[head(stream, &fields, true)])
+    }),
+    ("a message and an error", |stream| {
+        say(&[answer_head(stream), data(stream, &message()), answer_status(stream, "14")])
+    }),
+    ("no message", |stream| say(&[answer_head(stream), answer_status(stream, "0")])),
+    ("no status", |stream| say(&[answer_head(stream), raw_frame(DATA, END_STREAM, stream, &message())])),
+    ("a status that is none", |stream| {
+        say(&[answer_head(stream), data(stream, &message()), answer_status(stream, "zero")])
+    }),
+    ("HTTP 503", |stream| say(&[head(stream, &[(":status", "503")], true)])),
+    ("a page", |stream| say(&[head(stream, &[(":status", "200"), ("content-type", "text/html")], true)])),
+    ("denied beside OK", |stream| {
+        let denied = HttpResponse::DeniedResponse(DeniedHttpResponse::default());
+        say(&[answer(stream, &response(0, Some(denied)))])
+    }),
+    ("reset", |stream| say(&[answer_head(stream), raw_frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes())])),
+    ("bytes that are no HTTP/2", |_| say(&[vec![0xff; 64]])),
+    ("closed", |_| vec![Say::Close]),
+];
+
+#[test]
+fn every_unusable_response_passes_or_refuses_by_class() {
+    for (name, rule) in UNUSABLE_RESPONSES {
+        let authoriser = FakeAuthoriser::new(move |put| rule(put.stream));
+        let server = server();
+        let limiter = limiter(&authoriser, "timeout_ms = 5000\n", &server);
+        assert_eq!(ask_quote_and_bind(&limiter), (200, 429), "{name}");
+        assert_eq!(authoriser.count(), 2, "{name}: each is asked once");
+        assert_eq!(server.count(), 1, "{name}");
+    }
+}
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_disconnect_cancels_its_attempt() {
     let server = Fake::new(|_| Reply::Silence);
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
@@ -18,12 +18,9 @@
     assert_eq!(server.count(), 1, "nothing more goes out for it");
 }
 
-#[test]
-fn what_is_malformed_reaches_no_server() {
-    let server = Fake::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
-    let good = post("bind", "x");
-    let mut cases = vec![
+/// Requests with one fault each, and the status that they get.
+fn malformed_requests(good: &str) -> Vec<(String, u16)> {
+    vec![
         ("no HTTP\r\n\r\n".to_string(), 400),
         (good.replace("/bind/", "/elsewhere/"), 404),
         (good.replace("/bind/00000000b4d65521", "/"), 404),
@@ -63,13 +60,27 @@
                 .replace("\r\n\r\nx", &format!("\r\n\r\n10001\r\n{}\r\n0\r\n\r\n", "x".repeat(65537))),
             413,
         ),
-    ];
+    ]
+}
+
+/// Requests that lack a required header, or have it twice.
+fn requests_without_or_with_two_of_a_header(good: &str) -> Vec<(String, u16)> {
+    let mut cases = Vec::new();
     for name in ["X-Correlation-Id", "X-Contract", "X-Time-Left", "X-Metering", "Idempotency-Key"] {
         let without: Vec<&str> = good.split("\r\n").filter(|line| !line.starts_with(name)).collect();
         cases.push((without.join("\r\n"), 400));
         let twice = good.split("\r\n").find(|line| line.starts_with(name)).expect("there");
         cases.push((good.replace(twice, &format!("{twice}\r\n{twice}")), 400));
     }
+    cases
+}
+
+#[test]
+fn malformed_requests_get_a_4xx_status_and_reach_no_server() {
+    let server = Fake::new(|_| ok("served"));
+    let limiter = Limiter::over(&[&server]);
+    let good = post("bind", "x");
+    let cases = malformed_requests(&good).into_iter().chain(requests_without_or_with_two_of_a_header(&good));
     for (text, status) in cases {
         assert_ne!(text, good);
         let mut client = limiter.client();
@@ -85,7 +96,7 @@
 }
 
 #[test]
-fn a_new_client_takes_the_place_of_the_one_that_is_idle_longest() {
+fn at_the_connection_limit_the_longest_idle_connection_is_closed_for_a_new_one() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // So few descriptors leave room for some twenty clients.
@@ -101,7 +112,7 @@
 }
 
 #[test]
-fn clients_beyond_the_budget_wait_until_others_are_answered() {
+fn connections_beyond_the_limit_wait_until_others_are_answered() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
@@ -126,7 +137,7 @@
 }
 
 #[test]
-fn a_request_with_two_lengths_hides_no_other() {
+fn a_request_with_content_length_and_chunked_encoding_smuggles_no_request() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let (hidden, outer) = (quote("roomy", 9000), post("bind", ""));
@@ -149,7 +160,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_already_is_no_second_attempt() {
+fn a_duplicate_open_request_id_gets_409_and_is_not_forwarded() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
@@ -172,7 +183,7 @@
 }
 
 #[test]
-fn an_error_reaches_a_client_that_is_still_sending() {
+fn an_error_reply_reaches_a_client_that_is_still_sending() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let junk = "x".repeat(128 * 1024);
@@ -196,7 +207,7 @@
 
 /// Connections that never bring a whole request, and what one of them goes on sending.
 #[test]
-fn whoever_brings_no_whole_request_is_let_go_in_time() {
+fn a_connection_without_a_complete_request_is_closed_in_time() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let whole = post("bind", "12345678");
@@ -230,7 +241,7 @@
 }
 
 #[test]
-fn silent_connections_crowd_out_no_client() {
+fn silent_connections_displace_no_active_client() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // Room for some twenty clients.
@@ -250,7 +261,7 @@
 }
 
 #[test]
-fn a_client_that_never_asks_again_gives_its_place_back() {
+fn an_idle_keep_alive_connection_is_closed_after_its_timeout() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
--- a/crates/daemon/tests/closes.rs
+++ b/crates/daemon/tests/closes.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_hangs_is_answered_before_the_end_however_long_its_deadline() {
+fn graceful_shutdown_answers_hanging_requests_whatever_their_deadline() {
     at_once([(0.8, true), (0.8, false), (5.0, true), (5.0, false)], |(deadline, may_cancel)| {
         let server = Fake::new(|_| Reply::Silence);
         let mut limiter = over(with_deadline(deadline, may_cancel), &server);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_attempt_that_nobody_waits_for_is_no_open_request() {
+fn an_abandoned_attempt_does_not_delay_shutdown() {
     let server = Fake::new(|_| Reply::Silence);
     let mut limiter = over(with_deadline(20.0, false), &server);
     let mut client = limiter.client();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn clients_that_send_for_as_long_as_they_can_lose_no_request() {
+fn graceful_shutdown_loses_no_request_of_clients_that_keep_sending() {
     let server = Fake::new(|m| {
         thread::sleep(Duration::from_millis(if m.first.contains("/bind/") { 250 } else { 1 }));
         ok("served")
@@ -90,7 +90,7 @@
                     client.send_quietly(request.as_bytes());
                     match client.answer() {
                         Some(answer) => {
-                            assert!([200, 429, 503].contains(&answer.status()), "{}", answer.first)
+                            assert!([200, 429, 503].contains(&answer.status()), "{}", answer.first);
                         }
                         // Closed between requests: this one was never read.
                         None => return assert_eq!(server.copies(id_of(&request)), 0, "read and dropped"),
@@ -102,13 +102,15 @@
     wait_until("they are served", || server.count() > 40);
     limiter.terminate();
     let terminated = Instant::now();
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    for client in clients {
+        client.join().expect("a client");
+    }
     ends(&mut limiter, terminated, 1.5);
 }
 
 /// A request and the signal come in one moment, in either order; and with the request only a part of it.
 #[test]
-fn a_request_that_crosses_the_signal_is_answered_or_was_never_read() {
+fn a_request_that_crosses_sigterm_is_answered_or_was_never_read() {
     for signal_first in [true, false] {
         for whole in [true, false] {
             let server = Fake::new(|_| ok("served"));
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn half_a_request_has_time_to_come_whole() {
+fn a_partial_request_may_complete_during_graceful_shutdown() {
     let server = Fake::new(|_| ok("served"));
     let mut limiter = over(with_deadline(3.0, true), &server);
     let request = post("bind", "a body");
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn connections_that_rest_hold_up_no_end() {
+fn idle_connections_do_not_delay_shutdown() {
     let server = Fake::new(|_| ok("served"));
     let mut limiter = over(with_deadline(3.0, true), &server);
     let mut clients: Vec<Client> = (0..9).map(|_| limiter.client()).collect();
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn more_signals_change_nothing() {
+fn further_signals_do_not_change_a_graceful_shutdown() {
     let (gate, server) = held(|_| ok("served"));
     let mut limiter = over(with_deadline(3.0, true), &server);
     let mut client = limiter.client();
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn a_signal_before_it_is_ready_ends_it() {
+fn sigterm_before_readiness_ends_the_limiter() {
     let silent = Fake::new(|_| Reply::Silence);
     let known = update(9, true, &[]);
     let mut limiter = Limiter::with_known(&known, with_deadline(3.0, true), silent.address);
@@ -233,7 +235,7 @@
 
 /// Its answer says that the connection closes; a close over what its client still sends would destroy it.
 #[test]
-fn a_last_answer_reaches_a_client_that_still_sends() {
+fn the_last_reply_reaches_a_client_that_is_still_sending() {
     let (gate, server) = held(|_| ok("served"));
     let mut limiter = over(with_deadline(3.0, true), &server);
     let mut client = limiter.client();
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn many_that_come_in_one_moment_open_no_more_than_the_limit() {
+fn a_burst_of_connections_stays_within_the_descriptor_limit() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn idle_clients_leave_discovery_counter_and_servers_theirs_while_discovery_is_down() {
+fn idle_clients_leave_descriptors_for_discovery_counter_and_servers() {
     let (first, second) = (Fake::new(|_| ok("first")), Fake::new(|_| ok("second")));
     let list = |generation, a: &str, b: &str| {
         update(generation, true, &[instance("s-0", first.address, a), instance("s-1", second.address, b)])
@@ -92,11 +92,36 @@
     wait_until("the news hold", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
     done.store(true, Ordering::SeqCst);
-    idle.into_iter().for_each(|client| client.join().expect("an idle one"));
+    for client in idle {
+        client.join().expect("an idle one");
+    }
+}
+
+/// A client that asks until it is done, and counts its answers.
+fn spawn_usual_client(limiter: &Limiter, done: &Arc<AtomicBool>) -> thread::JoinHandle<u32> {
+    let (address, done) = (limiter.address, done.clone());
+    let mut client = limiter.client();
+    thread::spawn(move || {
+        let mut answered = 0;
+        while !done.load(Ordering::SeqCst) {
+            let request = quote("roomy", 9000);
+            client.send_quietly(request.as_bytes());
+            match client.answer() {
+                Some(answer) => {
+                    assert!([200, 429].contains(&answer.status()), "{}", answer.first);
+                    answered += 1;
+                }
+                // Closed between two requests: it asks once more on a new connection.
+                None => client = Client::to(address),
+            }
+            thread::sleep(Duration::from_millis(5));
+        }
+        answered
+    })
 }
 
 #[test]
-fn a_flood_that_sends_much_and_leaves_costs_nobody_an_answer() {
+fn a_connection_flood_costs_no_client_its_answer() {
     let server = Fake::new(|_| ok("served"));
     let (_discovery, limiter) = over(&server, counter().address);
     let (done, floods) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
@@ -119,33 +144,13 @@
             })
         })
         .collect();
-    let usual: Vec<_> = (0..6)
-        .map(|_| {
-            let (address, done) = (limiter.address, done.clone());
-            let mut client = limiter.client();
-            thread::spawn(move || {
-                let mut answered = 0;
-                while !done.load(Ordering::SeqCst) {
-                    let request = quote("roomy", 9000);
-                    client.send_quietly(request.as_bytes());
-                    match client.answer() {
-                        Some(answer) => {
-                            assert!([200, 429].contains(&answer.status()), "{}", answer.first);
-                            answered += 1;
-                        }
-                        // Closed between two requests: it asks once more on a new connection.
-                        None => client = Client::to(address),
-                    }
-                    thread::sleep(Duration::from_millis(5));
-                }
-                answered
-            })
-        })
-        .collect();
+    let usual: Vec<_> = (0..6).map(|_| spawn_usual_client(&limiter, &done)).collect();
     wait_until("much has come", || floods.load(Ordering::SeqCst) > 300);
     let most = most_open(&limiter, Duration::from_millis(300));
     done.store(true, Ordering::SeqCst);
-    flood.into_iter().for_each(|flood| flood.join().expect("a flood"));
+    for flood in flood {
+        flood.join().expect("a flood");
+    }
     for client in usual {
         assert!(client.join().expect("a client") > 5, "it was hardly answered");
     }
--- a/crates/daemon/tests/grpc.rs
+++ b/crates/daemon/tests/grpc.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn it_permits_what_the_quota_holds_and_denies_the_rest() {
+fn checks_within_the_quota_are_permitted_and_the_rest_denied() {
     let server = Fake::new(|_| ok("quoted"));
     let add = "[grpc.add]\nX-Permitted-By = 'value:limiter'\nx-of = 'path:2'\nx-none = 'label:none'\n";
     let (_limiter, caller) = front(add, settings(), &[&server]);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn over_any_mixture_of_fronts_the_same_arrivals_get_the_same_answers() {
+fn the_same_requests_get_the_same_answers_over_any_mix_of_listeners() {
     let answers = |share: u64| -> Vec<bool> {
         let server = Fake::new(|_| ok("quoted"));
         let (limiter, caller) = front("", fixed(60.0, 0.0), &[&server]);
@@ -85,8 +85,19 @@
     }
 }
 
+/// Bodies that are no message, with the status and a part of the text that they get.
+const MALFORMED_FRAMES: [(&[u8], u16, &str); 7] = [
+    (b"", 3, "the stream ended without a message"),
+    (b"\0\0\0\0\x05\x0a", 3, "the stream ended within a message"),
+    (b"\0\0\0\0\x01\x0a", 3, "the message is malformed"),
+    (b"\0\0\0\0\0\0\0\0\0\0", 3, "a second message, expected one"),
+    (b"\x02\0\0\0\0", 3, "the message's first byte is 2, expected 0"),
+    (b"\x01\0\0\0\0", 13, "the message is compressed, expected none to be"),
+    (b"\0\x7f\0\0\0", 8, "the message announces 2130706432 bytes, expected 65536 at most"),
+];
+
 #[test]
-fn malformed_questions_are_told_so_and_reach_nothing() {
+fn malformed_check_requests_get_an_error_status_and_use_no_quota() {
     let server = Fake::new(|_| ok("quoted"));
     let (_limiter, caller) = front("", fixed(4.0, 0.0), &[&server]);
     let good = |change: &dyn Fn(&mut std::collections::HashMap<String, String>, &mut String)| {
@@ -125,15 +136,7 @@
         let called = caller.ask(&q);
         assert_eq!((called.status, called.message.as_str()), (Some(3), expected));
     }
-    for (body, status, expected) in [
-        (&b""[..], 3, "the stream ended without a message"),
-        (b"\0\0\0\0\x05\x0a", 3, "the stream ended within a message"),
-        (b"\0\0\0\0\x01\x0a", 3, "the message is malformed"),
-        (b"\0\0\0\0\0\0\0\0\0\0", 3, "a second message, expected one"),
-        (b"\x02\0\0\0\0", 3, "the message's first byte is 2, expected 0"),
-        (b"\x01\0\0\0\0", 13, "the message is compressed, expected none to be"),
-        (b"\0\x7f\0\0\0", 8, "the message announces 2130706432 bytes, expected 65536 at most"),
-    ] {
+    for (body, status, expected) in MALFORMED_FRAMES {
         let called = caller.raw(body);
         assert_eq!(called.status, Some(status), "{body:?}");
         assert!(called.message.contains(expected), "{:?} holds no {expected:?}", called.message);
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn what_is_no_call_of_ours_is_told_so() {
+fn unknown_methods_encodings_and_protocols_get_an_error_status() {
     let server = Fake::new(|_| ok("quoted"));
     let (_limiter, caller) = front("", settings(), &[&server]);
     let body = || frame(&question("quote", "roomy", 1));
@@ -158,7 +161,10 @@
     assert_eq!(send(Caller::request(old, &[], body())).status, Some(12));
     let compressed = send(Caller::request(CHECK, &[("grpc-encoding", "gzip")], body()));
     assert_eq!(compressed.status, Some(12));
-    assert_eq!(compressed.headers.get("grpc-accept-encoding").map(|v| v.as_bytes()), Some(&b"identity"[..]));
+    assert_eq!(
+        compressed.headers.get("grpc-accept-encoding").map(hyper::header::HeaderValue::as_bytes),
+        Some(&b"identity"[..])
+    );
     let mut json = Caller::request(CHECK, &[], body());
     json.headers_mut().insert("content-type", "application/json".parse().expect("a value"));
     assert_eq!(send(json).http, 415);
@@ -168,7 +174,7 @@
 }
 
 #[test]
-fn a_deadline_is_obeyed() {
+fn an_expired_or_malformed_deadline_gets_an_error_status_and_uses_no_quota() {
     let server = Fake::new(|_| ok("quoted"));
     let (_limiter, caller) = front("", fixed(4.0, 0.0), &[&server]);
     let with = |timeout: &str, units| {
@@ -185,7 +191,7 @@
 }
 
 #[test]
-fn the_cap_counts_permitted_calls_until_their_time_is_up() {
+fn permitted_calls_count_against_the_concurrency_limit_until_they_expire() {
     let server = Fake::new(|_| ok("quoted"));
     let (limiter, caller) = front("hold_ms = 300\n", fixed(1_000.0, 1.0), &[&server]);
     assert!(caller.permitted(&question("quote", "roomy", 1)));
@@ -196,7 +202,7 @@
 }
 
 #[test]
-fn an_id_is_open_over_one_front_at_a_time() {
+fn a_request_id_is_open_over_one_listener_at_a_time() {
     let server = Fake::new(|_| Reply::Silence);
     let (limiter, caller) = front("", settings(), &[&server]);
     let mut client = limiter.client();
@@ -214,7 +220,7 @@
 }
 
 #[test]
-fn health_and_reflection_answer_tools() {
+fn health_checks_and_reflection_answer_tools() {
     let server = Fake::new(|_| ok("quoted"));
     let (mut limiter, caller) = front("", settings(), &[&server]);
     let health = |service: &str| caller.call(HEALTH, &HealthCheckRequest { service: service.into() });
@@ -250,7 +256,7 @@
 }
 
 #[test]
-fn at_its_end_it_answers_what_comes_and_then_sends_peers_away() {
+fn graceful_shutdown_answers_calls_and_then_sends_goaway() {
     let server = Fake::new(|_| ok("quoted"));
     let (mut limiter, _) = front("", settings(), &[&server]);
     let address = limiter.grpc.expect("a front");
@@ -291,7 +297,7 @@
 }
 
 #[test]
-fn a_question_that_came_through_too_many_limiters_is_refused() {
+fn a_check_request_through_too_many_limiters_is_refused() {
     let server = Fake::new(|_| ok("quoted"));
     let (_limiter, caller) = front("", settings(), &[&server]);
     let through = |names: &str| {
@@ -303,7 +309,7 @@
 }
 
 #[test]
-fn a_limiter_that_is_too_busy_says_so() {
+fn a_full_limiter_answers_resource_exhausted() {
     let server = Fake::new(|_| Reply::Silence);
     let mut busy = settings();
     busy["limits"]["max-open"] = json!(1);
--- a/crates/daemon/tests/grpc_limits.rs
+++ b/crates/daemon/tests/grpc_limits.rs
@@ -37,8 +37,11 @@
     u32::from_be_bytes(frame.payload[at..at + 4].try_into().expect("a code"))
 }
 
+/// Sends one frame of a flood; false once the connection is closed.
+type Flood<'a> = &'a dyn Fn(&mut Raw, u32) -> bool;
+
 #[test]
-fn floods_end_their_connection_and_nothing_else() {
+fn frame_floods_close_their_own_connection_only() {
     let (limiter, address) = limiter("resets_per_s = 50\ncontrol_per_s = 100\n");
     let mut good = Raw::new(address, &[]);
     good.ask(1, &roomy());
@@ -46,7 +49,6 @@
     let rapid = |raw: &mut Raw, n: u32| {
         raw.head(2 * n + 10_003) && raw.send(RST_STREAM, 0, 2 * n + 10_003, &CANCEL.to_be_bytes())
     };
-    type Flood<'a> = &'a dyn Fn(&mut Raw, u32) -> bool;
     let floods: [(&str, Flood); 6] = [
         ("rapid reset", &rapid),
         ("settings", &|raw, _| raw.send(SETTINGS, 0, 0, &[])),
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn more_streams_than_allowed_are_refused_unseen() {
+fn streams_beyond_the_limit_are_refused_unprocessed() {
     let (limiter, address) = limiter("streams = 3\n");
     let mut raw = Raw::new(address, &[]);
     // The limit is told, and streams are opened beyond it all the same.
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn a_header_list_that_is_too_large_reaches_nothing() {
+fn an_oversized_header_list_is_not_processed() {
     let (limiter, address) = limiter("header_list_kb = 2\n");
     let mut raw = Raw::new(address, &[]);
     let mut block = call_headers(CHECK);
@@ -124,7 +126,7 @@
 }
 
 #[test]
-fn a_stream_that_is_reset_leaves_nothing_behind() {
+fn a_reset_stream_leaves_nothing_open() {
     let mut capped = settings();
     capped["tariffs"][0]["open"] = serde_json::json!(1);
     let server = Fake::new(|_| ok("quoted"));
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn a_permission_that_its_client_never_took_frees_its_place_at_once() {
+fn an_undelivered_permission_frees_its_slot_at_once() {
     let mut capped = settings();
     capped["tariffs"][0]["open"] = serde_json::json!(1);
     // Longer than this test waits: only a place that is given back is free.
@@ -189,7 +191,7 @@
 }
 
 #[test]
-fn a_peer_that_opens_no_window_is_cut_and_holds_nobody_up() {
+fn a_client_without_a_flow_control_window_is_closed_and_delays_nobody() {
     let (limiter, address) = limiter("");
     // SETTINGS_INITIAL_WINDOW_SIZE 0: no answer can be sent.
     let mut raw = Raw::new(address, &[(4, 0)]);
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn a_peer_that_never_asks_is_cut() {
+fn a_connection_without_a_call_is_closed() {
     let (limiter, address) = limiter("");
     let mut silent = Raw::new(address, &[]);
     let mut nothing = Raw { stream: std::net::TcpStream::connect(address).expect("connect") };
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn a_message_that_does_not_come_whole_is_ended() {
+fn an_incomplete_message_times_out() {
     let (_limiter, address) = limiter("");
     let mut raw = Raw::new(address, &[]);
     raw.head(1);
@@ -226,7 +228,7 @@
 }
 
 #[test]
-fn an_idle_or_old_connection_is_sent_away_without_losing_a_call() {
+fn an_idle_or_old_connection_gets_goaway_and_loses_no_call() {
     for limits in ["idle_s = 1\n", "age_s = 1\n"] {
         let (limiter, address) = limiter(limits);
         let mut raw = Raw::new(address, &[]);
@@ -246,7 +248,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_http2_end_their_connection_alone() {
+fn bytes_that_are_not_http2_close_their_own_connection_only() {
     let (limiter, address) = limiter("");
     let q = frame(&roomy());
     let oversized = raw_frame(DATA, 0, 1, &vec![0; 70_000]);
@@ -295,7 +297,7 @@
 }
 
 #[test]
-fn a_question_in_crumbs_ends_its_connection() {
+fn a_check_request_in_tiny_frames_closes_its_connection() {
     let (limiter, address) = limiter("");
     let mut raw = Raw::new(address, &[]);
     let q = frame(&roomy());
@@ -312,7 +314,7 @@
 }
 
 #[test]
-fn no_frames_at_random_panic() {
+fn random_frames_cause_no_panic() {
     let (limiter, address) = limiter("resets_per_s = 100000\ncontrol_per_s = 100000\n");
     let mut seed = 0x9e37_79b9_7f4a_7c15_u64;
     let mut draw = move |below: u64| {
--- a/crates/daemon/tests/pressure.rs
+++ b/crates/daemon/tests/pressure.rs
@@ -65,7 +65,7 @@
 
 /// Their own length is a third of the aim. No smaller window makes such answers quicker.
 #[test]
-fn long_answers_that_never_wait_close_no_window() {
+fn long_responses_without_queueing_do_not_lower_the_concurrency_limit() {
     let slow =
         || Fake::new(|_| Reply::Pieces(vec![(Duration::from_millis(130), raw("200 OK", "", "served"))]));
     let servers: Vec<Fake> = (0..6).map(|_| slow()).collect();
@@ -80,7 +80,7 @@
 
 /// One after the other only: what is out waits, and what is worth least gives way.
 #[test]
-fn answers_that_wait_still_close_the_window() {
+fn queued_responses_lower_the_concurrency_limit() {
     let turn = Mutex::new(());
     let server = Fake::new(move |_| {
         let _turn = turn.lock().expect("lock");
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_sum_of_what_they_send_to_a_cold_server_keeps_its_budget_through_restarts() {
+fn all_instances_together_keep_the_slow_start_budget_of_a_server_through_restarts() {
     let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let noted = came.clone();
     let server = Fake::new(move |_| {
@@ -50,7 +50,9 @@
     let limiters: Vec<_> = (0..PROCESSES).map(run).collect();
     thread::sleep(Duration::from_secs(7));
     done.store(true, Ordering::SeqCst);
-    limiters.into_iter().for_each(|limiter| limiter.join().expect("a limiter"));
+    for limiter in limiters {
+        limiter.join().expect("a limiter");
+    }
     let came = came.lock().expect("lock");
     let within = |from: &Instant| came.iter().filter(|t| **t >= *from && **t - *from <= SPAN).count();
     let most = came.iter().map(within).max().unwrap_or(0) as f64;
@@ -59,15 +61,16 @@
 }
 
 #[test]
-fn nine_in_ten_that_start_together_are_ready_in_time_though_discovery_is_silent_at_first() {
+fn nine_of_ten_instances_started_together_are_ready_in_time_though_discovery_is_silent_at_first() {
     let server = Fake::new(|_| ok("served"));
     let line = update(10, true, &[instance("s-0", server.address, "in_service")]);
     let (began, asked) = (Instant::now(), AtomicUsize::new(0));
     let discovery = Fake::new(move |_| {
         asked.fetch_add(1, Ordering::SeqCst);
-        match began.elapsed() < Duration::from_secs(4) {
-            true => Reply::Silence,
-            false => Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&line))),
+        if began.elapsed() < Duration::from_secs(4) {
+            Reply::Silence
+        } else {
+            Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&line)))
         }
     });
     let ready: Vec<_> = (0..10)
