--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::authoriser::Asked;
+use crate::authoriser::AuthoriserSettings;
 use crate::cluster::Setup;
 use crate::discovery::inventory_file::InventorySource;
 pub use counter::CounterSettings;
@@ -51,7 +51,7 @@
     /// The gRPC listener.
     pub grpc: Option<Grpc>,
     /// The services that authorise requests first; their classes are still to be checked.
-    pub authorisers: Vec<Asked>,
+    pub authorisers: Vec<AuthoriserSettings>,
     /// How counter services are validated and followed, if they are.
     pub counter: Option<CounterSettings>,
     /// How this limiter is a member of a cluster, if it is.
--- a/crates/daemon/src/operator/authoriser.rs
+++ b/crates/daemon/src/operator/authoriser.rs
@@ -3,7 +3,7 @@
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
 use super::ClassLocation;
-use crate::authoriser::{Asked, WhenUnsure};
+use crate::authoriser::{AuthoriserSettings, WhenUnsure};
 use liftrouter_authz::BreakerPolicy;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -34,7 +34,7 @@
     source: &SourceText,
     section: AuthoriserSection,
     authorised: &mut Vec<ClassLocation>,
-) -> Result<Asked, OperatorError> {
+) -> Result<AuthoriserSettings, OperatorError> {
     let address = source.address("address is", &section.address)?;
     let classes = check_classes(source, section.classes, authorised)?;
     let milliseconds =
@@ -42,7 +42,7 @@
     let count =
         |value, key, unit, most, default| source.number(value, NumberKey::new(key, unit), 1..=most, default);
     let open_ms = milliseconds(section.open_ms, "rest_ms", 500)?;
-    Ok(Asked {
+    Ok(AuthoriserSettings {
         name: section.name,
         address,
         connections: count(section.connections, "connections", "connections", 64, 1)? as usize,
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -223,7 +223,7 @@
 
 #[test]
 fn every_key_of_an_authoriser_section_is_read() {
-    let expected = Asked {
+    let expected = AuthoriserSettings {
         name: "risk".into(),
         address: address("127.0.0.1:9102"),
         connections: 2,
--- a/crates/daemon/src/serve/listeners.rs
+++ b/crates/daemon/src/serve/listeners.rs
@@ -1,9 +1,9 @@
 //! The listeners at which clients connect: HTTP always, gRPC where the operator has one.
 
 use super::error::ServeError;
-use crate::listeners::gate::Gate;
-use crate::listeners::grpc::{Grpc, Limits};
-use crate::listeners::http::Clients;
+use crate::listeners::admission::Admission;
+use crate::listeners::grpc::{GrpcServer, Limits};
+use crate::listeners::http::HttpServer;
 use crate::log::log;
 use crate::operator::{self, Operator};
 use crate::startup::{listen, local_address};
@@ -69,15 +69,20 @@
 
 /// The running listeners.
 pub(super) struct Listeners {
-    http: Running<Clients>,
-    grpc: Option<Running<Grpc>>,
+    http: Running<HttpServer>,
+    grpc: Option<Running<GrpcServer>>,
 }
 
 impl Listeners {
     /// Accepts connections from now on, and says so in the log.
-    pub fn start(bound: BoundListeners, gate: &Rc<Gate>, client_sockets: usize, name: String) -> Rc<Self> {
-        let http = start_http(bound.http, gate.clone(), client_sockets);
-        let grpc = bound.grpc.map(|grpc| start_grpc(grpc, gate.clone(), name));
+    pub fn start(
+        bound: BoundListeners,
+        admission: &Rc<Admission>,
+        client_sockets: usize,
+        name: String,
+    ) -> Rc<Self> {
+        let http = start_http(bound.http, admission.clone(), client_sockets);
+        let grpc = bound.grpc.map(|grpc| start_grpc(grpc, admission.clone(), name));
         log("liftrouter", format_args!("listening on {}", bound.http_address));
         Rc::new(Listeners { http, grpc })
     }
@@ -115,8 +120,8 @@
     }
 }
 
-fn start_http(socket: TcpListener, gate: Rc<Gate>, client_sockets: usize) -> Running<Clients> {
-    let listener = Clients::new(gate, client_sockets);
+fn start_http(socket: TcpListener, admission: Rc<Admission>, client_sockets: usize) -> Running<HttpServer> {
+    let listener = HttpServer::new(admission, client_sockets);
     let accept_task = spawn_local({
         let listener = listener.clone();
         async move { listener.accept(socket).await }
@@ -124,9 +129,9 @@
     Running { listener, accept_task }
 }
 
-fn start_grpc(bound: BoundGrpc, gate: Rc<Gate>, name: String) -> Running<Grpc> {
+fn start_grpc(bound: BoundGrpc, admission: Rc<Admission>, name: String) -> Running<GrpcServer> {
     let BoundGrpc { listener: socket, limits, mapping } = bound;
-    let listener = Grpc::new(gate, limits, mapping, name);
+    let listener = GrpcServer::new(admission, limits, mapping, name);
     if let Ok(address) = socket.local_addr() {
         log("liftrouter", format_args!("gRPC on {address}"));
     }
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -17,7 +17,7 @@
 use crate::discovery::client::DiscoveryClient;
 use crate::events::EventQueue;
 use crate::host::{Host, Peers};
-use crate::listeners::gate::Gate;
+use crate::listeners::admission::Admission;
 use crate::listeners::grpc;
 use crate::log::log;
 use crate::operator::{CounterSettings, Operator};
@@ -84,18 +84,18 @@
         host = host.watch_pauses();
     }
     let longest_deadline = longest_deadline(&settings);
-    let gate = Gate::new(events.clone(), settings, body_budget(&config.limits), authorisers);
+    let admission = Admission::new(events.clone(), settings, body_budget(&config.limits), authorisers);
 
     spawn_local(host.run());
     let cluster = cluster_node.map(|node| node.start(&servers));
     spawn_local(async move { servers.sweep().await });
     list.follow(&events, retry_seed);
     spawn_local(reload(hangup, path, list.discovery().clone(), counters));
-    let listeners = Listeners::start(bound, &gate, sockets.clients, name);
+    let listeners = Listeners::start(bound, &admission, sockets.clients, name);
     spawn_local(admit_when_listed(list, listeners.clone(), events.clone(), config.known));
 
     terminated.recv().await;
-    shutdown::shut_down(&listeners, &gate, cluster.as_deref(), &events, longest_deadline).await
+    shutdown::shut_down(&listeners, &admission, cluster.as_deref(), &events, longest_deadline).await
 }
 
 /// The longest deadline of a class, in seconds; 0 without classes.
--- a/crates/daemon/src/serve/shutdown.rs
+++ b/crates/daemon/src/serve/shutdown.rs
@@ -4,7 +4,7 @@
 use super::listeners::Listeners;
 use crate::cluster::Group;
 use crate::events::{EventQueue, HostEvent};
-use crate::listeners::gate::Gate;
+use crate::listeners::admission::Admission;
 use crate::log::log;
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 /// Requests were left open.
 pub(super) async fn shut_down(
     listeners: &Listeners,
-    gate: &Gate,
+    admission: &Admission,
     cluster: Option<&Group>,
     events: &Rc<EventQueue>,
     longest_deadline: f64,
@@ -38,7 +38,7 @@
     let kill_at = Instant::now() + MIN_KILL_DELAY + deadline;
     let final_answers_at = kill_at - FINAL_ANSWERS_BEFORE_KILL;
     log("liftrouter", format_args!("SIGTERM: finishing {} requests", events.owed()));
-    gate.end_at(final_answers_at);
+    admission.set_shutdown_deadline(final_answers_at);
     listeners.drain();
     if let Some(cluster) = cluster {
         cluster.leave();
