--- /dev/null
+++ b/crates/daemon/src/host/requests.rs
@@ -0,0 +1,93 @@
+//! The table of requests: each has one answer and at most one attempt in flight, and is removed when it has the first
+//! and none of the second.
+
+use super::attempts::RunningAttempt;
+use super::Host;
+use crate::events::{Answer, AttemptResult, ForwardedRequest, IncomingRequest, ReplySender, RequestKind};
+use liftrouter_decision::{Event, Outcome, Request, RequestId};
+use std::rc::Rc;
+
+/// A request that is unanswered or has an attempt in flight.
+pub(super) struct OpenRequest {
+    /// What is forwarded; none for an authorization.
+    pub(super) forward: Option<Rc<ForwardedRequest>>,
+    /// Where the answer goes; none once it is answered.
+    pub(super) reply: Option<ReplySender>,
+    /// Number of attempts so far.
+    pub(super) attempts: u32,
+    /// The attempt in flight.
+    pub(super) running: Option<RunningAttempt>,
+}
+
+impl Host {
+    pub(super) fn request_received(&mut self, id: RequestId, incoming: IncomingRequest, reply: ReplySender) {
+        let (forward, deadline) = match incoming.kind {
+            RequestKind::Forward(forward) => {
+                let deadline = forward.deadline;
+                (Some(forward), deadline)
+            }
+            RequestKind::Authorization { deadline } => (None, deadline),
+        };
+        let is_authorization = forward.is_none();
+        self.requests.insert(id, OpenRequest { forward, reply: Some(reply), attempts: 0, running: None });
+        let request = Request {
+            id,
+            customer: incoming.customer.into(),
+            plan: incoming.plan.into(),
+            class: incoming.class.into(),
+            units: incoming.units,
+            reachable_instances: incoming.reachable_instances,
+            is_retry: incoming.is_retry,
+            deadline: self.clock.seconds(deadline),
+        };
+        self.dispatch(if is_authorization { Event::Authorization(request) } else { Event::Request(request) });
+    }
+
+    pub(super) fn client_disconnected(&mut self, id: RequestId) {
+        // An authorization is removed from the table once it is answered. The module still has to know if its client
+        // never received the answer.
+        if self.requests.get_mut(&id).is_none_or(|open| open.reply.take().is_some()) {
+            self.dispatch(Event::ClientDisconnected { id });
+            self.abort_unsent_attempt(id);
+            self.run_pending();
+            self.remove_if_over(id);
+        }
+    }
+
+    /// Fails every request without an answer. For the module that is a client that disconnected: it owes no answer.
+    pub(super) fn fail_unanswered(&mut self) {
+        let unanswered = self.requests.iter().filter(|(_, open)| open.reply.is_some());
+        let ids: Vec<_> = unanswered.map(|(id, _)| *id).collect();
+        for id in ids {
+            self.answer(id, Answer::Failed);
+            self.dispatch(Event::ClientDisconnected { id });
+        }
+    }
+
+    /// Answers a request, unless it is answered already.
+    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+        if let Some(reply) = self.requests.get_mut(&id).and_then(|open| open.reply.take()) {
+            reply.send(answer);
+        }
+        self.abort_unsent_attempt(id);
+        self.remove_if_over(id);
+    }
+
+    /// Aborts the attempt of a request that is over, if it has not been written completely: it never runs. That holds
+    /// whether the server supports cancellation or not. An attempt that is written stays in flight until it ends.
+    fn abort_unsent_attempt(&mut self, id: RequestId) {
+        let running = self.requests.get(&id).and_then(|open| open.running.as_ref());
+        let Some(attempt) = running.filter(|r| !r.attempt.sent()).map(|r| r.number) else { return };
+        if self.abort_attempt(id, attempt) {
+            self.attempt_ended(id, attempt, AttemptResult::of(Outcome::NotSent));
+        }
+    }
+
+    /// Removes a request that is answered and has no attempt in flight.
+    pub(super) fn remove_if_over(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|open| open.reply.is_none() && open.running.is_none()) {
+            self.requests.remove(&id);
+            self.events.request_closed();
+        }
+    }
+}
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -12,7 +12,7 @@
 use crate::counter::validation::CounterValidation;
 use crate::discovery::calls::Discovery;
 use crate::events::EventQueue;
-use crate::host::{Host, Peers};
+use crate::host::{Clients, Host};
 use crate::listeners::gate::Gate;
 use crate::listeners::grpc;
 use crate::log::log;
@@ -74,13 +74,14 @@
     let servers = Rc::new(Servers::new(&settings, sockets.servers));
     let keepers = keepers(config.counter, operator.keeper.as_ref(), &settings, seed);
     let mut list = ServerList::new(&mut operator, discovery, &settings, retry_seed);
-    let peers = Peers { servers: servers.clone(), keepers: keepers.clone() };
-    let mut host = Host::new(settings.clone(), seed, events.clone(), peers);
+    let clients = Clients { servers: servers.clone(), counters: keepers.clone() };
+    let mut host = Host::new(settings.clone(), seed, events.clone(), clients);
     let name = grpc::instance_name();
     let authorisers = Authorisers::new(operator.authorisers, name.clone());
     if let Some(judged) = operator.keeper {
         let (keepers, events) = (keepers.clone(), events.clone());
-        let validation = CounterValidation::new(keepers, events, judged.terms, judged.order, &settings, seed);
+        let validation =
+            CounterValidation::new(keepers, events, &judged.terms, judged.order, &settings, seed);
         spawn_local(validation.run());
         host = host.watch_pauses();
     }
--- a/crates/daemon/src/upstream/servers.rs
+++ b/crates/daemon/src/upstream/servers.rs
@@ -240,7 +240,7 @@
         // With this the socket of a failed attempt is closed: the next attempt may start.
         attempt.release();
         attempt.reported.set(true);
-        events.push(HostEvent::AttemptEnded(id, n, ended));
+        events.push(HostEvent::AttemptEnded { id, attempt: n, result: ended });
         if let Some((address, mut link)) = kept {
             if link.settle().await {
                 self.keep(&server, address, link);
