--- a/crates/daemon/src/counter/validation.rs
+++ b/crates/daemon/src/counter/validation.rs
@@ -65,7 +65,7 @@
     pub fn new(
         pool: Rc<CounterPool>,
         events: Rc<EventQueue>,
-        validation: ValidationSettings,
+        validation: &ValidationSettings,
         policy: FailoverPolicy,
         settings: &Settings,
         seed: u64,
@@ -75,7 +75,8 @@
         let incarnation = seed ^ (clock.unix_seconds * 1e6) as u64;
         let instance_index = settings.instance_index;
         let instance_count = settings.instance_count.max(1);
-        let validation = ValidationSettings { instance_index, instance_count, incarnation, ..validation };
+        let validation =
+            ValidationSettings { instance_index, instance_count, incarnation, ..validation.clone() };
         // Hashed from the seed, so that instances with the same view switch at different moments.
         let hash = seed.wrapping_mul(PHASE_MULTIPLIER) >> (u64::BITS - PHASE_BITS);
         let phase = hash as f64 / f64::from(1u32 << PHASE_BITS);
