--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -73,13 +73,13 @@
     let servers = Rc::new(Servers::new(&settings, sockets.servers));
     let counters = counter_pool(config.counter, operator.counter.as_ref(), &settings, seed);
     let mut list = EndpointList::new(&mut operator, discovery, &settings, retry_seed);
-    let peers = Peers { servers: servers.clone(), keepers: counters.clone() };
-    let mut host = Host::new(settings.clone(), seed, events.clone(), peers);
+    let clients = Clients { servers: servers.clone(), counters: counters.clone() };
+    let mut host = Host::new(settings.clone(), seed, events.clone(), clients);
     let name = grpc::instance_name();
     let authorisers = Authorisers::new(operator.authorisers, name.clone());
     if let Some(CounterSettings { validation, failover, .. }) = operator.counter {
         let (counters, events) = (counters.clone(), events.clone());
-        let validation = CounterValidation::new(counters, events, validation, failover, &settings, seed);
+        let validation = CounterValidation::new(counters, events, &validation, failover, &settings, seed);
         spawn_local(validation.run());
         host = host.watch_pauses();
     }
