--- a/crates/catalog/src/change_log.rs
+++ b/crates/catalog/src/change_log.rs
@@ -1,5 +1,6 @@
 //! The list of servers as a relay holds it, and what changed in it.
 
+use crate::difference::Difference;
 use crate::history::{History, HISTORY_CHANGES};
 use crate::{ApplyError, Digest, Instance, Subscription, Update};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -33,15 +34,6 @@
     pub changed: usize,
 }
 
-/// One server before and after an update.
-struct Difference {
-    before: Option<Arc<Instance>>,
-    after: Option<Arc<Instance>>,
-    /// The digests of these two.
-    removed: Digest,
-    added: Digest,
-}
-
 impl ChangeLog {
     /// A log that holds nothing yet and remembers [`HISTORY_CHANGES`] changes.
     pub fn new() -> Self {
@@ -291,15 +283,3 @@
         Self::new()
     }
 }
-
-impl Difference {
-    fn new(before: Option<Arc<Instance>>, after: Option<Arc<Instance>>) -> Self {
-        let (removed, added) = (Digest::of(before.as_deref()), Digest::of(after.as_deref()));
-        Difference { before, after, removed, added }
-    }
-
-    /// The services whose subscribers it concerns.
-    fn services(&self) -> impl Iterator<Item = &str> {
-        [&self.before, &self.after].into_iter().flatten().map(|instance| instance.service.as_str())
-    }
-}
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -32,6 +32,7 @@
 
 mod apply_error;
 mod change_log;
+mod difference;
 mod digest;
 mod history;
 mod regions;
--- a/crates/catalog/tests/support/follower.rs
+++ b/crates/catalog/tests/support/follower.rs
@@ -1,7 +1,7 @@
 //! The child's end: which upstream it watches, and when it calls another.
 
 use super::topology::Node;
-use super::{Micros, MILLISECOND, SECOND, SILENCE};
+use super::{Micros, HEARTBEAT_TIMEOUT, MILLISECOND, SECOND};
 
 pub type WatchId = u64;
 
@@ -84,7 +84,7 @@
     }
 
     fn silent_at(&self) -> Option<Micros> {
-        self.watch.and(self.last_sign).map(|at| at + SILENCE)
+        self.watch.and(self.last_sign).map(|at| at + HEARTBEAT_TIMEOUT)
     }
 
     /// Gives up a call that took too long, and makes the one that is due.
--- a/crates/catalog/tests/support/mod.rs
+++ b/crates/catalog/tests/support/mod.rs
@@ -25,7 +25,7 @@
 pub const DIGEST_EVERY: u64 = 2;
 
 /// A watch that told nothing for so long is replaced.
-pub const SILENCE: Micros = 2_500 * MILLISECOND;
+pub const HEARTBEAT_TIMEOUT: Micros = 2_500 * MILLISECOND;
 
 /// A replica whose list was last confirmed so long ago says that it is stale.
 pub const STALE_AFTER: Micros = 4_500 * MILLISECOND;
--- a/crates/catalog/tests/support/world.rs
+++ b/crates/catalog/tests/support/world.rs
@@ -8,7 +8,7 @@
 use super::server::{Payload, Server};
 use super::source::{service_name, Source};
 use super::topology::{Node, Place, Topology};
-use super::{Micros, DIGEST_EVERY, HEARTBEAT, MILLISECOND, SECOND, SILENCE, STALE_AFTER};
+use super::{Micros, DIGEST_EVERY, HEARTBEAT, HEARTBEAT_TIMEOUT, MILLISECOND, SECOND, STALE_AFTER};
 use liftrouter_catalog::{ApplyError, Replica, Subscription, Update, HISTORY_CHANGES};
 use std::collections::BTreeSet;
 
@@ -420,7 +420,7 @@
         let (trusted, confirmed_ago_ms) = match upstream {
             Node::Relay(index) => {
                 let follower = &self.relays[index].follower;
-                let trusted = follower.confirmed_within(SILENCE, now) && !follower.repairs();
+                let trusted = follower.confirmed_within(HEARTBEAT_TIMEOUT, now) && !follower.repairs();
                 (trusted, follower.confirmed_ago_ms(now))
             }
             _ => (true, 0),
--- a/crates/daemon/src/discovery/session.rs
+++ b/crates/daemon/src/discovery/session.rs
@@ -128,7 +128,7 @@
             },
             timeout: self.follower.call_timeout(),
             max_message_bytes: self.upstream.max_message_bytes(),
-            silence: self.follower.silence(),
+            heartbeat_timeout: self.follower.heartbeat_timeout(),
             open_connections: self.open_connections.clone(),
             received_bytes: self.upstream.received_bytes().clone(),
             answered: self.answered_sender.clone(),
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -116,7 +116,7 @@
     /// The longest message that is read, in bytes.
     pub max_message_bytes: usize,
     /// How long its first message may take behind the head.
-    pub silence: Duration,
+    pub heartbeat_timeout: Duration,
     /// Counts the open connections.
     pub open_connections: Rc<Cell<usize>>,
     /// Counts the bytes of bodies.
@@ -146,7 +146,7 @@
             decoder: WatchDecoder::new(self.max_message_bytes),
             received_bytes: self.received_bytes.clone(),
         };
-        let first = timeout_at(Instant::now() + self.silence, watch.next()).await;
+        let first = timeout_at(Instant::now() + self.heartbeat_timeout, watch.next()).await;
         let update = first.map_err(|_| WatchError::SilentFromHead)??;
         Ok((watch, update))
     }
--- a/crates/daemon/src/relay/subscribers.rs
+++ b/crates/daemon/src/relay/subscribers.rs
@@ -4,7 +4,7 @@
 use crate::log;
 use bytes::Bytes;
 use liftrouter_catalog::{ApplyError, ChangeLog, Subscribers, Subscription, Update};
-use liftrouter_discovery::SILENCE;
+use liftrouter_discovery::HEARTBEAT_TIMEOUT;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use thiserror::Error;
@@ -48,7 +48,7 @@
 
 /// A relay accepts no subscribers while it does not know whether its list is current.
 #[derive(Debug, Error)]
-#[error("the list was not confirmed within {} s", SILENCE.as_secs_f64())]
+#[error("the list was not confirmed within {} s", HEARTBEAT_TIMEOUT.as_secs_f64())]
 pub struct StaleList;
 
 impl SubscriberTable {
@@ -91,7 +91,7 @@
 
     /// Whether upstream gave a heartbeat in time.
     pub fn is_fresh(&self) -> bool {
-        self.confirmed_at.is_some_and(|at| at.elapsed() <= SILENCE)
+        self.confirmed_at.is_some_and(|at| at.elapsed() <= HEARTBEAT_TIMEOUT)
     }
 
     /// How many subscribers there are.
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -7,7 +7,7 @@
 use common::relays::*;
 use common::*;
 use liftrouter_catalog::{Instance, Update};
-use liftrouter_discovery::SILENCE_RELAYED;
+use liftrouter_discovery::HEARTBEAT_TIMEOUT_RELAYED;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -163,7 +163,7 @@
     let ended = Instant::now();
     let moments: Vec<Instant> = subscriber.received().iter().map(|r| r.at).chain([ended]).collect();
     let longest = moments.windows(2).map(|pair| pair[1] - pair[0]).max().expect("heartbeats");
-    assert!(longest < SILENCE_RELAYED, "the subscriber got nothing for {longest:?}");
+    assert!(longest < HEARTBEAT_TIMEOUT_RELAYED, "the subscriber got nothing for {longest:?}");
     assert!(!subscriber.has_ended());
 }
 
--- a/crates/discovery/examples/return_time.rs
+++ b/crates/discovery/examples/return_time.rs
@@ -35,7 +35,7 @@
 fn print_row(limiters: usize, all_calls: Duration, scenario: Scenario) {
     let play = |seed| {
         let fleet = Fleet { limiters, all_calls, scenario, seed };
-        (fleet.least_work(), fleet.play(|seed| Follower::new(Delivery::OnRequest, seed)))
+        (fleet.min_work(), fleet.play(|seed| Follower::new(Delivery::OnRequest, seed)))
     };
     let (works, outcomes): (Vec<Duration>, Vec<Outcome>) = (0..SEEDS).map(play).unzip();
     let total = (limiters as u64 * SEEDS) as f64;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -16,7 +16,9 @@
 mod schedule;
 
 pub use freshness::{EXPIRY, EXPIRY_AFTER_MOVE, EXPIRY_RELAYED};
-pub use schedule::{CallId, CALL_TIMEOUT_ON_REQUEST, CALL_TIMEOUT_PUSHED, SILENCE, SILENCE_RELAYED};
+pub use schedule::{
+    CallId, CALL_TIMEOUT_ON_REQUEST, CALL_TIMEOUT_PUSHED, HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_RELAYED,
+};
 
 use freshness::Freshness;
 use schedule::Schedule;
@@ -94,8 +96,8 @@
     }
 
     /// A watch without a heartbeat for this long is broken; so is one that does not begin with one.
-    pub fn silence(&self) -> Duration {
-        self.schedule.silence()
+    pub fn heartbeat_timeout(&self) -> Duration {
+        self.schedule.heartbeat_timeout()
     }
 
     /// How long a call may take until the head of its answer.
--- a/crates/discovery/src/schedule.rs
+++ b/crates/discovery/src/schedule.rs
@@ -8,10 +8,10 @@
 pub type CallId = u64;
 
 /// A watch without a heartbeat for this long is broken: an empty line comes every 2 s.
-pub const SILENCE: Duration = Duration::from_millis(2_500);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The same for a watch on a relay: one whose own upstream falls silent finds another within 2.5 s and a call, and its
 /// subscribers need not leave it meanwhile.
-pub const SILENCE_RELAYED: Duration = Duration::from_secs(4);
+pub const HEARTBEAT_TIMEOUT_RELAYED: Duration = Duration::from_secs(4);
 /// How long a pushed watch may take to open, up to the head of its answer: the agent answers at once.
 pub const CALL_TIMEOUT_PUSHED: Duration = Duration::from_millis(800);
 /// The same on request: the service answers or refuses within 2 s, and works on also where the caller has gone.
@@ -20,8 +20,8 @@
 /// Pushed: calls begin this long after one another while none has its response head, and where one has.
 const PUSHED_INTERVAL: Duration = Duration::from_millis(200);
 const PUSHED_INTERVAL_ANSWERED: Duration = Duration::from_millis(500);
-/// Pushed: the most calls at once, a guard of the descriptors.
-const PUSHED_CALLS: usize = 10;
+/// Pushed: the most calls at once, which bounds the descriptors.
+const MAX_PUSHED_CALLS: usize = 10;
 
 /// On request: a second call goes out beside the first one so long before the list expires, and not before the
 /// first one has been out for so long. That leaves time for a complete wait in the service's queue.
@@ -58,10 +58,10 @@
         }
     }
 
-    pub fn silence(&self) -> Duration {
+    pub fn heartbeat_timeout(&self) -> Duration {
         match self.delivery {
-            Delivery::Pushed | Delivery::OnRequest => SILENCE,
-            Delivery::Relayed => SILENCE_RELAYED,
+            Delivery::Pushed | Delivery::OnRequest => HEARTBEAT_TIMEOUT,
+            Delivery::Relayed => HEARTBEAT_TIMEOUT_RELAYED,
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     pub fn next_call(&self, expires_at: Option<Duration>) -> Option<Duration> {
-        let wanted = self.watch.map_or(Duration::ZERO, |alive_at| alive_at + self.silence());
+        let wanted = self.watch.map_or(Duration::ZERO, |alive_at| alive_at + self.heartbeat_timeout());
         match self.delivery {
             Delivery::Pushed => self.next_pushed_call(wanted),
             Delivery::OnRequest | Delivery::Relayed => self.next_requested_call(wanted, expires_at),
@@ -111,7 +111,7 @@
     }
 
     fn next_pushed_call(&self, wanted: Duration) -> Option<Duration> {
-        if self.calls.len() >= PUSHED_CALLS {
+        if self.calls.len() >= MAX_PUSHED_CALLS {
             return None;
         }
         let answered = self.calls.iter().any(|call| call.answered);
--- a/crates/discovery/tests/fleet.rs
+++ b/crates/discovery/tests/fleet.rs
@@ -115,7 +115,7 @@
     let outcome = play_follower(&fleet);
     let last =
         last_notified(&outcome).unwrap_or_else(|| panic!("{fleet:?}: {} notified", notified(&outcome)));
-    assert!(last <= fleet.least_work() + MARGIN, "{fleet:?}: the last was notified after {last:?}");
+    assert!(last <= fleet.min_work() + MARGIN, "{fleet:?}: the last was notified after {last:?}");
     for calls in &outcome.calls {
         check_budget(&fleet, calls);
     }
--- a/crates/discovery/tests/rule.rs
+++ b/crates/discovery/tests/rule.rs
@@ -20,9 +20,9 @@
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 /// What another service has at a move to it counts as notified so long after the move.
 const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A list from relays is stale so long after its last sign of life.
+/// A list from relays is stale so long after its last heartbeat.
 const STALE_AFTER: Duration = Duration::from_secs(8);
-/// A change is made so long after a tick, so that it never falls together with a sign of life.
+/// A change is made so long after a tick, so that it never falls together with a heartbeat.
 const AFTER_TICK: Duration = Duration::from_millis(1);
 
 /// A second call may go out so long before the list expires, and so long after the first one.
@@ -36,7 +36,7 @@
 
 /// So many limiters spread their first retries over at least this time.
 const SPREAD_LIMITERS: u64 = 100;
-const LEAST_SPREAD: Duration = Duration::from_millis(100);
+const MIN_SPREAD: Duration = Duration::from_millis(100);
 
 /// Rounding of the follower's arithmetic.
 const ROUNDING: Duration = Duration::from_micros(1);
@@ -98,13 +98,13 @@
         });
     }
 
-    /// Nothing is called while a watch gives signs of life.
+    /// Nothing is called while a watch gives heartbeats.
     #[test]
     fn a_living_watch_is_left_alone(history in any_history(Delivery::OnRequest)) {
         for_each_call(&history, |situation, at| assert!(at >= situation.watch_silent_at(), "{at:?}"));
     }
 
-    /// While no call is out, one is due in time: backoff starts anew after a sign of life, is bounded, and only
+    /// While no call is out, one is due in time: backoff starts anew after a heartbeat, is bounded, and only
     /// advice, budget or a living watch may delay it further.
     #[test]
     fn a_call_is_due_in_time(history in any_history(Delivery::OnRequest)) {
@@ -203,7 +203,7 @@
     let first_and_last = times.first().zip(times.last());
     let spread = first_and_last.map_or(Duration::ZERO, |(first, last)| last.saturating_sub(*first));
     assert_eq!(times.len() as u64, SPREAD_LIMITERS, "{failure:?}: some retry together");
-    assert!(spread >= LEAST_SPREAD, "{failure:?}: all retry within {spread:?}");
+    assert!(spread >= MIN_SPREAD, "{failure:?}: all retry within {spread:?}");
 }
 
 /// Instants between ticks, where no event of the service falls.
@@ -223,7 +223,8 @@
     let notified =
         changes.filter(|made_at| *made_at > confirmed_at).any(|made_at| made_at + NOTIFIED_AFTER <= at);
     let moves = past[confirmed..].iter().filter(|entry| entry.event == Event::Moved);
-    let notified_by_another = moves.map(|entry| entry.at + NOTIFIED_AFTER_MOVE).any(|told_at| told_at <= at);
+    let notified_by_another =
+        moves.map(|entry| entry.at + NOTIFIED_AFTER_MOVE).any(|notified_at| notified_at <= at);
     !notified && !notified_by_another
 }
 
--- a/crates/discovery/tests/rule/history.rs
+++ b/crates/discovery/tests/rule/history.rs
@@ -23,7 +23,7 @@
     FailsAfterHead { head_after: u32, then_after: u32 },
 }
 
-/// What becomes of a watch: signs of life with their distances in ticks, then an end or silence.
+/// What becomes of a watch: heartbeats with their distances in ticks, then an end or silence.
 #[derive(Clone, Debug)]
 struct WatchOutcome {
     heartbeats: Vec<u32>,
--- a/crates/discovery/tests/rule/situation.rs
+++ b/crates/discovery/tests/rule/situation.rs
@@ -3,8 +3,8 @@
 use liftrouter_discovery::{CallFailure, CallId, Event};
 use std::time::Duration;
 
-/// A watch without a sign of life for so long is silent.
-const SILENCE: Duration = Duration::from_millis(2_500);
+/// A watch without a heartbeat for so long is silent.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The longest pause after the first failure, and after any; the least pause is half of it.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
@@ -35,11 +35,11 @@
 #[derive(Debug, Default)]
 pub struct Situation {
     pub last_sign_of_life: Option<Duration>,
-    /// Moves since the last sign of life.
+    /// Moves since the last heartbeat.
     pub moves_since: Vec<Duration>,
     pub watch_open: bool,
     pub calls_out: Vec<CallOut>,
-    /// Failures since the last sign of life or move.
+    /// Failures since the last heartbeat or move.
     pub failures: Vec<Failure>,
     /// Starts of all calls: a move gives no new budget.
     pub starts: Vec<Duration>,
@@ -94,7 +94,7 @@
     /// When the open watch becomes silent; zero if there is none.
     pub fn watch_silent_at(&self) -> Duration {
         let alive_at = self.last_sign_of_life.filter(|_| self.watch_open);
-        alive_at.map_or(Duration::ZERO, |at| at + SILENCE)
+        alive_at.map_or(Duration::ZERO, |at| at + HEARTBEAT_TIMEOUT)
     }
 
     /// No call may begin before it, by backoff and advice.
--- a/crates/discovery/tests/support/eager.rs
+++ b/crates/discovery/tests/support/eager.rs
@@ -1,7 +1,7 @@
 //! A caller without backoff, for comparison.
 
 use crate::support::Policy;
-use liftrouter_discovery::{CallId, Event, EXPIRY, SILENCE};
+use liftrouter_discovery::{CallId, Event, EXPIRY, HEARTBEAT_TIMEOUT};
 use std::time::Duration;
 
 /// Interval of the calls of an [`EagerCaller`].
@@ -39,7 +39,7 @@
     }
 
     fn next_call(&self) -> Option<Duration> {
-        let silent_at = self.alive_at.filter(|_| self.watching).map(|at| at + SILENCE);
+        let silent_at = self.alive_at.filter(|_| self.watching).map(|at| at + HEARTBEAT_TIMEOUT);
         let paced = self.last_started.map(|at| at + EAGER_INTERVAL);
         let due = silent_at.max(paced).unwrap_or_default();
         (self.calls.len() < EAGER_CALLS).then_some(due)
--- a/crates/discovery/tests/support/mod.rs
+++ b/crates/discovery/tests/support/mod.rs
@@ -37,7 +37,7 @@
     Outage,
     /// As [`Scenario::Outage`], and afterwards each call costs 0.3 s.
     OutageThenSlow,
-    /// No watch gives a sign of life any more; new calls are answered.
+    /// No watch gives a heartbeat any more; new calls are answered.
     Silence,
 }
 
@@ -84,7 +84,7 @@
     }
 
     /// Time of the work for one call of every limiter.
-    pub fn least_work(&self) -> Duration {
+    pub fn min_work(&self) -> Duration {
         self.call_cost().mul_f64(self.limiters as f64)
     }
 
@@ -113,7 +113,7 @@
     Reply(CallId, Reply),
     /// A call is given up if it is still out.
     GiveUp(CallId),
-    /// The watch that this call opened gives a sign of life.
+    /// The watch that this call opened gives a heartbeat.
     Heartbeat(CallId),
 }
 
--- a/crates/discovery/tests/support/service.rs
+++ b/crates/discovery/tests/support/service.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// A call that would wait longer is refused at once; while the service is down, a call is refused after so long.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// What a call comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,10 +32,10 @@
     /// Takes a call; when it replies, and what. The work of an accepted call is done whatever its caller does.
     pub fn call(&mut self, now: Duration) -> (Duration, Reply) {
         if (self.down_from..self.down_until).contains(&now) {
-            return (now + LONGEST_WAIT, Reply::Refused);
+            return (now + MAX_WAIT, Reply::Refused);
         }
         let begins_at = self.busy_until.max(now);
-        if begins_at.saturating_sub(now) > LONGEST_WAIT {
+        if begins_at.saturating_sub(now) > MAX_WAIT {
             return (now, Reply::Refused);
         }
         self.busy_until = begins_at + self.call_cost;
