--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -16,7 +16,7 @@
 use crate::counter::validation::CounterValidation;
 use crate::discovery::client::DiscoveryClient;
 use crate::events::EventQueue;
-use crate::host::{Host, Peers};
+use crate::host::{Clients, Host};
 use crate::listeners::admission::Admission;
 use crate::listeners::grpc;
 use crate::log::log;
