--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -4,7 +4,7 @@
 
 mod wire;
 
-use liftrouter_decision::{Action, Limiter};
+use liftrouter_decision::{Action, Event, Limiter};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -85,7 +85,7 @@
     hosted: &mut Hosted,
     instance: u32,
     now: f64,
-    event: liftrouter_decision::Event,
+    event: Event,
     output: &mut impl Write,
 ) -> Result<(), String> {
     let Some(limiter) = hosted.get_mut(&instance) else { return Ok(()) };
@@ -94,7 +94,7 @@
     if run.is_err() {
         return writeln!(output, "FAULT {instance} the decision module panicked").map_err(write_fault);
     }
-    actions.iter().try_for_each(|a| wire::write(output, instance, a)).map_err(write_fault)
+    actions.iter().try_for_each(|action| wire::write(output, instance, action)).map_err(write_fault)
 }
 
 fn write_fault(e: io::Error) -> String {
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's words: lines to events and settings, actions to lines.
+//! The simulator's wire: lines to events and settings, actions to lines.
 
 use liftrouter_decision::{
     Action, EndpointEntry, EndpointState, Event, LoadReport, Outcome, Request, Settings,
@@ -81,7 +81,7 @@
     Start(u32, u64, Box<Settings>),
     /// An instance was killed.
     Stop(u32),
-    /// A list of servers begins.
+    /// An endpoint list begins.
     List(PendingList),
     /// An event for an instance.
     Event(u32, Event),
@@ -89,7 +89,7 @@
     Skip,
 }
 
-/// A list of servers of which some lines are still to come.
+/// An endpoint list of which some lines are still to come.
 pub struct PendingList {
     instance: u32,
     kind: ListKind,
@@ -113,22 +113,20 @@
             return Err(format!("{:?} where {} more ITEM lines are due", line.word(), self.left));
         }
         let state = match line.part(5, "status")? {
-            "in_service" => Some(EndpointState::InService),
-            "terminating" => Some(EndpointState::Draining),
-            // A state this host does not know is no state to send work to.
-            _ => Some(EndpointState::Removed),
+            "in_service" => EndpointState::InService,
+            "terminating" => EndpointState::Draining,
+            // An endpoint in a state that is not known here gets no requests.
+            _ => EndpointState::Removed,
         };
-        if let Some(state) = state {
-            self.entries.push(EndpointEntry {
-                id: line.part(1, "server")?.into(),
-                zone: line.part(2, "region-part")?.into(),
-                kind: line.part(3, "flavor")?.into(),
-                cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
-                state,
-                weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
-                started: line.optional_number(7, "start-time-s")?.filter(|t| *t != 0.0),
-            });
-        }
+        self.entries.push(EndpointEntry {
+            id: line.part(1, "server")?.into(),
+            zone: line.part(2, "region-part")?.into(),
+            kind: line.part(3, "flavor")?.into(),
+            cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
+            state,
+            weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
+            started: line.optional_number(7, "start-time-s")?.filter(|started| *started != 0.0),
+        });
         self.left -= 1;
         Ok(())
     }
@@ -152,6 +150,20 @@
     Ok((line.number(1, "clock")?, number.to_string()))
 }
 
+/// Kinds of lines that concern the decision module, besides those that frame a batch or a list.
+const HANDLED: [&str; 10] = [
+    "PROVISION",
+    "REGISTRY",
+    "SUBMIT",
+    "FIRST",
+    "ENDED",
+    "DESTROY",
+    "CLIENT_GONE",
+    "TOTAL",
+    "HEALTH_RESULT",
+    "ALARM",
+];
+
 /// Any other line of a batch, but for the entries of a list.
 pub fn message(line: &Line) -> Result<Message, String> {
     let word = line.word();
@@ -161,88 +173,85 @@
         "" => return Err("empty line within a batch".into()),
         _ => {}
     }
-    let known = [
-        "PROVISION",
-        "REGISTRY",
-        "SUBMIT",
-        "FIRST",
-        "ENDED",
-        "DESTROY",
-        "CLIENT_GONE",
-        "TOTAL",
-        "HEALTH_RESULT",
-        "ALARM",
-    ];
-    if !known.contains(&word) {
+    if !HANDLED.contains(&word) {
         return Ok(Message::Skip);
     }
     let instance: u32 = line.integer(1, "limiter-id")?;
-    let handle = || line.integer::<u64>(2, "handle");
-    Ok(match word {
-        "PROVISION" => {
-            let settings: Settings = serde_json::from_str(line.rest(3, "config")?)
-                .map_err(|e| line.fault("config", &e.to_string()))?;
-            Message::Start(instance, line.integer(2, "rng-seed")?, Box::new(settings))
-        }
-        "DESTROY" => Message::Stop(instance),
-        "REGISTRY" => {
-            let kind = match line.part(2, "kind")? {
-                "whole" | "stale_copy" => ListKind::Whole,
-                "patch" => ListKind::Patch,
-                "broken" => ListKind::Broken,
-                other => return Err(line.fault("kind", &format!("unknown: {other:?}"))),
-            };
-            let left = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
-            Message::List(PendingList { instance, kind, left, entries: Vec::new() })
-        }
-        "SUBMIT" => Message::Event(
-            instance,
-            Event::Request(Request {
-                id: handle()?,
-                is_retry: line.flag(4, "repeat")?,
-                deadline: line.number(5, "due-s")?,
-                reachable_instances: line.number(6, "width")?.max(1.0) as u32,
-                units: line.number(7, "weight")?,
-                plan: line.part(9, "contract")?.into(),
-                class: line.part(10, "profile")?.into(),
-                customer: line.part(11, "api-key")?.into(),
-            }),
-        ),
-        "FIRST" => Message::Event(instance, Event::StreamStarted { id: handle()? }),
-        "ENDED" => Message::Event(
-            instance,
-            Event::AttemptEnded {
-                id: handle()?,
-                attempt: line.integer(3, "n")?,
-                request_finished: line.flag(5, "final")?,
-                elapsed: line.number(7, "time-taken-s")?,
-                outcome: outcome(line, 8)?,
-                units: line.optional_number(9, "actual")?.filter(|u| *u > 0.0),
-                report: report(line, 10)?,
-            },
-        ),
-        "CLIENT_GONE" => Message::Event(instance, Event::ClientDisconnected { id: handle()? }),
-        "TOTAL" => {
-            let outcome = outcome(line, 3)?;
-            let total = line.optional_number(2, "level")?.unwrap_or(0.0);
-            let took = line.optional_number(4, "time-taken-s")?.unwrap_or(0.0);
-            let name = line.part(5, "counter")?.into();
-            Message::Event(instance, Event::CounterReply { key: name, outcome, total, elapsed: took })
-        }
-        "HEALTH_RESULT" => Message::Event(
-            instance,
-            Event::HealthChecked {
-                endpoint: Arc::from(line.part(2, "server")?),
-                outcome: outcome(line, 4)?,
-                report: report(line, 5)?,
-            },
-        ),
-        // A timer this host never set is one nobody wants.
-        "ALARM" => match line.part(2, "ref")?.parse() {
-            Ok(token) => Message::Event(instance, Event::Timer { token }),
-            Err(_) => Message::Skip,
+    match word {
+        "PROVISION" => start(line, instance),
+        "DESTROY" => Ok(Message::Stop(instance)),
+        "REGISTRY" => endpoint_list(line, instance),
+        _ => Ok(event(line)?.map_or(Message::Skip, |event| Message::Event(instance, event))),
+    }
+}
+
+fn start(line: &Line, instance: u32) -> Result<Message, String> {
+    let settings: Settings =
+        serde_json::from_str(line.rest(3, "config")?).map_err(|e| line.fault("config", &e.to_string()))?;
+    Ok(Message::Start(instance, line.integer(2, "rng-seed")?, Box::new(settings)))
+}
+
+fn endpoint_list(line: &Line, instance: u32) -> Result<Message, String> {
+    let kind = match line.part(2, "kind")? {
+        "whole" | "stale_copy" => ListKind::Whole,
+        "patch" => ListKind::Patch,
+        "broken" => ListKind::Broken,
+        other => return Err(line.fault("kind", &format!("unknown: {other:?}"))),
+    };
+    let left = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
+    Ok(Message::List(PendingList { instance, kind, left, entries: Vec::new() }))
+}
+
+/// The event of a line; none for a timer that this host never set.
+fn event(line: &Line) -> Result<Option<Event>, String> {
+    let id = || line.integer::<u64>(2, "handle");
+    Ok(Some(match line.word() {
+        "SUBMIT" => Event::Request(request(line)?),
+        "FIRST" => Event::StreamStarted { id: id()? },
+        "ENDED" => attempt_ended(line)?,
+        "CLIENT_GONE" => Event::ClientDisconnected { id: id()? },
+        "TOTAL" => counter_reply(line)?,
+        "HEALTH_RESULT" => Event::HealthChecked {
+            endpoint: Arc::from(line.part(2, "server")?),
+            outcome: outcome(line, 4)?,
+            report: report(line, 5)?,
         },
-        _ => Message::Skip,
+        "ALARM" => return Ok(line.part(2, "ref")?.parse().ok().map(|token| Event::Timer { token })),
+        _ => return Ok(None),
+    }))
+}
+
+fn request(line: &Line) -> Result<Request, String> {
+    Ok(Request {
+        id: line.integer(2, "handle")?,
+        is_retry: line.flag(4, "repeat")?,
+        deadline: line.number(5, "due-s")?,
+        reachable_instances: line.number(6, "width")?.max(1.0) as u32,
+        units: line.number(7, "weight")?,
+        plan: line.part(9, "contract")?.into(),
+        class: line.part(10, "profile")?.into(),
+        customer: line.part(11, "api-key")?.into(),
+    })
+}
+
+fn attempt_ended(line: &Line) -> Result<Event, String> {
+    Ok(Event::AttemptEnded {
+        id: line.integer(2, "handle")?,
+        attempt: line.integer(3, "n")?,
+        request_finished: line.flag(5, "final")?,
+        elapsed: line.number(7, "time-taken-s")?,
+        outcome: outcome(line, 8)?,
+        units: line.optional_number(9, "actual")?.filter(|units| *units > 0.0),
+        report: report(line, 10)?,
+    })
+}
+
+fn counter_reply(line: &Line) -> Result<Event, String> {
+    Ok(Event::CounterReply {
+        outcome: outcome(line, 3)?,
+        total: line.optional_number(2, "level")?.unwrap_or(0.0),
+        elapsed: line.optional_number(4, "time-taken-s")?.unwrap_or(0.0),
+        key: line.part(5, "counter")?.into(),
     })
 }
 
@@ -272,22 +281,22 @@
 }
 
 /// Writes one action as a line.
-pub fn write(out: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
+pub fn write(output: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
     match action {
-        // The wire has no word for the time by which it is to be written.
-        Action::Send { id, endpoint: server, timeout, .. } => {
-            writeln!(out, "ASSIGN {instance} {id} {timeout} {server}")
+        // The wire has no field for the send deadline.
+        Action::Send { id, endpoint, timeout, .. } => {
+            writeln!(output, "ASSIGN {instance} {id} {timeout} {endpoint}")
         }
-        // The simulator asks for no permissions, and its protocol has no word for them.
+        // The simulator asks for no authorizations, and its protocol has none.
         Action::Authorize { .. } => Ok(()),
-        Action::Reject { id, retry_after } => writeln!(out, "SAY_NO {instance} {id} {retry_after}"),
-        Action::Fail { id } => writeln!(out, "END_FAILED {instance} {id}"),
-        Action::Cancel { id, attempt } => writeln!(out, "STOP_ATTEMPT {instance} {id} {attempt}"),
-        Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
-            writeln!(out, "INCR {instance} {name} {add} {lives}")
+        Action::Reject { id, retry_after } => writeln!(output, "SAY_NO {instance} {id} {retry_after}"),
+        Action::Fail { id } => writeln!(output, "END_FAILED {instance} {id}"),
+        Action::Cancel { id, attempt } => writeln!(output, "STOP_ATTEMPT {instance} {id} {attempt}"),
+        Action::IncrementCounter { key, increment, ttl } => {
+            writeln!(output, "INCR {instance} {key} {increment} {ttl}")
         }
-        Action::SetTimer { at, token } => writeln!(out, "DEFER {instance} {at} {token}"),
-        Action::CheckHealth { endpoint: server } => writeln!(out, "TEST {instance} {server}"),
-        Action::WatchEndpoints => writeln!(out, "FOLLOW {instance} 1"),
+        Action::SetTimer { at, token } => writeln!(output, "DEFER {instance} {at} {token}"),
+        Action::CheckHealth { endpoint } => writeln!(output, "TEST {instance} {endpoint}"),
+        Action::WatchEndpoints => writeln!(output, "FOLLOW {instance} 1"),
     }
 }
