--- a/crates/decision/src/requests/load_shedding.rs
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -1,9 +1,8 @@
 //! Load shedding: where the fleet is full, the classes that are worth least for their work give way.
 //!
-//! The quota has decided before, so that shedding takes nothing from one customer for another. What it can
-//! get wrong: a class with long service times is shed first although it may be the one that clients need.
-//! Held by `tests/decision/admission.rs` as far as rejections go; which class gives way is held only by the
-//! simulator's days.
+//! The quota has decided before, so that shedding takes nothing from one customer for another. What it can get
+//! wrong: a class with long service times is shed first although it may be the one that clients need. Held by
+//! `tests/decision/admission.rs`, `a_full_fleet_sheds_the_class_of_least_value`.
 
 use super::Requests;
 use crate::interface::Settings;
--- a/crates/decision/tests/decision/admission.rs
+++ b/crates/decision/tests/decision/admission.rs
@@ -61,3 +61,31 @@
     };
     assert_eq!(served(true), served(false));
 }
+
+#[test]
+fn a_full_fleet_sheds_the_class_of_least_value() {
+    let mut settings = settings();
+    settings.classes[3].priority_weight = 0.1;
+    let mut host = Host::new(settings);
+    // Almost all requests find the limits reached.
+    let mut in_flight = Vec::new();
+    for _ in 0..200 {
+        let (id, actions) = host.request("c", "free", "read", 1.0);
+        if sent_endpoint(&actions).is_some() {
+            in_flight.push(id);
+        }
+    }
+    let mut sent_after_a_response = |class: &str| {
+        let id = in_flight.pop().expect("an attempt in flight");
+        host.end_attempt(id, 0, Outcome::Ok, None);
+        let (id, actions) = host.request("c", "free", class, 1.0);
+        let sent = sent_endpoint(&actions).is_some();
+        if sent {
+            in_flight.push(id);
+        }
+        sent
+    };
+    assert!(sent_after_a_response("read"));
+    assert!(!sent_after_a_response("unsafe"), "its place is for a class of more value");
+    assert!(sent_after_a_response("read"));
+}
--- a/crates/decision/tests/decision/concurrency_limit.rs
+++ b/crates/decision/tests/decision/concurrency_limit.rs
@@ -1,6 +1,7 @@
 //! The limit of attempts in flight at one endpoint.
 
 use crate::support::*;
+use liftrouter_decision::*;
 
 #[test]
 fn attempts_in_flight_at_an_endpoint_are_limited() {
@@ -10,3 +11,42 @@
         .count();
     assert!((3..=30).contains(&sent), "{sent} out at three servers that have shown nothing yet");
 }
+
+/// Attempts that one endpoint takes at once; each ends with the outcome.
+fn attempts_at_once(host: &mut Host, outcome: Outcome) -> usize {
+    let mut in_flight = Vec::new();
+    loop {
+        let (id, actions) = host.request("c", "free", "unsafe", 1.0);
+        if sent_endpoint(&actions).is_none() {
+            break;
+        }
+        in_flight.push(id);
+    }
+    for id in &in_flight {
+        host.end_attempt(*id, 0, outcome, None);
+    }
+    in_flight.len()
+}
+
+#[test]
+fn the_limit_grows_with_quick_responses_and_shrinks_with_timeouts() {
+    let mut host = Host::new(settings());
+    host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::InService, None)]));
+    let mut after = |rounds: usize, outcome: Outcome| {
+        for _ in 0..rounds {
+            host.now += 1.0;
+            host.event(Event::Timer { token: 0 });
+            attempts_at_once(&mut host, outcome);
+        }
+        host.now += 1.0;
+        host.event(Event::Timer { token: 0 });
+        attempts_at_once(&mut host, Outcome::Ok)
+    };
+    // Four attempts for two limiters.
+    let initial = after(0, Outcome::Ok);
+    assert_eq!(initial, 2);
+    let grown = after(40, Outcome::Ok);
+    assert!(grown >= 2 * initial, "{grown} from {initial}");
+    let shrunk = after(10, Outcome::Timeout);
+    assert!(shrunk <= grown / 2, "{shrunk} from {grown}");
+}
--- a/crates/decision/tests/decision/endpoint_selection.rs
+++ b/crates/decision/tests/decision/endpoint_selection.rs
@@ -31,3 +31,35 @@
     };
     assert_eq!(run(true), run(false));
 }
+
+#[test]
+fn an_endpoint_with_slow_responses_gets_few_requests_until_that_is_forgotten() {
+    let mut host = Host::new(settings());
+    let in_service = EndpointState::InService;
+    host.event(Event::EndpointList(vec![
+        endpoint(A, "east", in_service, None),
+        endpoint(B, "east", in_service, None),
+    ]));
+    let mut at_a = 0;
+    for n in 0..100 {
+        host.now += 0.05;
+        let (id, actions) = host.request("c", "free", "read", 1.0);
+        let is_at_a = sent_endpoint(&actions).as_deref() == Some(A);
+        at_a += u32::from(is_at_a && n >= 20);
+        host.event(Event::AttemptEnded {
+            id,
+            attempt: 0,
+            request_finished: true,
+            outcome: Outcome::Ok,
+            elapsed: if is_at_a { 0.6 } else { 0.05 },
+            units: None,
+            report: LoadReport::default(),
+        });
+    }
+    assert!(at_a <= 8, "{at_a} of 80 at the slow endpoint");
+    host.now += 120.0;
+    host.event(Event::Timer { token: 0 });
+    let sent: Vec<_> =
+        (0..2).filter_map(|_| sent_endpoint(&host.request("c", "free", "read", 1.0).1)).collect();
+    assert!(sent.iter().any(|id| &**id == A), "{sent:?}");
+}
--- a/crates/decision/tests/decision/retry.rs
+++ b/crates/decision/tests/decision/retry.rs
@@ -64,3 +64,24 @@
     host.now += 0.5;
     assert!(sent_endpoint(&host.end_attempt(id, 0, Outcome::Reset, None)).is_some());
 }
+
+#[test]
+fn retries_end_when_the_budget_is_spent_and_requests_earn_more() {
+    let mut host = Host::new(settings());
+    // Attempts that were not sent say nothing of their endpoints: only the budget limits their retries.
+    let retries = |host: &mut Host, requests: u32| -> usize {
+        let mut retries = 0;
+        for _ in 0..requests {
+            host.now += 0.1;
+            let (id, _) = host.request("c", "free", "read", 1.0);
+            let ended = (0..4).map(|attempt| host.end_attempt(id, attempt, Outcome::NotSent, None));
+            retries += ended.filter(|actions| sent_endpoint(actions).is_some()).count();
+        }
+        retries
+    };
+    // Ten are saved up at first, and each request earns a tenth.
+    let at_first = retries(&mut host, 30);
+    assert!((11..=13).contains(&at_first), "{at_first} retries of 30 requests");
+    let later = retries(&mut host, 100);
+    assert!((9..=11).contains(&later), "{later} retries of 100 requests");
+}
