--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -2,7 +2,7 @@
 
 use crate::count::Count;
 use crate::log;
-use crate::upstream::connection::{Failure, Link};
+use crate::upstream::connection::{Failure, HttpConnection};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::HOST;
@@ -37,7 +37,7 @@
 pub struct CounterClient {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
-    idle: RefCell<Vec<Link>>,
+    idle: RefCell<Vec<HttpConnection>>,
     open_sockets: Rc<Cell<usize>>,
     calls_in_flight: Rc<Cell<usize>>,
     failed_connects: Cell<u32>,
@@ -60,7 +60,7 @@
     /// The total; 0 unless the outcome is [`Outcome::Ok`].
     pub total: f64,
     /// The connection, if it can be kept.
-    pub connection: Option<Link>,
+    pub connection: Option<HttpConnection>,
 }
 
 impl CounterTotal {
@@ -133,7 +133,7 @@
     }
 
     /// Keeps a connection for further calls, if it can take them.
-    pub async fn keep(&self, address: SocketAddr, connection: Option<Link>) {
+    pub async fn keep(&self, address: SocketAddr, connection: Option<HttpConnection>) {
         if let Some(mut connection) = connection {
             if connection.settle().await && self.address.get() == Some(address) {
                 self.idle.borrow_mut().push(connection);
@@ -172,8 +172,8 @@
         }
     }
 
-    async fn connect(&self, address: SocketAddr, deadline: Instant) -> Option<Link> {
-        match timeout_at(deadline, Link::connect(address, &self.open_sockets)).await {
+    async fn connect(&self, address: SocketAddr, deadline: Instant) -> Option<HttpConnection> {
+        match timeout_at(deadline, HttpConnection::connect(address, &self.open_sockets)).await {
             Ok(Ok(connection)) => {
                 self.failed_connects.set(0);
                 Some(connection)
@@ -192,7 +192,7 @@
     fn read_answer(
         &self,
         answer: &Response<Bytes>,
-        connection: Link,
+        connection: HttpConnection,
         key: &str,
         target: &str,
     ) -> CounterTotal {
@@ -215,11 +215,11 @@
         }
     }
 
-    fn take_idle(&self) -> Option<Link> {
+    fn take_idle(&self) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.used.elapsed() < IDLE_TIMEOUT);
-        let last_rested = || idle.iter().rposition(Link::rested).map(|index| idle.remove(index));
-        std::iter::from_fn(last_rested).find(Link::usable)
+        let last_rested = || idle.iter().rposition(HttpConnection::rested).map(|index| idle.remove(index));
+        std::iter::from_fn(last_rested).find(HttpConnection::usable)
     }
 
     /// Logs the first malformed answer and then ever fewer: a counter that is broken all day must not fill the log.
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! One call to discovery, and the watch that it becomes.
 
 use super::messages::{Sign, Splitter};
-use crate::upstream::connection::Link;
+use crate::upstream::connection::HttpConnection;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HOST, RETRY_AFTER};
@@ -70,7 +70,7 @@
 
 /// A watch that has given a sign of life.
 pub struct Watch {
-    link: Link,
+    link: HttpConnection,
     body: Incoming,
     splitter: Splitter,
     received: Rc<Cell<u64>>,
@@ -155,8 +155,9 @@
         target
     }
 
-    async fn head(&self) -> Result<(Link, Response<Incoming>), WatchError> {
-        let mut link = Link::connect(self.address, &self.open).await.map_err(WatchError::Connect)?;
+    async fn head(&self) -> Result<(HttpConnection, Response<Incoming>), WatchError> {
+        let mut link =
+            HttpConnection::connect(self.address, &self.open).await.map_err(WatchError::Connect)?;
         let request = Request::get(self.target());
         let request = request.header(HOST, self.address.to_string()).body(Full::default());
         let request = request.map_err(|e| WatchError::Unreadable(e.to_string()))?;
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,4 +1,11 @@
-//! The servers behind the limiter: connections to them, attempts at them, and their health checks.
+//! Connections to the servers: sockets, HTTP/1.1 connections, the pool of idle ones, attempts and health checks.
 
+mod answer;
+pub mod attempt;
 pub mod connection;
+pub mod headers;
+mod health_check;
+mod load_report;
+mod read_ahead;
 pub mod servers;
+pub mod socket;
