--- /dev/null
+++ b/crates/daemon/src/serve/listeners.rs
@@ -0,0 +1,143 @@
+//! The listeners at which clients connect: HTTP always, gRPC where the operator has one.
+
+use super::error::ServeError;
+use crate::listeners::admission::Admission;
+use crate::listeners::grpc::{GrpcServer, Limits};
+use crate::listeners::http::HttpServer;
+use crate::log::log;
+use crate::operator::{self, Operator};
+use crate::startup::{listen, local_address};
+use liftrouter_authz::Mapping;
+use liftrouter_decision::Settings;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::task::{spawn_local, JoinHandle};
+
+/// The listening sockets, bound before anything else is started.
+pub(super) struct BoundListeners {
+    http: TcpListener,
+    http_address: SocketAddr,
+    grpc: Option<BoundGrpc>,
+}
+
+struct BoundGrpc {
+    listener: TcpListener,
+    limits: Limits,
+    mapping: Mapping,
+}
+
+impl BoundListeners {
+    /// Binds all of them.
+    ///
+    /// # Errors
+    /// An address cannot be listened on, or the operator's file does not fit the settings.
+    pub async fn bind(
+        address: SocketAddr,
+        operator: &Operator,
+        settings: &Settings,
+    ) -> Result<Self, ServeError> {
+        let http = listen(address, "").await?;
+        let http_address = local_address(&http)?;
+        operator.check(settings)?;
+        let grpc = match &operator.grpc {
+            Some(grpc) => Some(BoundGrpc::bind(grpc, settings).await?),
+            None => None,
+        };
+        Ok(BoundListeners { http, http_address, grpc })
+    }
+
+    /// Sockets that the gRPC listener may take.
+    pub fn grpc_sockets(&self) -> usize {
+        self.grpc.as_ref().map_or(0, |grpc| grpc.limits.connections + 1)
+    }
+}
+
+impl BoundGrpc {
+    async fn bind(grpc: &operator::Grpc, settings: &Settings) -> Result<Self, ServeError> {
+        let (limits, mapping) = (grpc.limits.clone(), grpc.mapping(settings)?);
+        let listener = listen(limits.listen, " for gRPC").await?;
+        Ok(BoundGrpc { listener, limits, mapping })
+    }
+}
+
+/// A listener, and the task that accepts its connections.
+struct Running<L> {
+    listener: Rc<L>,
+    accept_task: JoinHandle<()>,
+}
+
+/// The running listeners.
+pub(super) struct Listeners {
+    http: Running<HttpServer>,
+    grpc: Option<Running<GrpcServer>>,
+}
+
+impl Listeners {
+    /// Accepts connections from now on, and says so in the log.
+    pub fn start(
+        bound: BoundListeners,
+        admission: &Rc<Admission>,
+        client_sockets: usize,
+        name: String,
+    ) -> Rc<Self> {
+        let http = start_http(bound.http, admission.clone(), client_sockets);
+        let grpc = bound.grpc.map(|grpc| start_grpc(grpc, admission.clone(), name));
+        log("liftrouter", format_args!("listening on {}", bound.http_address));
+        Rc::new(Listeners { http, grpc })
+    }
+
+    /// Admits requests from now on.
+    pub fn set_ready(&self) {
+        self.http.listener.set_ready();
+        if let Some(grpc) = &self.grpc {
+            grpc.listener.set_ready();
+        }
+    }
+
+    /// Begins the graceful shutdown: requests that have come are still answered, and idle connections are closed.
+    pub fn drain(&self) {
+        self.http.listener.drain();
+        if let Some(grpc) = &self.grpc {
+            grpc.listener.drain();
+        }
+    }
+
+    /// Waits until no connection is left.
+    pub async fn all_closed(&self) {
+        self.http.listener.all_closed().await;
+        if let Some(grpc) = &self.grpc {
+            grpc.listener.all_closed().await;
+        }
+    }
+
+    /// Accepts no more connections.
+    pub fn stop_accepting(&self) {
+        self.http.accept_task.abort();
+        if let Some(grpc) = &self.grpc {
+            grpc.accept_task.abort();
+        }
+    }
+}
+
+fn start_http(socket: TcpListener, admission: Rc<Admission>, client_sockets: usize) -> Running<HttpServer> {
+    let listener = HttpServer::new(admission, client_sockets);
+    let accept_task = spawn_local({
+        let listener = listener.clone();
+        async move { listener.accept(socket).await }
+    });
+    Running { listener, accept_task }
+}
+
+fn start_grpc(bound: BoundGrpc, admission: Rc<Admission>, name: String) -> Running<GrpcServer> {
+    let BoundGrpc { listener: socket, limits, mapping } = bound;
+    let listener = GrpcServer::new(admission, limits, mapping, name);
+    if let Ok(address) = socket.local_addr() {
+        log("liftrouter", format_args!("gRPC on {address}"));
+    }
+    let accept_task = spawn_local({
+        let listener = listener.clone();
+        async move { listener.accept(socket).await }
+    });
+    Running { listener, accept_task }
+}
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -9,14 +9,16 @@
 //! refused where the queue is long, and costs the service work even when its caller has gone away. So there is one
 //! call at a time, with exponential backoff, jitter and a retry budget, and a list that cannot be confirmed expires.
 //! [Relays](Delivery::Relayed) are called as sparingly, each time another one; a list from them expires later, which
-//! says that it is stale.
+//! marks it as stale.
 
 mod backoff;
 mod freshness;
 mod schedule;
 
 pub use freshness::{EXPIRY, EXPIRY_AFTER_MOVE, EXPIRY_RELAYED};
-pub use schedule::{CallId, CALL_TIMEOUT_ON_REQUEST, CALL_TIMEOUT_PUSHED, SILENCE, SILENCE_RELAYED};
+pub use schedule::{
+    CallId, CALL_TIMEOUT_ON_REQUEST, CALL_TIMEOUT_PUSHED, HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_RELAYED,
+};
 
 use freshness::Freshness;
 use schedule::Schedule;
@@ -33,7 +35,7 @@
     Relayed,
 }
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// The service refused it, and may have said after what time to retry.
@@ -56,7 +58,7 @@
     CallFailed(CallId, CallFailure),
     /// The first message of a call has come: its watch is followed now, and all other calls were dropped.
     WatchOpened,
-    /// The followed watch gave a sign of life: a whole message, or an empty line.
+    /// The followed watch gave a heartbeat: a complete message, or an empty line.
     Heartbeat,
     /// The followed watch ended or broke.
     WatchClosed,
@@ -72,17 +74,17 @@
 }
 
 impl Follower {
-    /// One that has heard nothing yet. The seed spreads the retries of several limiters.
+    /// A follower that has no list yet. The seed spreads the retries of several limiters.
     pub fn new(delivery: Delivery, seed: u64) -> Self {
         Follower { schedule: Schedule::new(delivery, seed), freshness: Freshness::new(delivery) }
     }
 
-    /// Takes in what happened.
+    /// Records an event.
     pub fn handle(&mut self, now: Duration, event: Event) {
         self.handle_aged(now, event, Duration::ZERO);
     }
 
-    /// The same where a sign of life says that the sender's own list was last confirmed so long ago.
+    /// The same where a heartbeat says that the sender's own list was last confirmed so long ago.
     pub fn handle_aged(&mut self, now: Duration, event: Event, confirmed_ago: Duration) {
         self.freshness.handle(now, event, confirmed_ago);
         self.schedule.handle(now, event);
@@ -93,9 +95,9 @@
         self.schedule.next_call(self.freshness.expires_at())
     }
 
-    /// A watch that gives no sign of life for so long is broken; so is one that begins with none.
-    pub fn silence(&self) -> Duration {
-        self.schedule.silence()
+    /// A watch without a heartbeat for this long is broken; so is one that does not begin with one.
+    pub fn heartbeat_timeout(&self) -> Duration {
+        self.schedule.heartbeat_timeout()
     }
 
     /// How long a call may take until the head of its answer.
