--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -2,7 +2,7 @@
 
 use super::watch_event::{FramingError, WatchDecoder, WatchEvent};
 use super::watch_request::WatchRequest;
-use crate::upstream::connection::Link;
+use crate::upstream::connection::HttpConnection;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HOST, RETRY_AFTER};
@@ -76,7 +76,7 @@
 
 /// A watch that has given a heartbeat.
 pub struct Watch {
-    link: Link,
+    link: HttpConnection,
     body: Incoming,
     decoder: WatchDecoder,
     received_bytes: Rc<Cell<u64>>,
@@ -151,9 +151,10 @@
         Ok((watch, update))
     }
 
-    async fn head(&self) -> Result<(Link, Response<Incoming>), WatchError> {
-        let mut link =
-            Link::connect(self.address, &self.open_connections).await.map_err(WatchError::Connect)?;
+    async fn head(&self) -> Result<(HttpConnection, Response<Incoming>), WatchError> {
+        let mut link = HttpConnection::connect(self.address, &self.open_connections)
+            .await
+            .map_err(WatchError::Connect)?;
         let request = Request::get(self.request.target());
         let request = request.header(HOST, self.address.to_string()).body(Full::default());
         let request = request.map_err(WatchError::Request)?;
