--- a/crates/daemon/tests/asked.rs
+++ b/crates/daemon/tests/asked.rs
@@ -1,7 +1,8 @@
 //! The real binary and a discovery that is asked over the network: of limited capacity, and out of order.
 mod common;
 
-use common::asked::*;
+use common::asked::timed_server::{marked_quote, senders, Arrival, TimedServer};
+use common::asked::{start_limiter, Call, Conduct, Cost, Heartbeat, OnRequestDiscovery, Outcome};
 use common::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -2,26 +2,24 @@
 //!
 //! Each limiter has a listening address of its own, so that calls, refusals and heartbeats are counted per
 //! limiter; all addresses share the queue and the list.
-use super::{chunk, command, instance, ok, raw, scratch, update, Fake, Limiter, Message, WATCH_HEAD};
+
+mod connection;
+pub mod timed_server;
+
+use crate::common::{command, instance, scratch, update, Limiter, Message};
+use connection::Connection;
 use serde_json::{json, Value};
-use std::collections::{HashMap, HashSet};
-use std::io::{BufReader, ErrorKind, Write};
+use std::collections::HashMap;
+use std::io::BufReader;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// A call whose answer would take longer than this is refused at once.
 const OVERBOOK_BOUND: Duration = Duration::from_secs(2);
-/// An empty line is written after so long without a message.
-const EMPTY_LINE_PERIOD: Duration = Duration::from_secs(2);
-/// How often a waiting connection looks at the state.
-const POLL: Duration = Duration::from_millis(5);
 /// The generation of the first list, in which every server is in service.
 const FIRST_GENERATION: u64 = 10;
-/// Begins the correlation id of each request of an asker; the limiter's number and a serial number follow.
-const ID_MARK: &str = "7e57";
 
 /// What answering a call takes of the service.
 #[derive(Clone, Copy)]
@@ -332,194 +330,6 @@
     }
 }
 
-/// A connection on which a call has come.
-struct Connection<'a> {
-    service: &'a OnRequestDiscovery,
-    stream: &'a TcpStream,
-    limiter: usize,
-    front: SocketAddr,
-    call: usize,
-}
-
-impl Connection<'_> {
-    fn answer(&self, after: Option<u64>, conduct: Conduct) {
-        match conduct {
-            Conduct::Hang => {
-                self.wait_until(None);
-            }
-            Conduct::Close => self.finish(Outcome::Cut),
-            Conduct::Refuse(advice) => self.refuse(advice),
-            Conduct::CutInHead => {
-                let (begun, _) = WATCH_HEAD.split_at(WATCH_HEAD.len() / 2);
-                self.finish(Outcome::Cut);
-                self.write(begun);
-            }
-            Conduct::CutInMessage => {
-                let whole = {
-                    let state = self.service.state();
-                    chunk(&state.message(None, conduct).expect("a whole list").line)
-                };
-                self.finish(Outcome::Cut);
-                self.write(WATCH_HEAD);
-                self.write(&whole[..whole.len() / 2]);
-            }
-            Conduct::AnswerAfter(pause) => {
-                if self.wait_until(Some(Instant::now() + pause)) {
-                    self.serve(after, Conduct::Serve);
-                }
-            }
-            Conduct::Serve | Conduct::OlderList | Conduct::LeaveOutDraining => self.serve(after, conduct),
-        }
-    }
-
-    fn refuse(&self, advice: Option<&str>) {
-        let header = advice.map(|after| format!("Retry-After: {after}\r\n")).unwrap_or_default();
-        self.finish(Outcome::Refused);
-        self.write(&raw("503 Service Unavailable", &header, "overbooked"));
-    }
-
-    /// Answers in turn, and follows the list from there on.
-    fn serve(&self, after: Option<u64>, conduct: Conduct) {
-        let booked = {
-            let mut state = self.service.state();
-            let lines = state.message(after, conduct).map_or(0, |text| text.lines);
-            state.book(lines)
-        };
-        let Some(ready) = booked else { return self.refuse(None) };
-        // The work is done whether or not the caller waits for it.
-        if !self.wait_until(Some(ready)) {
-            return;
-        }
-        let (number, mut sent, first) = {
-            let mut state = self.service.state();
-            let number = state.next_watch;
-            state.next_watch += 1;
-            let first = state.message(after, conduct);
-            let generation = state.generation;
-            (number, generation, first)
-        };
-        self.finish(Outcome::Answered);
-        self.write(WATCH_HEAD);
-        if let Some(text) = first {
-            sent = sent.max(text.generation);
-            self.send(&text);
-        }
-        let mut spoke = Instant::now();
-        while !self.has_left() {
-            let (ends, silent, next) = {
-                let state = self.service.state();
-                let next =
-                    if state.generation > sent { state.message(Some(sent), Conduct::Serve) } else { None };
-                (number < state.ended_below, number < state.silent_below, next)
-            };
-            if ends {
-                return;
-            }
-            if !silent {
-                if let Some(text) = next {
-                    sent = text.generation;
-                    self.send(&text);
-                    spoke = Instant::now();
-                } else if spoke.elapsed() >= EMPTY_LINE_PERIOD {
-                    self.record_heartbeat(&[]);
-                    self.write("1\r\n\n\r\n");
-                    spoke = Instant::now();
-                }
-            }
-            thread::sleep(POLL);
-        }
-    }
-
-    fn send(&self, text: &Text) {
-        self.record_heartbeat(&text.drained);
-        self.write(&chunk(&text.line));
-    }
-
-    /// Records a heartbeat, and the drains that it announces, just before it is written.
-    fn record_heartbeat(&self, drained: &[usize]) {
-        if self.has_left() {
-            return;
-        }
-        let mut state = self.service.state();
-        let at = Instant::now();
-        state.heartbeats.push(Heartbeat { limiter: self.limiter, front: self.front, at });
-        for server in drained {
-            state.notified.entry((self.limiter, *server)).or_insert(at);
-        }
-    }
-
-    fn finish(&self, outcome: Outcome) {
-        self.service.state().finish(self.call, outcome);
-    }
-
-    fn write(&self, text: &str) {
-        // The texts are short: they always fit.
-        let _ = (&mut &*self.stream).write_all(text.as_bytes());
-    }
-
-    fn has_left(&self) -> bool {
-        match self.stream.peek(&mut [0]) {
-            Ok(read) => read == 0,
-            Err(e) => e.kind() != ErrorKind::WouldBlock,
-        }
-    }
-
-    /// Waits until then, or for ever; false if the limiter left before.
-    fn wait_until(&self, end: Option<Instant>) -> bool {
-        while end.is_none_or(|end| Instant::now() < end) {
-            if self.has_left() {
-                self.finish(Outcome::Abandoned);
-                return false;
-            }
-            thread::sleep(POLL);
-        }
-        true
-    }
-}
-
-/// A request as it came to a server.
-#[derive(Clone, Debug)]
-pub struct Arrival {
-    /// Who sent it, where the request says.
-    pub limiter: Option<usize>,
-    pub at: Instant,
-    pub first: String,
-}
-
-/// A server that answers its name and notes when requests come.
-pub struct TimedServer {
-    pub fake: Fake,
-    arrivals: Arc<Mutex<Vec<Arrival>>>,
-    work_ms: Arc<AtomicU64>,
-}
-
-impl TimedServer {
-    pub fn new(name: &'static str) -> TimedServer {
-        let arrivals: Arc<Mutex<Vec<Arrival>>> = Arc::default();
-        let work_ms: Arc<AtomicU64> = Arc::default();
-        let (noted, work) = (arrivals.clone(), work_ms.clone());
-        let fake = Fake::new(move |request| {
-            let id = request.header("x-correlation-id").unwrap_or_default();
-            let number = id.strip_prefix(ID_MARK).and_then(|rest| rest.get(..4));
-            let limiter = number.and_then(|digits| usize::from_str_radix(digits, 16).ok());
-            let arrival = Arrival { limiter, at: Instant::now(), first: request.first.clone() };
-            noted.lock().expect("lock").push(arrival);
-            thread::sleep(Duration::from_millis(work.load(Ordering::SeqCst)));
-            ok(name)
-        });
-        TimedServer { fake, arrivals, work_ms }
-    }
-
-    /// From now on a request takes so long.
-    pub fn take(&self, work: Duration) {
-        self.work_ms.store(work.as_millis() as u64, Ordering::SeqCst);
-    }
-
-    pub fn arrivals(&self) -> Vec<Arrival> {
-        self.arrivals.lock().expect("lock").clone()
-    }
-}
-
 /// Starts a limiter with a list that it had before and a seed of its own, and does not wait until it is ready.
 pub fn start_limiter(seed: u64, known: &str, settings: &Value, front: SocketAddr) -> Limiter {
     let known: Value = serde_json::from_str(known).expect("a list");
@@ -528,17 +338,3 @@
     let file = scratch(&config.to_string());
     Limiter::spawn(command(), file, config, front)
 }
-
-/// The text of a request that tells which limiter it was sent to.
-pub fn marked_quote(limiter: usize, serial: usize) -> String {
-    format!(
-        "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1\r\nHost: api.internal\r\n\
-         X-Correlation-Id: {ID_MARK}{limiter:04x}{serial:08x}\r\nX-Contract: roomy\r\nX-Time-Left: 9000m\r\n\
-         X-Metering: units=1,spread=1,first=0\r\n\r\n"
-    )
-}
-
-/// The limiters among these arrivals.
-pub fn senders(arrivals: &[Arrival]) -> HashSet<usize> {
-    arrivals.iter().filter_map(|a| a.limiter).collect()
-}
--- /dev/null
+++ b/crates/daemon/tests/common/relays/limiter.rs
@@ -0,0 +1,124 @@
+//! Limiters that follow services by relays, and requests to them.
+
+use super::{lock, LOAD_PAUSE};
+use crate::common::asked::timed_server::TimedServer;
+use crate::common::{
+    command, counter, discovery, quote, scratch, settings, wait_until, Client, Fake, Limiter, Message,
+};
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::thread::JoinHandle;
+use std::time::Instant;
+
+/// A limiter that follows services by relays. Discovery must not be asked.
+pub struct FollowingLimiter {
+    pub limiter: Limiter,
+    pub discovery: Fake,
+    operator_file: std::path::PathBuf,
+    _counter: Fake,
+}
+
+impl FollowingLimiter {
+    /// Starts one and waits until it is ready.
+    pub fn start(relays: &[SocketAddr], services: &[&str]) -> FollowingLimiter {
+        let following = FollowingLimiter::spawn(relays, services, None);
+        wait_until("the limiter is up", || following.limiter.up());
+        following
+    }
+
+    /// Starts one with a configured list, if any, and does not wait.
+    pub fn spawn(relays: &[SocketAddr], services: &[&str], known: Option<Value>) -> FollowingLimiter {
+        let addresses: Vec<String> = relays.iter().map(ToString::to_string).collect();
+        let text = format!("[relays]\naddresses = {addresses:?}\nservices = {services:?}\n");
+        FollowingLimiter::with_operator(&text, known)
+    }
+
+    /// The same behind the relays of several regions, each with its name.
+    pub fn of_regions(regions: &[(&str, SocketAddr)], known: Option<Value>) -> FollowingLimiter {
+        let region = |(name, address): &(&str, SocketAddr)| {
+            format!("[[relays.region]]\nname = {name:?}\naddresses = ['{address}']\n")
+        };
+        FollowingLimiter::with_operator(&regions.iter().map(region).collect::<String>(), known)
+    }
+
+    fn with_operator(text: &str, known: Option<Value>) -> FollowingLimiter {
+        let operator_file = scratch(text);
+        let (discovery, counter) = (discovery(Vec::new()), counter());
+        let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
+            "discovery": discovery.address.to_string(), "counter": counter.address.to_string(),
+            "settings": settings()});
+        if let Some(known) = known {
+            config["known"] = known;
+        }
+        let file = scratch(&config.to_string());
+        let mut command = command();
+        command.arg("--operator").arg(&operator_file);
+        let limiter = Limiter::spawn(command, file, config, discovery.address);
+        FollowingLimiter { limiter, discovery, operator_file, _counter: counter }
+    }
+
+    /// The answer to one request.
+    pub fn ask(&self) -> Message {
+        self.limiter.client().ask(&quote("roomy", 9_000))
+    }
+
+    /// Asks until this server answers.
+    pub fn wait_for_server(&self, name: &str) {
+        wait_until("the server answers", || self.ask().text() == name);
+    }
+
+    pub fn log(&self) -> String {
+        self.limiter.errors()
+    }
+}
+
+impl Drop for FollowingLimiter {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.operator_file);
+    }
+}
+
+/// Requests that come to a limiter all the time.
+pub struct Load {
+    stop: Arc<AtomicBool>,
+    statuses: Arc<Mutex<Vec<u16>>>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Load {
+    pub fn on(limiter: &FollowingLimiter) -> Load {
+        let address = limiter.limiter.address;
+        let (stop, statuses): (Arc<AtomicBool>, Arc<Mutex<Vec<u16>>>) = Default::default();
+        let (stopped, noted) = (stop.clone(), statuses.clone());
+        let thread = thread::spawn(move || {
+            while !stopped.load(Ordering::SeqCst) {
+                let status = Client::to(address).ask(&quote("roomy", 9_000)).status();
+                lock(&noted).push(status);
+                thread::sleep(LOAD_PAUSE);
+            }
+        });
+        Load { stop, statuses, thread: Some(thread) }
+    }
+
+    /// How the requests were answered so far.
+    pub fn statuses(&self) -> Vec<u16> {
+        lock(&self.statuses).clone()
+    }
+}
+
+impl Drop for Load {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::SeqCst);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+/// Requests that came to a server after a moment.
+pub fn arrivals_after(server: &TimedServer, moment: Instant) -> usize {
+    server.arrivals().iter().filter(|arrival| arrival.at > moment).count()
+}
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -3,8 +3,14 @@
 #[path = "relays/regions.rs"]
 mod regions;
 
-use common::asked::TimedServer;
-use common::relays::*;
+use common::asked::timed_server::TimedServer;
+use common::relays::limiter::{arrivals_after, FollowingLimiter, Load};
+use common::relays::proxy::WatchProxy;
+use common::relays::relay::Relay;
+use common::relays::service_discovery::{after_of, ServiceDiscovery};
+use common::relays::subscriber::{RawSubscriber, Received};
+use common::relays::watch::watch_target;
+use common::relays::{draining, server, unreachable_server, weighted, FIRST_GENERATION, HEARTBEAT};
 use common::*;
 use liftrouter_catalog::{Instance, Update};
 use liftrouter_discovery::HEARTBEAT_TIMEOUT_RELAYED;
--- a/crates/daemon/tests/relays/regions.rs
+++ b/crates/daemon/tests/relays/regions.rs
@@ -1,8 +1,13 @@
 //! Two regions, each with discovery and a relay of its own, and a limiter that follows both: while one cannot be
 //! reached each goes on by itself, and what it changed meanwhile comes as a delta.
 
-use crate::common::asked::TimedServer;
-use crate::common::relays::*;
+use crate::common::asked::timed_server::TimedServer;
+use crate::common::relays::limiter::{arrivals_after, FollowingLimiter, Load};
+use crate::common::relays::proxy::WatchProxy;
+use crate::common::relays::relay::Relay;
+use crate::common::relays::service_discovery::{after_of, ServiceDiscovery};
+use crate::common::relays::watch::watch_target;
+use crate::common::relays::{draining, server, FIRST_GENERATION};
 use crate::common::*;
 use liftrouter_catalog::Instance;
 use serde_json::json;
