--- a/crates/daemon/src/authoriser/error.rs
+++ b/crates/daemon/src/authoriser/error.rs
@@ -1,5 +1,8 @@
 //! Why a check request got no decision.
 
+#[cfg(test)]
+mod tests;
+
 use hyper::header::{HeaderMap, HeaderValue};
 use liftrouter_authz::WrongFrame;
 use std::error::Error;
--- a/crates/daemon/src/authoriser/mod.rs
+++ b/crates/daemon/src/authoriser/mod.rs
@@ -16,7 +16,6 @@
 
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
 use liftrouter_authz::Verdict;
-use std::rc::Rc;
 use tokio::time::Instant;
 
 /// What an authoriser would be asked about a request.
@@ -42,7 +41,7 @@
 
 /// All authorisers, by the classes whose requests they are asked about.
 pub struct Authorisers {
-    list: Vec<Rc<Authoriser>>,
+    list: Vec<Authoriser>,
     /// The name that this limiter gives itself, to detect check requests that come back to it.
     instance_name: String,
 }
@@ -50,12 +49,12 @@
 impl Authorisers {
     /// Clients of the authorisers that the operator names; none connects before it is asked.
     pub fn new(settings: Vec<AuthoriserSettings>, instance_name: String) -> Authorisers {
-        let list = settings.into_iter().map(|settings| Rc::new(Authoriser::new(settings))).collect();
+        let list = settings.into_iter().map(Authoriser::new).collect();
         Authorisers { list, instance_name }
     }
 
     /// The authoriser that a class names, and what becomes of a request that it does not decide.
-    pub fn for_class(&self, class: &str) -> Option<(&Rc<Authoriser>, WhenUnsure)> {
+    pub fn for_class(&self, class: &str) -> Option<(&Authoriser, WhenUnsure)> {
         self.list.iter().find_map(|authoriser| Some((authoriser, *authoriser.settings.classes.get(class)?)))
     }
 
--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -120,7 +120,7 @@
 
     async fn authorise(
         &self,
-        authoriser: &Rc<Authoriser>,
+        authoriser: &Authoriser,
         when_unsure: WhenUnsure,
         request: &AuthorisationRequest<'_>,
     ) -> Authorised {
--- a/crates/daemon/src/listeners/fields.rs
+++ b/crates/daemon/src/listeners/fields.rs
@@ -2,6 +2,9 @@
 //!
 //! A request whose fields fail here reaches neither the decisions, whose totals go by customer, nor a server.
 
+#[cfg(test)]
+mod tests;
+
 use crate::number::read_number;
 use liftrouter_decision::{Class, Settings};
 use std::time::Duration;
--- a/crates/daemon/src/listeners/http/rejection.rs
+++ b/crates/daemon/src/listeners/http/rejection.rs
@@ -1,5 +1,8 @@
 //! Requests that are answered before the host hears of them.
 
+#[cfg(test)]
+mod tests;
+
 use hyper::StatusCode;
 use std::fmt;
 
--- a/crates/daemon/tests/authoriser.rs
+++ b/crates/daemon/tests/authoriser.rs
@@ -35,7 +35,7 @@
 }
 
 fn always(message: CheckResponse) -> FakeAuthoriser {
-    FakeAuthoriser::new(move |put| vec![Say::Write(answer(put.stream, &message))])
+    FakeAuthoriser::new(move |received| vec![Action::Write(answer(received.stream, &message))])
 }
 
 /// `quote` goes on where there is no answer to go by, `bind` is refused.
@@ -103,7 +103,7 @@
         assert!(matches!(all(own).as_slice(), [one] if one != "evil"), "{own}: {:?}", all(own));
     }
     // And what it was asked is the request.
-    let question = authoriser.questions().pop().expect("a question");
+    let question = authoriser.check_requests().pop().expect("a check request");
     let http = question.attributes.and_then(|a| a.request).and_then(|r| r.http).expect("a request");
     assert_eq!((http.method.as_str(), http.path.as_str()), ("POST", "/bind/00000000b4d65521"));
     assert_eq!((http.size, http.host.as_str(), http.protocol.as_str()), (2, "api.internal", "HTTP/1.1"));
@@ -121,9 +121,9 @@
     let denying = Arc::new(AtomicBool::new(true));
     let rule = denying.clone();
     let no = response(7, Some(HttpResponse::DeniedResponse(denied)));
-    let authoriser = FakeAuthoriser::new(move |put| {
+    let authoriser = FakeAuthoriser::new(move |received| {
         let message = if rule.load(Ordering::SeqCst) { no.clone() } else { allow() };
-        vec![Say::Write(answer(put.stream, &message))]
+        vec![Action::Write(answer(received.stream, &message))]
     });
     let server = server();
     let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{}", operator_text(authoriser.address, ""));
@@ -137,13 +137,13 @@
         assert_eq!((answer.status(), answer.text().as_str()), (451, "not here\n"));
         assert_eq!(answer.header("x-why"), Some("law"));
     }
-    let caller = Caller::new(limiter.grpc.expect("a front"));
-    let (denied, code) = caller.ask(&question("quote", "roomy", 4)).denied().expect("denied");
+    let grpc_client = GrpcClient::new(limiter.grpc.expect("a gRPC listener"));
+    let (denied, code) = grpc_client.ask(&check_request("quote", "roomy", 4)).denied().expect("denied");
     assert_eq!((denied.status.map(|s| s.code), code, denied.body.as_str()), (Some(451), 7, "not here\n"));
     assert_eq!(server.count(), 0);
     // The bucket is as it was: four units.
     denying.store(false, Ordering::SeqCst);
-    assert!(caller.permitted(&question("quote", "roomy", 4)));
+    assert!(grpc_client.permitted(&check_request("quote", "roomy", 4)));
     assert_eq!(client.ask(&quote("roomy", 1_900)).status(), 429);
 }
 
@@ -153,7 +153,7 @@
     let server = server();
     let limiter = limiter(&authoriser, "timeout_ms = 50\n", &server);
     assert_eq!(ask_quote_and_bind(&limiter), (200, 429));
-    wait_until("both questions are taken back", || authoriser.resets().len() == 2);
+    wait_until("both check requests are taken back", || authoriser.resets().len() == 2);
     // A request that has less time than a question: one answer, and nothing is sent after it.
     let slow = FakeAuthoriser::new(|_| Vec::new());
     let limiter = self::limiter(&slow, "timeout_ms = 5000\n", &server);
@@ -164,9 +164,9 @@
 
 #[test]
 fn a_client_disconnect_resets_its_check_request_and_a_late_response_is_ignored() {
-    let authoriser = FakeAuthoriser::new(|put| {
-        let late = Say::Wait(Duration::from_millis(if put.number == 0 { 300 } else { 0 }));
-        vec![late, Say::Write(answer(put.stream, &allow()))]
+    let authoriser = FakeAuthoriser::new(|received| {
+        let late = Action::Wait(Duration::from_millis(if received.number == 0 { 300 } else { 0 }));
+        vec![late, Action::Write(answer(received.stream, &allow()))]
     });
     let server = server();
     let mut small = settings();
@@ -189,9 +189,9 @@
 fn a_stream_reset_during_a_decision_uses_no_quota() {
     let silent = Arc::new(AtomicBool::new(true));
     let rule = silent.clone();
-    let authoriser = FakeAuthoriser::new(move |put| {
+    let authoriser = FakeAuthoriser::new(move |received| {
         let say = !rule.load(Ordering::SeqCst);
-        say.then(|| Say::Write(answer(put.stream, &allow()))).into_iter().collect()
+        say.then(|| Action::Write(answer(received.stream, &allow()))).into_iter().collect()
     });
     let server = server();
     let mut small = settings();
@@ -200,23 +200,23 @@
     let text = operator_text(authoriser.address, "timeout_ms = 10000\n");
     let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{text}");
     let limiter = Limiter::with_operator_text(&text, small, &[&server]);
-    let address = limiter.grpc.expect("a front");
-    let mut raw = Raw::new(address, &[]);
+    let address = limiter.grpc.expect("a gRPC listener");
+    let mut raw = RawConnection::new(address, &[]);
     for n in 0..3 {
         let stream = 2 * n + 1;
-        raw.ask(stream, &question("quote", "roomy", 4));
+        raw.ask(stream, &check_request("quote", "roomy", 4));
         wait_until("it is asked", || authoriser.count() == n as usize + 1);
         raw.send(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
         wait_until("the question is taken back", || authoriser.resets().len() == n as usize + 1);
     }
     // The same with the whole connection.
-    raw.ask(7, &question("quote", "roomy", 4));
+    raw.ask(7, &check_request("quote", "roomy", 4));
     wait_until("it is asked", || authoriser.count() == 4);
     drop(raw);
     wait_until("the question is taken back", || authoriser.resets().len() == 4);
     silent.store(false, Ordering::SeqCst);
     // Neither its units nor its place under the cap are gone.
-    assert!(Caller::new(address).permitted(&question("quote", "roomy", 4)));
+    assert!(GrpcClient::new(address).permitted(&check_request("quote", "roomy", 4)));
 }
 
 #[test]
@@ -226,8 +226,8 @@
     let text = operator_text(authoriser.address, "timeout_ms = 10000\n");
     let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{text}");
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
-    let mut raw = Raw::new(limiter.grpc.expect("a front"), &[]);
-    let q = question("quote", "roomy", 1);
+    let mut raw = RawConnection::new(limiter.grpc.expect("a gRPC listener"), &[]);
+    let q = check_request("quote", "roomy", 1);
     raw.ask(1, &q);
     wait_until("it is asked", || authoriser.count() == 1);
     let http = q.attributes.and_then(|a| a.request).and_then(|r| r.http).expect("a request");
@@ -243,11 +243,13 @@
 fn the_circuit_breaker_opens_for_a_failing_authoriser_and_closes_again() {
     let down = Arc::new(AtomicBool::new(true));
     let rule = down.clone();
-    let authoriser = FakeAuthoriser::new(move |put| {
+    let authoriser = FakeAuthoriser::new(move |received| {
         if rule.load(Ordering::SeqCst) {
-            return vec![Say::Write([answer_head(put.stream), answer_status(put.stream, "14")].concat())];
+            return vec![Action::Write(
+                [answer_head(received.stream), answer_status(received.stream, "14")].concat(),
+            )];
         }
-        vec![Say::Write(answer(put.stream, &allow()))]
+        vec![Action::Write(answer(received.stream, &allow()))]
     });
     let server = server();
     let more = "failures = 3\nrest_ms = 2000\nmost_rest_ms = 2000\ntimeout_ms = 5000\n";
@@ -269,11 +271,11 @@
 
 #[test]
 fn a_breaker_trial_whose_client_disconnects_does_not_delay_the_next() {
-    let authoriser = FakeAuthoriser::new(|put| match put.number {
-        0 => vec![Say::Write(wire::trailers_only(put.stream, "14"))],
+    let authoriser = FakeAuthoriser::new(|received| match received.number {
+        0 => vec![Action::Write(wire::trailers_only(received.stream, "14"))],
         // The try.
         1 => Vec::new(),
-        _ => vec![Say::Write(answer(put.stream, &allow()))],
+        _ => vec![Action::Write(answer(received.stream, &allow()))],
     });
     let server = server();
     let limiter = limiter(&authoriser, "failures = 1\nrest_ms = 100\ntimeout_ms = 60000\n", &server);
@@ -328,9 +330,9 @@
     assert_eq!(ask_quote_and_bind(&limiter), (200, 429));
     assert_eq!(server.count(), 1);
     // And for a question that came from outside.
-    let caller = Caller::new(free);
-    assert!(caller.permitted(&question("quote", "roomy", 1)));
-    let refused = caller.ask(&question("bind", "roomy", 1)).denied().expect("denied");
+    let grpc_client = GrpcClient::new(free);
+    assert!(grpc_client.permitted(&check_request("quote", "roomy", 1)));
+    let refused = grpc_client.ask(&check_request("bind", "roomy", 1)).denied().expect("denied");
     assert_eq!(refused.1, 8);
     // FAILED_PRECONDITION: known by its name, not only by the id that is open.
     wait_until("the breaker says why", || limiter.errors().contains("grpc-status 9, expected 0"));
@@ -340,7 +342,7 @@
 fn one_limiter_may_authorise_for_another() {
     let server = server();
     let second = Limiter::with_operator_text("[grpc]\nlisten = '127.0.0.1:0'\n", settings(), &[&server]);
-    let address = second.grpc.expect("a front");
+    let address = second.grpc.expect("a gRPC listener");
     let first =
         Limiter::with_operator_text(&operator_text(address, "timeout_ms = 5000\n"), settings(), &[&server]);
     // Both quotas decide: plan `small` holds four.
@@ -352,8 +354,8 @@
 
 #[test]
 fn graceful_shutdown_waits_for_the_authorisers_decision() {
-    let authoriser = FakeAuthoriser::new(|put| {
-        vec![Say::Wait(Duration::from_millis(900)), Say::Write(answer(put.stream, &allow()))]
+    let authoriser = FakeAuthoriser::new(|received| {
+        vec![Action::Wait(Duration::from_millis(900)), Action::Write(answer(received.stream, &allow()))]
     });
     let server = server();
     let text = format!(
@@ -361,10 +363,10 @@
         operator_text(authoriser.address, "timeout_ms = 5000\n")
     );
     let mut limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
-    let mut raw = Raw::new(limiter.grpc.expect("a front"), &[]);
+    let mut raw = RawConnection::new(limiter.grpc.expect("a gRPC listener"), &[]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 9_000));
-    raw.ask(1, &question("bind", "roomy", 1));
+    raw.ask(1, &check_request("bind", "roomy", 1));
     wait_until("one is asked", || authoriser.count() >= 1);
     limiter.terminate();
     assert_eq!(client.answer().expect("an answer").status(), 200);
--- a/crates/daemon/tests/authoriser/connections.rs
+++ b/crates/daemon/tests/authoriser/connections.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn a_check_request_that_was_not_seen_is_retried_once() {
-    let refused = FakeAuthoriser::new(|put| {
-        let refusal = raw_frame(RST_STREAM, 0, put.stream, &REFUSED_STREAM.to_be_bytes());
-        vec![Say::Write(if put.number == 0 { refusal } else { answer(put.stream, &allow()) })]
+    let refused = FakeAuthoriser::new(|received| {
+        let refusal = raw_frame(RST_STREAM, 0, received.stream, &REFUSED_STREAM.to_be_bytes());
+        vec![Action::Write(if received.number == 0 { refusal } else { answer(received.stream, &allow()) })]
     });
     // Above the last id of a GOAWAY: those were not seen (RFC 9113, 6.8).
-    let above = FakeAuthoriser::new(|put| {
-        vec![Say::Write(if put.number == 0 { goaway(0) } else { answer(put.stream, &allow()) })]
+    let above = FakeAuthoriser::new(|received| {
+        vec![Action::Write(if received.number == 0 { goaway(0) } else { answer(received.stream, &allow()) })]
     });
     for (authoriser, connections) in [(refused, 1), (above, 2)] {
         let server = server();
@@ -22,9 +22,9 @@
 
 #[test]
 fn a_stream_up_to_the_last_id_of_a_goaway_is_awaited_and_not_retried() {
-    let comes = FakeAuthoriser::new(|put| {
-        let pause = Say::Wait(Duration::from_millis(50));
-        vec![Say::Write(goaway(put.stream)), pause, Say::Write(answer(put.stream, &allow()))]
+    let comes = FakeAuthoriser::new(|received| {
+        let pause = Action::Wait(Duration::from_millis(50));
+        vec![Action::Write(goaway(received.stream)), pause, Action::Write(answer(received.stream, &allow()))]
     });
     let server = server();
     let limiter = limiter(&comes, "timeout_ms = 5000\n", &server);
@@ -33,7 +33,7 @@
     assert_eq!(limiter.client().ask(&post("bind", "{}")).status(), 200);
     assert_eq!((comes.count(), comes.connections()), (2, 2));
     // It may have run: whoever ends the connection then is not asked again.
-    let dies = FakeAuthoriser::new(|put| vec![Say::Write(goaway(put.stream)), Say::Close]);
+    let dies = FakeAuthoriser::new(|received| vec![Action::Write(goaway(received.stream)), Action::Close]);
     let limiter = self::limiter(&dies, "timeout_ms = 5000\n", &server);
     assert_eq!(limiter.client().ask(&post("bind", "{}")).status(), 429);
     assert_eq!(dies.count(), 1);
@@ -41,7 +41,8 @@
 
 #[test]
 fn a_lost_connection_leaves_each_of_a_hundred_requests_with_one_answer() {
-    let authoriser = FakeAuthoriser::new(|put| if put.number == 99 { vec![Say::Close] } else { Vec::new() });
+    let authoriser =
+        FakeAuthoriser::new(|received| if received.number == 99 { vec![Action::Close] } else { Vec::new() });
     let server = server();
     let text = operator_text(authoriser.address, "timeout_ms = 10000\nquestions = 200\n");
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
@@ -73,9 +74,9 @@
 #[test]
 fn a_silent_connection_is_replaced() {
     // The first connection takes everything and says nothing, like one whose other end vanished.
-    let authoriser = FakeAuthoriser::new(|put| {
-        let says = put.connection > 0;
-        says.then(|| Say::Write(answer(put.stream, &allow()))).into_iter().collect()
+    let authoriser = FakeAuthoriser::new(|received| {
+        let says = received.connection > 0;
+        says.then(|| Action::Write(answer(received.stream, &allow()))).into_iter().collect()
     });
     let server = server();
     let limiter = limiter(&authoriser, "timeout_ms = 50\nfailures = 1000\n", &server);
--- a/crates/daemon/tests/authoriser/unusable.rs
+++ b/crates/daemon/tests/authoriser/unusable.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// The frames with which an authoriser answers a stream.
-type Rule = fn(u32) -> Vec<Say>;
+type Rule = fn(u32) -> Vec<Action>;
 
-fn say(parts: &[Vec<u8>]) -> Vec<Say> {
-    vec![Say::Write(parts.concat())]
+fn say(parts: &[Vec<u8>]) -> Vec<Action> {
+    vec![Action::Write(parts.concat())]
 }
 
 fn data(stream: u32, payload: &[u8]) -> Vec<u8> {
@@ -77,13 +77,13 @@
     }),
     ("reset", |stream| say(&[answer_head(stream), raw_frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes())])),
     ("bytes that are no HTTP/2", |_| say(&[vec![0xff; 64]])),
-    ("closed", |_| vec![Say::Close]),
+    ("closed", |_| vec![Action::Close]),
 ];
 
 #[test]
 fn every_unusable_response_passes_or_refuses_by_class() {
     for (name, rule) in UNUSABLE_RESPONSES {
-        let authoriser = FakeAuthoriser::new(move |put| rule(put.stream));
+        let authoriser = FakeAuthoriser::new(move |received| rule(received.stream));
         let server = server();
         let limiter = limiter(&authoriser, "timeout_ms = 5000\n", &server);
         assert_eq!(ask_quote_and_bind(&limiter), (200, 429), "{name}");
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -37,8 +37,8 @@
     format!("g{:015x}", NEXT_ID.fetch_add(1, Ordering::SeqCst))
 }
 
-/// A question for one customer, as the default mapping reads it.
-pub fn question(class: &str, plan: &str, units: u32) -> CheckRequest {
+/// A check request for one customer, as the default mapping reads it.
+pub fn check_request(class: &str, plan: &str, units: u32) -> CheckRequest {
     let id = new_id();
     let metering = format!("units={units},spread=1,first=0");
     with_headers(
@@ -66,7 +66,7 @@
 
 /// How a call ended.
 #[derive(Debug, Default)]
-pub struct Called {
+pub struct CallResult {
     pub http: u16,
     /// `grpc-status`, from head or trailers.
     pub status: Option<u16>,
@@ -75,7 +75,7 @@
     pub body: Vec<u8>,
 }
 
-impl Called {
+impl CallResult {
     pub fn read<M: Message + Default>(&self) -> M {
         assert_eq!((self.http, self.status), (200, Some(0)), "{self:?}");
         let mut unary = Unary::new(1 << 20);
@@ -108,14 +108,14 @@
     }
 }
 
-/// A connection that calls by a library.
-pub struct Caller {
+/// A gRPC client made with hyper.
+pub struct GrpcClient {
     runtime: Runtime,
     sender: SendRequest<Full<Bytes>>,
 }
 
-impl Caller {
-    pub fn new(address: SocketAddr) -> Caller {
+impl GrpcClient {
+    pub fn new(address: SocketAddr) -> GrpcClient {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.expect("a runtime");
         let sender = runtime.block_on(async {
@@ -125,7 +125,7 @@
             tokio::spawn(connection);
             sender
         });
-        Caller { runtime, sender }
+        GrpcClient { runtime, sender }
     }
 
     pub fn request(path: &str, headers: &[(&str, &str)], body: Bytes) -> Request<Full<Bytes>> {
@@ -138,7 +138,7 @@
     }
 
     /// Calls and waits for the end; `None` where the stream or the connection broke.
-    pub fn send(&self, request: Request<Full<Bytes>>) -> Option<Called> {
+    pub fn send(&self, request: Request<Full<Bytes>>) -> Option<CallResult> {
         let mut sender = self.sender.clone();
         let call = async move {
             let response = sender.send_request(request).await.ok()?;
@@ -147,7 +147,7 @@
             let trailers = body.trailers().cloned().unwrap_or_default();
             let find = |name: &str| trailers.get(name).or(head.headers.get(name)).cloned();
             let text = |name| find(name).and_then(|v| Some(v.to_str().ok()?.to_string()));
-            Some(Called {
+            Some(CallResult {
                 http: head.status.as_u16(),
                 status: text("grpc-status").and_then(|s| s.parse().ok()),
                 message: text("grpc-message").unwrap_or_default(),
@@ -158,45 +158,45 @@
         self.runtime.block_on(async { tokio::time::timeout(PATIENCE, call).await.expect("an end") })
     }
 
-    pub fn call(&self, path: &str, message: &impl Message) -> Called {
-        self.send(Caller::request(path, &[], frame(message))).expect("an answer")
+    pub fn call(&self, path: &str, message: &impl Message) -> CallResult {
+        self.send(GrpcClient::request(path, &[], frame(message))).expect("an answer")
     }
 
     /// Sends these bytes as the body of a check.
-    pub fn raw(&self, body: &'static [u8]) -> Called {
-        self.send(Caller::request(CHECK, &[], Bytes::from_static(body))).expect("an answer")
+    pub fn raw(&self, body: &'static [u8]) -> CallResult {
+        self.send(GrpcClient::request(CHECK, &[], Bytes::from_static(body))).expect("an answer")
     }
 
-    pub fn ask(&self, question: &CheckRequest) -> Called {
-        self.call(CHECK, question)
+    pub fn ask(&self, request: &CheckRequest) -> CallResult {
+        self.call(CHECK, request)
     }
 
-    /// Whether the call may be made.
-    pub fn permitted(&self, question: &CheckRequest) -> bool {
-        self.ask(question).allowed().is_some()
+    /// Whether the request is permitted.
+    pub fn permitted(&self, request: &CheckRequest) -> bool {
+        self.ask(request).allowed().is_some()
     }
 
-    /// Starts a call and takes the first piece of its answer; the rest is read by `more`.
-    pub fn open(&self, path: &str, message: &impl Message) -> Opened<'_> {
+    /// Starts a call whose response is read piece by piece.
+    pub fn open(&self, path: &str, message: &impl Message) -> OpenCall<'_> {
         let mut sender = self.sender.clone();
-        let request = Caller::request(path, &[], frame(message));
+        let request = GrpcClient::request(path, &[], frame(message));
         let response = self.runtime.block_on(async move { sender.send_request(request).await });
-        Opened { caller: self, body: response.expect("an answer").into_body() }
+        OpenCall { grpc_client: self, body: response.expect("an answer").into_body() }
     }
 }
 
-/// An answer that is read piece by piece.
-pub struct Opened<'a> {
-    caller: &'a Caller,
+/// A call whose response is read piece by piece.
+pub struct OpenCall<'a> {
+    grpc_client: &'a GrpcClient,
     body: hyper::body::Incoming,
 }
 
-impl Opened<'_> {
+impl OpenCall<'_> {
     /// The next piece: data, or the trailers' status.
     pub fn next(&mut self) -> Option<Result<Bytes, u16>> {
         let body = &mut self.body;
         let next = async { tokio::time::timeout(PATIENCE, body.frame()).await.expect("a frame") };
-        let frame = self.caller.runtime.block_on(next)?.ok()?;
+        let frame = self.grpc_client.runtime.block_on(next)?.ok()?;
         let frame = match frame.into_data() {
             Ok(data) => return Some(Ok(data)),
             Err(frame) => frame,
@@ -211,18 +211,18 @@
 }
 
 /// A connection whose frames are written by hand.
-pub struct Raw {
+pub struct RawConnection {
     pub stream: TcpStream,
 }
 
-impl Raw {
+impl RawConnection {
     /// Connects, and sends the preface with these settings (identifier and value).
-    pub fn new(address: SocketAddr, settings: &[(u16, u32)]) -> Raw {
+    pub fn new(address: SocketAddr, settings: &[(u16, u32)]) -> RawConnection {
         let stream = TcpStream::connect(address).expect("connect");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
         stream.set_write_timeout(Some(PATIENCE)).expect("set");
         stream.set_nodelay(true).expect("set");
-        let mut raw = Raw { stream };
+        let mut raw = RawConnection { stream };
         raw.write(wire::PREFACE);
         let mut payload = Vec::new();
         for (identifier, value) in settings {
@@ -247,8 +247,8 @@
         self.send(HEADERS, END_HEADERS, stream, &call_headers(CHECK))
     }
 
-    pub fn ask(&mut self, stream: u32, question: &CheckRequest) -> bool {
-        self.head(stream) && self.send(DATA, END_STREAM, stream, &frame(question))
+    pub fn ask(&mut self, stream: u32, request: &CheckRequest) -> bool {
+        self.head(stream) && self.send(DATA, END_STREAM, stream, &frame(request))
     }
 
     /// The next frame; `None` at the end of the connection.
@@ -279,18 +279,18 @@
     }
 }
 
-/// A question that an authoriser got.
-pub struct Put {
-    /// Counts all questions, from 0.
+/// A check request that the authoriser received.
+pub struct ReceivedCheck {
+    /// Counts all check requests, from 0.
     pub number: usize,
     /// Counts connections, from 0.
     pub connection: usize,
     pub stream: u32,
-    pub question: CheckRequest,
+    pub request: CheckRequest,
 }
 
-/// What an authoriser does about a question, in this order.
-pub enum Say {
+/// A step of the reaction to a check request.
+pub enum Action {
     Write(Vec<u8>),
     Wait(std::time::Duration),
     Close,
@@ -298,7 +298,7 @@
 
 #[derive(Default)]
 struct Record {
-    questions: Mutex<Vec<CheckRequest>>,
+    check_requests: Mutex<Vec<CheckRequest>>,
     resets: Mutex<Vec<u32>>,
     connections: AtomicU32,
 }
@@ -311,7 +311,7 @@
 }
 
 impl FakeAuthoriser {
-    pub fn new(rule: impl Fn(&Put) -> Vec<Say> + Send + Sync + 'static) -> FakeAuthoriser {
+    pub fn new(rule: impl Fn(&ReceivedCheck) -> Vec<Action> + Send + Sync + 'static) -> FakeAuthoriser {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let (record, rule) = (Arc::<Record>::default(), Arc::new(rule));
@@ -326,12 +326,12 @@
         fake
     }
 
-    pub fn questions(&self) -> Vec<CheckRequest> {
-        self.record.questions.lock().expect("lock").clone()
+    pub fn check_requests(&self) -> Vec<CheckRequest> {
+        self.record.check_requests.lock().expect("lock").clone()
     }
 
     pub fn count(&self) -> usize {
-        self.record.questions.lock().expect("lock").len()
+        self.record.check_requests.lock().expect("lock").len()
     }
 
     /// Streams that the limiter has reset.
@@ -344,38 +344,43 @@
     }
 }
 
-fn authorise(mut stream: TcpStream, connection: usize, record: &Record, rule: &dyn Fn(&Put) -> Vec<Say>) {
+fn authorise(
+    mut stream: TcpStream,
+    connection: usize,
+    record: &Record,
+    rule: &dyn Fn(&ReceivedCheck) -> Vec<Action>,
+) {
     let _ = stream.set_nodelay(true);
     if stream.read_exact(&mut [0; 24]).is_err() {
         return;
     }
-    let mut raw = Raw { stream };
+    let mut raw = RawConnection { stream };
     raw.send(SETTINGS, 0, 0, &[]);
     let mut bodies: std::collections::HashMap<u32, Vec<u8>> = std::collections::HashMap::new();
-    while let Some(f) = raw.next() {
-        match f.kind {
-            SETTINGS if f.flags & ACK == 0 => drop(raw.send(SETTINGS, ACK, 0, &[])),
-            PING if f.flags & ACK == 0 => drop(raw.send(PING, ACK, 0, &f.payload)),
-            RST_STREAM => record.resets.lock().expect("lock").push(f.stream),
+    while let Some(frame) = raw.next() {
+        match frame.kind {
+            SETTINGS if frame.flags & ACK == 0 => drop(raw.send(SETTINGS, ACK, 0, &[])),
+            PING if frame.flags & ACK == 0 => drop(raw.send(PING, ACK, 0, &frame.payload)),
+            RST_STREAM => record.resets.lock().expect("lock").push(frame.stream),
             DATA => {
-                let body = bodies.entry(f.stream).or_default();
-                body.extend_from_slice(&f.payload);
-                if f.flags & END_STREAM == 0 {
+                let body = bodies.entry(frame.stream).or_default();
+                body.extend_from_slice(&frame.payload);
+                if frame.flags & END_STREAM == 0 {
                     continue;
                 }
                 let mut unary = Unary::new(1 << 20);
                 unary.push(body).expect("one message");
-                let question = CheckRequest::decode(unary.finish().expect("whole")).expect("a question");
+                let request = CheckRequest::decode(unary.finish().expect("whole")).expect("a check request");
                 let number = {
-                    let mut questions = record.questions.lock().expect("lock");
-                    questions.push(question.clone());
-                    questions.len() - 1
+                    let mut check_requests = record.check_requests.lock().expect("lock");
+                    check_requests.push(request.clone());
+                    check_requests.len() - 1
                 };
-                for say in rule(&Put { number, connection, stream: f.stream, question }) {
-                    match say {
-                        Say::Write(bytes) => drop(raw.write(&bytes)),
-                        Say::Wait(time) => std::thread::sleep(time),
-                        Say::Close => {
+                for action in rule(&ReceivedCheck { number, connection, stream: frame.stream, request }) {
+                    match action {
+                        Action::Write(bytes) => drop(raw.write(&bytes)),
+                        Action::Wait(time) => std::thread::sleep(time),
+                        Action::Close => {
                             let _ = raw.stream.shutdown(std::net::Shutdown::Both);
                             return;
                         }
--- a/crates/daemon/tests/grpc.rs
+++ b/crates/daemon/tests/grpc.rs
@@ -13,10 +13,10 @@
 
 const FRONT: &str = "[grpc]\nlisten = '127.0.0.1:0'\n";
 
-fn front(more: &str, settings: Value, servers: &[&Fake]) -> (Limiter, Caller) {
+fn start_with_grpc(more: &str, settings: Value, servers: &[&Fake]) -> (Limiter, GrpcClient) {
     let limiter = Limiter::with_operator_text(&format!("{FRONT}{more}"), settings, servers);
-    let caller = Caller::new(limiter.grpc.expect("a gRPC front"));
-    (limiter, caller)
+    let grpc_client = GrpcClient::new(limiter.grpc.expect("a gRPC listener"));
+    (limiter, grpc_client)
 }
 
 /// Settings without a counter, and with a plan whose bucket does not refill while a test runs.
@@ -32,9 +32,9 @@
 fn checks_within_the_quota_are_permitted_and_the_rest_denied() {
     let server = Fake::new(|_| ok("quoted"));
     let add = "[grpc.add]\nX-Permitted-By = 'value:limiter'\nx-of = 'path:2'\nx-none = 'label:none'\n";
-    let (_limiter, caller) = front(add, settings(), &[&server]);
+    let (_limiter, grpc_client) = start_with_grpc(add, settings(), &[&server]);
     // Plan `small` holds 4 and refills one a second.
-    let allowed = caller.ask(&question("quote", "small", 4)).allowed().expect("permitted");
+    let allowed = grpc_client.ask(&check_request("quote", "small", 4)).allowed().expect("permitted");
     let set =
         allowed.headers.iter().map(|o| (o.header.clone().unwrap_or_default(), o.append, o.append_action));
     let set: Vec<_> = set.map(|(h, append, action)| (h.key, h.value, append, action)).collect();
@@ -45,7 +45,7 @@
             ("x-of".to_string(), "00000000b4d65521".to_string(), Some(false), 2),
         ]
     );
-    let (denied, code) = caller.ask(&question("quote", "small", 4)).denied().expect("denied");
+    let (denied, code) = grpc_client.ask(&check_request("quote", "small", 4)).denied().expect("denied");
     // RESOURCE_EXHAUSTED is the code that goes with 429.
     assert_eq!((denied.status.map(|s| s.code), code), (Some(429), 8));
     assert_eq!(denied.body, "refused: trying again is harmless\n");
@@ -61,12 +61,12 @@
 fn the_same_requests_get_the_same_answers_over_any_mix_of_listeners() {
     let answers = |share: u64| -> Vec<bool> {
         let server = Fake::new(|_| ok("quoted"));
-        let (limiter, caller) = front("", fixed(60.0, 0.0), &[&server]);
+        let (limiter, grpc_client) = start_with_grpc("", fixed(60.0, 0.0), &[&server]);
         let mut client = limiter.client();
         let each = (0..40u64).map(|n| {
             let units = 1 + (n % 4) as u32;
             if n * 37 % 100 < share {
-                return caller.permitted(&question("quote", "roomy", units));
+                return grpc_client.permitted(&check_request("quote", "roomy", units));
             }
             let text = quote("roomy", 1_500).replace("units=1", &format!("units={units}"));
             match client.ask(&text).status() {
@@ -99,9 +99,9 @@
 #[test]
 fn malformed_check_requests_get_an_error_status_and_use_no_quota() {
     let server = Fake::new(|_| ok("quoted"));
-    let (_limiter, caller) = front("", fixed(4.0, 0.0), &[&server]);
+    let (_limiter, grpc_client) = start_with_grpc("", fixed(4.0, 0.0), &[&server]);
     let good = |change: &dyn Fn(&mut std::collections::HashMap<String, String>, &mut String)| {
-        let mut q = question("quote", "roomy", 1);
+        let mut q = check_request("quote", "roomy", 1);
         let http = q.attributes.as_mut().and_then(|a| a.request.as_mut()).and_then(|r| r.http.as_mut());
         let http = http.expect("a request");
         change(&mut http.headers, &mut http.path);
@@ -133,42 +133,42 @@
             "the key is missing or malformed",
         ),
     ] {
-        let called = caller.ask(&q);
-        assert_eq!((called.status, called.message.as_str()), (Some(3), expected));
+        let result = grpc_client.ask(&q);
+        assert_eq!((result.status, result.message.as_str()), (Some(3), expected));
     }
     for (body, status, expected) in MALFORMED_FRAMES {
-        let called = caller.raw(body);
-        assert_eq!(called.status, Some(status), "{body:?}");
-        assert!(called.message.contains(expected), "{:?} holds no {expected:?}", called.message);
+        let result = grpc_client.raw(body);
+        assert_eq!(result.status, Some(status), "{body:?}");
+        assert!(result.message.contains(expected), "{:?} holds no {expected:?}", result.message);
     }
     // All of them drew nothing: the bucket's four are there.
-    assert!(caller.permitted(&question("quote", "roomy", 4)));
-    assert!(!caller.permitted(&question("quote", "roomy", 1)));
+    assert!(grpc_client.permitted(&check_request("quote", "roomy", 4)));
+    assert!(!grpc_client.permitted(&check_request("quote", "roomy", 1)));
     assert_eq!(server.count(), 0);
 }
 
 #[test]
 fn unknown_methods_encodings_and_protocols_get_an_error_status() {
     let server = Fake::new(|_| ok("quoted"));
-    let (_limiter, caller) = front("", settings(), &[&server]);
-    let body = || frame(&question("quote", "roomy", 1));
-    let send = |request| caller.send(request).expect("an answer");
+    let (_limiter, grpc_client) = start_with_grpc("", settings(), &[&server]);
+    let body = || frame(&check_request("quote", "roomy", 1));
+    let send = |request| grpc_client.send(request).expect("an answer");
     for path in ["/envoy.service.auth.v3.Authorization/Chek", "/x", "/", "/grpc.health.v1.Health/"] {
-        assert_eq!(send(Caller::request(path, &[], body())).status, Some(12), "{path}");
+        assert_eq!(send(GrpcClient::request(path, &[], body())).status, Some(12), "{path}");
     }
     // A name that an installation may have dropped: version 2 of the protocol is not answered.
     let old = "/envoy.service.auth.v2.Authorization/Check";
-    assert_eq!(send(Caller::request(old, &[], body())).status, Some(12));
-    let compressed = send(Caller::request(CHECK, &[("grpc-encoding", "gzip")], body()));
+    assert_eq!(send(GrpcClient::request(old, &[], body())).status, Some(12));
+    let compressed = send(GrpcClient::request(CHECK, &[("grpc-encoding", "gzip")], body()));
     assert_eq!(compressed.status, Some(12));
     assert_eq!(
         compressed.headers.get("grpc-accept-encoding").map(hyper::header::HeaderValue::as_bytes),
         Some(&b"identity"[..])
     );
-    let mut json = Caller::request(CHECK, &[], body());
+    let mut json = GrpcClient::request(CHECK, &[], body());
     json.headers_mut().insert("content-type", "application/json".parse().expect("a value"));
     assert_eq!(send(json).http, 415);
-    let mut get = Caller::request(CHECK, &[], Bytes::new());
+    let mut get = GrpcClient::request(CHECK, &[], Bytes::new());
     *get.method_mut() = hyper::Method::GET;
     assert_eq!(send(get).http, 405);
 }
@@ -176,10 +176,10 @@
 #[test]
 fn an_expired_or_malformed_deadline_gets_an_error_status_and_uses_no_quota() {
     let server = Fake::new(|_| ok("quoted"));
-    let (_limiter, caller) = front("", fixed(4.0, 0.0), &[&server]);
+    let (_limiter, grpc_client) = start_with_grpc("", fixed(4.0, 0.0), &[&server]);
     let with = |timeout: &str, units| {
-        let body = frame(&question("quote", "roomy", units));
-        caller.send(Caller::request(CHECK, &[("grpc-timeout", timeout)], body)).expect("an answer")
+        let body = frame(&check_request("quote", "roomy", units));
+        grpc_client.send(GrpcClient::request(CHECK, &[("grpc-timeout", timeout)], body)).expect("an answer")
     };
     assert_eq!(with("0m", 1).status, Some(4));
     assert_eq!(with("1n", 1).status, Some(4));
@@ -193,37 +193,37 @@
 #[test]
 fn permitted_calls_count_against_the_concurrency_limit_until_they_expire() {
     let server = Fake::new(|_| ok("quoted"));
-    let (limiter, caller) = front("hold_ms = 300\n", fixed(1_000.0, 1.0), &[&server]);
-    assert!(caller.permitted(&question("quote", "roomy", 1)));
-    assert!(!caller.permitted(&question("quote", "roomy", 1)));
+    let (limiter, grpc_client) = start_with_grpc("hold_ms = 300\n", fixed(1_000.0, 1.0), &[&server]);
+    assert!(grpc_client.permitted(&check_request("quote", "roomy", 1)));
+    assert!(!grpc_client.permitted(&check_request("quote", "roomy", 1)));
     // And over the other front.
     assert_eq!(limiter.client().ask(&quote("roomy", 1_500)).status(), 429);
-    wait_until("the call's time is up", || caller.permitted(&question("quote", "roomy", 1)));
+    wait_until("the call's time is up", || grpc_client.permitted(&check_request("quote", "roomy", 1)));
 }
 
 #[test]
 fn a_request_id_is_open_over_one_listener_at_a_time() {
     let server = Fake::new(|_| Reply::Silence);
-    let (limiter, caller) = front("", settings(), &[&server]);
+    let (limiter, grpc_client) = start_with_grpc("", settings(), &[&server]);
     let mut client = limiter.client();
     let text = quote("roomy", 60_000);
     let id =
         text.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.split("\r\n").next()).expect("an id");
     client.send(&text);
     wait_until("the request is out", || server.count() == 1);
-    let mut q = question("quote", "roomy", 1);
+    let mut q = check_request("quote", "roomy", 1);
     let http = q.attributes.as_mut().and_then(|a| a.request.as_mut()).and_then(|r| r.http.as_mut());
     http.expect("a request").headers.insert("x-correlation-id".into(), id.into());
-    assert_eq!(caller.ask(&q).status, Some(6));
+    assert_eq!(grpc_client.ask(&q).status, Some(6));
     client.close();
-    wait_until("the id is free", || caller.ask(&q).status == Some(0));
+    wait_until("the id is free", || grpc_client.ask(&q).status == Some(0));
 }
 
 #[test]
 fn health_checks_and_reflection_answer_tools() {
     let server = Fake::new(|_| ok("quoted"));
-    let (mut limiter, caller) = front("", settings(), &[&server]);
-    let health = |service: &str| caller.call(HEALTH, &HealthCheckRequest { service: service.into() });
+    let (mut limiter, grpc_client) = start_with_grpc("", settings(), &[&server]);
+    let health = |service: &str| grpc_client.call(HEALTH, &HealthCheckRequest { service: service.into() });
     for service in ["", "envoy.service.auth.v3.Authorization", "grpc.health.v1.Health"] {
         assert_eq!(health(service).read::<HealthCheckResponse>().status, 1, "{service}");
     }
@@ -233,10 +233,10 @@
         let ask = MessageRequest::ListServices(String::new());
         let request = ServerReflectionRequest { host: String::new(), message_request: Some(ask) };
         let twice = [frame(&request), frame(&request)].concat();
-        let called = caller.send(Caller::request(&path, &[], twice.into())).expect("an answer");
-        assert_eq!(called.status, Some(0));
+        let result = grpc_client.send(GrpcClient::request(&path, &[], twice.into())).expect("an answer");
+        assert_eq!(result.status, Some(0));
         let mut splitter = Splitter::new(1 << 20);
-        splitter.push(&called.body);
+        splitter.push(&result.body);
         for _ in 0..2 {
             let message = splitter.next_message().expect("well-formed").expect("a message");
             let answer = ServerReflectionResponse::decode(message).expect("an answer").message_response;
@@ -246,7 +246,7 @@
         assert!(splitter.is_empty());
     }
     // A watch tells the state, and its change.
-    let mut watch = caller.open(WATCH, &HealthCheckRequest::default());
+    let mut watch = grpc_client.open(WATCH, &HealthCheckRequest::default());
     let first = watch.next().expect("a state").expect("a message");
     assert_eq!(first, frame(&HealthCheckResponse { status: 1 }));
     limiter.terminate();
@@ -258,19 +258,19 @@
 #[test]
 fn graceful_shutdown_answers_calls_and_then_sends_goaway() {
     let server = Fake::new(|_| ok("quoted"));
-    let (mut limiter, _) = front("", settings(), &[&server]);
-    let address = limiter.grpc.expect("a front");
-    let mut early = Raw::new(address, &[]);
-    early.ask(1, &question("quote", "roomy", 1));
+    let (mut limiter, _) = start_with_grpc("", settings(), &[&server]);
+    let address = limiter.grpc.expect("a gRPC listener");
+    let mut early = RawConnection::new(address, &[]);
+    early.ask(1, &check_request("quote", "roomy", 1));
     early.until(|f| f.kind == HEADERS && f.flags & END_STREAM != 0).expect("trailers");
     // A call that is half here when the end begins is still answered.
-    let q = frame(&question("quote", "roomy", 1));
+    let q = frame(&check_request("quote", "roomy", 1));
     early.head(3);
     early.send(DATA, 0, 3, &q[..7]);
     limiter.terminate();
     // For a moment connections still come: what they bring is answered, and they are sent away.
-    let mut late = Raw::new(address, &[]);
-    late.ask(1, &question("quote", "roomy", 1));
+    let mut late = RawConnection::new(address, &[]);
+    late.ask(1, &check_request("quote", "roomy", 1));
     assert!(late.until(|f| f.kind == HEADERS && f.flags & END_STREAM != 0).is_some());
     let goaway = early.until(|f| f.kind == GOAWAY).expect("GOAWAY");
     // The first names the highest number, so that calls on their way are not lost (RFC 9113, 6.8), and the
@@ -278,7 +278,7 @@
     assert_eq!(goaway.payload, [&0x7fff_ffff_u32.to_be_bytes()[..], &[0; 4]].concat());
     early.send(DATA, END_STREAM, 3, &q[7..]);
     // One that crossed the GOAWAY.
-    early.ask(5, &question("quote", "roomy", 1));
+    early.ask(5, &check_request("quote", "roomy", 1));
     let ping = early.until(|f| f.kind == PING && f.flags & ACK == 0);
     let trailers = |f: &RawFrame| f.kind == HEADERS && f.flags & END_STREAM != 0;
     // The library may have written the PING before the answers or behind them.
@@ -299,10 +299,13 @@
 #[test]
 fn a_check_request_through_too_many_limiters_is_refused() {
     let server = Fake::new(|_| ok("quoted"));
-    let (_limiter, caller) = front("", settings(), &[&server]);
+    let (_limiter, grpc_client) = start_with_grpc("", settings(), &[&server]);
     let through = |names: &str| {
-        let body = frame(&question("quote", "roomy", 1));
-        caller.send(Caller::request(CHECK, &[("liftrouter-via", names)], body)).expect("an answer").status
+        let body = frame(&check_request("quote", "roomy", 1));
+        grpc_client
+            .send(GrpcClient::request(CHECK, &[("liftrouter-via", names)], body))
+            .expect("an answer")
+            .status
     };
     assert_eq!(through("a, b,c,d,e,f,g,h"), Some(0));
     assert_eq!(through("a,b,c,d,e,f,g,h,i"), Some(9));
@@ -313,12 +316,12 @@
     let server = Fake::new(|_| Reply::Silence);
     let mut busy = settings();
     busy["limits"]["max-open"] = json!(1);
-    let (limiter, caller) = front("", busy, &[&server]);
+    let (limiter, grpc_client) = start_with_grpc("", busy, &[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
     wait_until("a request is out", || server.count() == 1);
-    let called = caller.ask(&question("quote", "roomy", 1));
-    assert_eq!((called.status, called.message.as_str()), (Some(8), "too many requests are open"));
+    let result = grpc_client.ask(&check_request("quote", "roomy", 1));
+    assert_eq!((result.status, result.message.as_str()), (Some(8), "too many requests are open"));
     client.close();
-    wait_until("there is room", || caller.ask(&question("quote", "roomy", 1)).status == Some(0));
+    wait_until("there is room", || grpc_client.ask(&check_request("quote", "roomy", 1)).status == Some(0));
 }
--- a/crates/daemon/tests/grpc_limits.rs
+++ b/crates/daemon/tests/grpc_limits.rs
@@ -1,4 +1,4 @@
-//! The gRPC front against peers that send what no library would: frames written by hand.
+//! The gRPC listener against peers that send what no library would: frames written by hand.
 mod common;
 
 use common::grpc::*;
@@ -13,22 +13,22 @@
     let server = Fake::new(|_| ok("quoted"));
     let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{more}");
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
-    let address = limiter.grpc.expect("a gRPC front");
+    let address = limiter.grpc.expect("a gRPC listener");
     (limiter, address)
 }
 
 fn roomy() -> liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest {
-    question("quote", "roomy", 1)
+    check_request("quote", "roomy", 1)
 }
 
-fn answered(raw: &mut Raw, stream: u32) -> bool {
+fn answered(raw: &mut RawConnection, stream: u32) -> bool {
     let trailers = |f: &RawFrame| f.kind == HEADERS && f.flags & END_STREAM != 0 && f.stream == stream;
     raw.until(trailers).is_some()
 }
 
-/// Both fronts still work, over new connections.
+/// Both listeners still work, over new connections.
 fn serves(limiter: &Limiter, address: SocketAddr) {
-    assert!(Caller::new(address).permitted(&roomy()));
+    assert!(GrpcClient::new(address).permitted(&roomy()));
     assert_eq!(limiter.client().ask(&quote("roomy", 1_500)).status(), 200);
 }
 
@@ -38,15 +38,15 @@
 }
 
 /// Sends one frame of a flood; false once the connection is closed.
-type Flood<'a> = &'a dyn Fn(&mut Raw, u32) -> bool;
+type Flood<'a> = &'a dyn Fn(&mut RawConnection, u32) -> bool;
 
 #[test]
 fn frame_floods_close_their_own_connection_only() {
     let (limiter, address) = limiter("resets_per_s = 50\ncontrol_per_s = 100\n");
-    let mut good = Raw::new(address, &[]);
+    let mut good = RawConnection::new(address, &[]);
     good.ask(1, &roomy());
     assert!(answered(&mut good, 1));
-    let rapid = |raw: &mut Raw, n: u32| {
+    let rapid = |raw: &mut RawConnection, n: u32| {
         raw.head(2 * n + 10_003) && raw.send(RST_STREAM, 0, 2 * n + 10_003, &CANCEL.to_be_bytes())
     };
     let floods: [(&str, Flood); 6] = [
@@ -58,7 +58,7 @@
         ("unknown", &|raw, _| raw.send(0xbe, 0, 0, b"x")),
     ];
     for (name, flood) in floods {
-        let mut raw = Raw::new(address, &[]);
+        let mut raw = RawConnection::new(address, &[]);
         // One that has asked is not cut for silence.
         raw.ask(10_001, &roomy());
         assert!(answered(&mut raw, 10_001));
@@ -71,11 +71,11 @@
         assert!(raw.closed(), "{name}");
     }
     // Empty DATA and CONTINUATION without end, within one stream.
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     raw.head(1);
     (0..2_000).all(|_| raw.send(DATA, 0, 1, &[]));
     assert!(raw.closed(), "empty data");
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     raw.send(HEADERS, 0, 1, &call_headers(CHECK));
     (0..2_000).all(|_| raw.send(CONTINUATION, 0, 1, &header_block(&[("a", "b")])));
     assert!(raw.closed(), "continuation");
@@ -87,7 +87,7 @@
 #[test]
 fn streams_beyond_the_limit_are_refused_unprocessed() {
     let (limiter, address) = limiter("streams = 3\n");
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     // The limit is told, and streams are opened beyond it all the same.
     let told = raw.until(|f| f.kind == SETTINGS && f.flags & ACK == 0).expect("settings");
     let most = told.payload.chunks(6).find(|s| s[..2] == [0, 3]).map(|s| s[5]);
@@ -110,7 +110,7 @@
 #[test]
 fn an_oversized_header_list_is_not_processed() {
     let (limiter, address) = limiter("header_list_kb = 2\n");
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     let mut block = call_headers(CHECK);
     let filler = "x".repeat(100);
     for _ in 0..20 {
@@ -132,8 +132,8 @@
     let server = Fake::new(|_| ok("quoted"));
     let text = "[grpc]\nlisten = '127.0.0.1:0'\nresets_per_s = 10000\n";
     let limiter = Limiter::with_operator_text(text, capped, &[&server]);
-    let address = limiter.grpc.expect("a front");
-    let mut raw = Raw::new(address, &[]);
+    let address = limiter.grpc.expect("a gRPC listener");
+    let mut raw = RawConnection::new(address, &[]);
     let q = frame(&roomy());
     for n in 0..50 {
         let stream = 2 * n + 1;
@@ -145,9 +145,9 @@
     // No half a question was decided: the cap's one place is free, and all is answered as before.
     raw.ask(1_001, &roomy());
     assert!(answered(&mut raw, 1_001));
-    let caller = Caller::new(address);
-    assert!(!caller.permitted(&roomy()), "the place is taken by the whole question alone");
-    // Whole questions whose streams are reset at once, all in one write: whether the answer was out first is
+    let grpc_client = GrpcClient::new(address);
+    assert!(!grpc_client.permitted(&roomy()), "the place is taken by the whole question alone");
+    // Whole check requests whose streams are reset at once, all in one write: whether the answer was out first is
     // for the two sides to race, but a place that was not delivered must come back long before its time.
     let mut burst = Vec::new();
     for n in 0..50 {
@@ -158,7 +158,7 @@
     }
     raw.write(&burst);
     // Time left in each question: 1.5 s; the cap's place is free again then at the latest.
-    wait_until("a place is free", || caller.permitted(&roomy()));
+    wait_until("a place is free", || grpc_client.permitted(&roomy()));
 }
 
 #[test]
@@ -169,9 +169,9 @@
     capped["classes"][1]["deadline-s"] = serde_json::json!(60.0);
     let server = Fake::new(|_| ok("quoted"));
     let limiter = Limiter::with_operator_text("[grpc]\nlisten = '127.0.0.1:0'\n", capped, &[&server]);
-    let address = limiter.grpc.expect("a front");
+    let address = limiter.grpc.expect("a gRPC listener");
     // No window: the answer's head comes, its message waits.
-    let mut raw = Raw::new(address, &[(4, 0)]);
+    let mut raw = RawConnection::new(address, &[(4, 0)]);
     let long = with_headers(
         "/bind/00000000b4d65521",
         &[
@@ -184,17 +184,17 @@
     );
     raw.ask(1, &long);
     assert!(raw.until(|f| f.kind == HEADERS && f.stream == 1).is_some());
-    let caller = Caller::new(address);
-    assert!(!caller.permitted(&roomy()), "the place is taken");
+    let grpc_client = GrpcClient::new(address);
+    assert!(!grpc_client.permitted(&roomy()), "the place is taken");
     raw.send(RST_STREAM, 0, 1, &CANCEL.to_be_bytes());
-    wait_until("the place is free", || caller.permitted(&roomy()));
+    wait_until("the place is free", || grpc_client.permitted(&roomy()));
 }
 
 #[test]
 fn a_client_without_a_flow_control_window_is_closed_and_delays_nobody() {
     let (limiter, address) = limiter("");
     // SETTINGS_INITIAL_WINDOW_SIZE 0: no answer can be sent.
-    let mut raw = Raw::new(address, &[(4, 0)]);
+    let mut raw = RawConnection::new(address, &[(4, 0)]);
     for n in 0..20 {
         raw.ask(2 * n + 1, &roomy());
     }
@@ -208,8 +208,8 @@
 #[test]
 fn a_connection_without_a_call_is_closed() {
     let (limiter, address) = limiter("");
-    let mut silent = Raw::new(address, &[]);
-    let mut nothing = Raw { stream: std::net::TcpStream::connect(address).expect("connect") };
+    let mut silent = RawConnection::new(address, &[]);
+    let mut nothing = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
     nothing.stream.set_read_timeout(Some(PATIENCE)).expect("set");
     assert!(silent.closed());
     assert!(nothing.closed());
@@ -219,7 +219,7 @@
 #[test]
 fn an_incomplete_message_times_out() {
     let (_limiter, address) = limiter("");
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     raw.head(1);
     raw.send(DATA, 0, 1, &frame(&roomy())[..9]);
     // The answer is a status alone, and what is left of the question is not waited for.
@@ -231,7 +231,7 @@
 fn an_idle_or_old_connection_gets_goaway_and_loses_no_call() {
     for limits in ["idle_s = 1\n", "age_s = 1\n"] {
         let (limiter, address) = limiter(limits);
-        let mut raw = Raw::new(address, &[]);
+        let mut raw = RawConnection::new(address, &[]);
         raw.ask(1, &roomy());
         assert!(answered(&mut raw, 1));
         let goaway = raw.until(|f| f.kind == GOAWAY).expect("GOAWAY");
@@ -263,17 +263,17 @@
         &oversized,
     ];
     for case in cases {
-        let mut raw = Raw::new(address, &[]);
+        let mut raw = RawConnection::new(address, &[]);
         raw.write(case);
         assert!(raw.closed(), "{:?}", &case[..9]);
     }
     // An HTTP/1.1 client at the wrong door.
-    let mut plain = Raw { stream: std::net::TcpStream::connect(address).expect("connect") };
+    let mut plain = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
     plain.stream.set_read_timeout(Some(PATIENCE)).expect("set");
     plain.write(quote("roomy", 1_500).as_bytes());
     assert!(plain.closed());
     // More after a stream's end is an error (RFC 9113, 5.1 wants STREAM_CLOSED; the library names another).
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     raw.ask(1, &roomy());
     raw.send(DATA, END_STREAM, 1, &q);
     let end = raw.until(|f| f.kind == RST_STREAM || f.kind == GOAWAY).expect("an error");
@@ -284,7 +284,7 @@
 #[test]
 fn a_thousand_streams_may_be_open_on_one_connection() {
     let (limiter, address) = limiter("streams = 1000\n");
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     let streams = (0..1_000u32).map(|n| 2 * n + 1);
     let heads = |stream| raw_frame(HEADERS, END_HEADERS, stream, &call_headers(CHECK));
     assert!(raw.write(&streams.clone().flat_map(heads).collect::<Vec<u8>>()));
@@ -299,7 +299,7 @@
 #[test]
 fn a_check_request_in_tiny_frames_closes_its_connection() {
     let (limiter, address) = limiter("");
-    let mut raw = Raw::new(address, &[]);
+    let mut raw = RawConnection::new(address, &[]);
     let q = frame(&roomy());
     // Each byte in a frame of its own, over and over: work for us, next to none for the sender.
     for n in 0..200 {
@@ -325,7 +325,7 @@
     };
     let q = frame(&roomy());
     for _ in 0..300 {
-        let mut raw = Raw::new(address, &[]);
+        let mut raw = RawConnection::new(address, &[]);
         let mut bytes = Vec::new();
         for _ in 0..draw(30) {
             let stream = draw(8) as u32;
