--- a/crates/daemon/src/authoriser/error.rs
+++ b/crates/daemon/src/authoriser/error.rs
@@ -58,8 +58,8 @@
 }
 
 impl From<WrongFrame> for AttemptError {
-    fn from(wrong: WrongFrame) -> Self {
-        AttemptError::Failed(CheckError::Frame(wrong))
+    fn from(error: WrongFrame) -> Self {
+        AttemptError::Failed(CheckError::Frame(error))
     }
 }
 
--- a/crates/daemon/src/authoriser/pool.rs
+++ b/crates/daemon/src/authoriser/pool.rs
@@ -75,14 +75,14 @@
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| !connection.sender.is_closed());
         let count = connections.len() + self.connecting.get();
-        let least = connections.iter().min_by_key(|connection| connection.open_checks.get());
+        let least_loaded = connections.iter().min_by_key(|connection| connection.open_checks.get());
         // A further one is opened only where all that are there are busy.
-        let all_busy = least.is_none_or(|connection| connection.open_checks.get() > 0);
+        let all_busy = least_loaded.is_none_or(|connection| connection.open_checks.get() > 0);
         if count < self.settings.connections && all_busy {
             self.connecting.set(self.connecting.get() + 1);
             tokio::task::spawn_local(self.clone().connect());
         }
-        least.cloned()
+        least_loaded.cloned()
     }
 
     /// Opens a connection, and drives it until it ends.
--- a/crates/daemon/src/listeners/grpc/connection/mod.rs
+++ b/crates/daemon/src/listeners/grpc/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: its open calls and untaken replies, and when it is closed.
+//! The state of one connection: its open calls and undelivered replies, and when it is closed.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +14,7 @@
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A reply that is not taken for so long closes its connection: a client that opens no flow-control window would
 /// hold it, and one of the streams, for good.
-const UNTAKEN_REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+const UNDELIVERED_REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 /// After GOAWAY a client may bring the calls that crossed it for so long; then, without a call, it is closed.
 const GO_AWAY_GRACE: Duration = Duration::from_millis(500);
 /// The longest time between two checks of a connection.
@@ -28,7 +28,7 @@
     open_calls: Cell<usize>,
     idle_since: Cell<Instant>,
     /// Replies that the client has not taken, by number, and since when.
-    untaken_replies: RefCell<BTreeMap<u64, Instant>>,
+    undelivered_replies: RefCell<BTreeMap<u64, Instant>>,
     next_reply: Cell<u64>,
     going_away_since: Cell<Option<Instant>>,
     /// Wakes the task that serves the connection.
@@ -57,7 +57,7 @@
             used: Cell::new(false),
             open_calls: Cell::new(0),
             idle_since: Cell::new(now),
-            untaken_replies: RefCell::default(),
+            undelivered_replies: RefCell::default(),
             next_reply: Cell::new(0),
             going_away_since: Cell::new(None),
             changed: Notify::new(),
@@ -94,7 +94,7 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.open_calls.get() == 0 && self.untaken_replies.borrow().is_empty()
+        self.open_calls.get() == 0 && self.undelivered_replies.borrow().is_empty()
     }
 
     /// What is to be done now, with these limits of idle time and age.
@@ -105,8 +105,8 @@
             now >= at
         };
         let is_empty = self.is_empty();
-        let oldest_reply = self.untaken_replies.borrow().values().next().copied();
-        if oldest_reply.is_some_and(|since| is_due(since + UNTAKEN_REPLY_TIMEOUT)) {
+        let oldest_reply = self.undelivered_replies.borrow().values().next().copied();
+        if oldest_reply.is_some_and(|since| is_due(since + UNDELIVERED_REPLY_TIMEOUT)) {
             return Next::Close;
         }
         if let Some(since) = self.going_away_since.get() {
@@ -154,11 +154,11 @@
     }
 
     /// Its reply is given, and counts until the client takes it.
-    pub(super) fn replied(&self) -> UntakenReply {
+    pub(super) fn replied(&self) -> UndeliveredReply {
         let connection = self.connection.clone();
         let number = connection.next_reply.replace(connection.next_reply.get() + 1);
-        connection.untaken_replies.borrow_mut().insert(number, Instant::now());
-        UntakenReply { connection, number }
+        connection.undelivered_replies.borrow_mut().insert(number, Instant::now());
+        UndeliveredReply { connection, number }
     }
 }
 
@@ -170,14 +170,14 @@
 }
 
 /// A reply that its client has not taken yet.
-pub(super) struct UntakenReply {
+pub(super) struct UndeliveredReply {
     connection: Rc<Connection>,
     number: u64,
 }
 
-impl Drop for UntakenReply {
+impl Drop for UndeliveredReply {
     fn drop(&mut self) {
-        self.connection.untaken_replies.borrow_mut().remove(&self.number);
+        self.connection.undelivered_replies.borrow_mut().remove(&self.number);
         self.connection.idle_since.set(Instant::now());
     }
 }
--- a/crates/daemon/src/listeners/grpc/connection/tests.rs
+++ b/crates/daemon/src/listeners/grpc/connection/tests.rs
@@ -38,13 +38,16 @@
 fn a_reply_that_is_not_taken_closes_its_connection() {
     let connection = Connection::new(false);
     let call = OpenCall::new(&connection);
-    let untaken = call.replied();
+    let undelivered = call.replied();
     drop(call);
     let since = Instant::now();
     assert!(matches!(connection.next(since, IDLE_TIMEOUT, MAX_AGE), Next::Wait(_)));
     assert!(connection.idle_since().is_none());
-    assert_eq!(connection.next(since + UNTAKEN_REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_AGE), Next::Close);
-    drop(untaken);
-    assert!(matches!(connection.next(since + UNTAKEN_REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_AGE), Next::Wait(_)));
+    assert_eq!(connection.next(since + UNDELIVERED_REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_AGE), Next::Close);
+    drop(undelivered);
+    assert!(matches!(
+        connection.next(since + UNDELIVERED_REPLY_TIMEOUT, IDLE_TIMEOUT, MAX_AGE),
+        Next::Wait(_)
+    ));
     assert!(connection.idle_since().is_some());
 }
--- a/crates/daemon/src/listeners/grpc/reflection.rs
+++ b/crates/daemon/src/listeners/grpc/reflection.rs
@@ -2,7 +2,7 @@
 
 use super::connection::OpenCall;
 use super::reply::{self, Reply};
-use super::unary::{invalid_argument, wrong_frame};
+use super::unary::{frame_error, invalid_argument};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -54,12 +54,12 @@
                 return Some(ServerReflectionRequest::decode(message).map_err(malformed));
             }
             Ok(None) => {}
-            Err(wrong) => return Some(Err(wrong_frame(wrong))),
+            Err(error) => return Some(Err(frame_error(error))),
         }
         match timeout(IDLE_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => splitter.push(frame.data_ref().map_or(&[][..], |data| data)),
             Ok(None) if splitter.is_empty() => return None,
-            Ok(None) => return Some(Err(wrong_frame(WrongFrame::Half))),
+            Ok(None) => return Some(Err(frame_error(WrongFrame::Half))),
             Ok(Some(Err(_))) => return None,
             Err(_) => return Some(Err(Status::new(Code::DeadlineExceeded, "no question came"))),
         }
--- a/crates/daemon/src/listeners/grpc/reply.rs
+++ b/crates/daemon/src/listeners/grpc/reply.rs
@@ -1,6 +1,6 @@
 //! Replies: one message and its status, a status alone, or a stream of messages.
 
-use super::connection::UntakenReply;
+use super::connection::UndeliveredReply;
 use crate::events::DisconnectGuard;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -20,7 +20,7 @@
 pub(super) struct Reply {
     content: Content,
     /// The connection counts the reply until the client has taken it.
-    _untaken: Option<UntakenReply>,
+    _undelivered: Option<UndeliveredReply>,
     /// Reports a disconnect if the reply is dropped before its message was taken.
     disconnect: Option<DisconnectGuard>,
 }
@@ -62,16 +62,16 @@
     trailers
 }
 
-fn grpc_response(content: Content, untaken: Option<UntakenReply>) -> Response<Reply> {
-    let mut response = Response::new(Reply { content, _untaken: untaken, disconnect: None });
+fn grpc_response(content: Content, undelivered: Option<UndeliveredReply>) -> Response<Reply> {
+    let mut response = Response::new(Reply { content, _undelivered: undelivered, disconnect: None });
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/grpc"));
     response
 }
 
 /// One message and status OK.
-pub(super) fn message(message: &impl Message, untaken: UntakenReply) -> Response<Reply> {
+pub(super) fn message(message: &impl Message, undelivered: UndeliveredReply) -> Response<Reply> {
     let trailers = Some(trailers(&Status::new(Code::Ok, "")));
-    grpc_response(Content::Unary { message: Some(frame(message)), trailers }, Some(untaken))
+    grpc_response(Content::Unary { message: Some(frame(message)), trailers }, Some(undelivered))
 }
 
 /// A status alone: in the head, which no flow-control window holds up.
@@ -86,7 +86,8 @@
 
 /// The reply to a request that is no gRPC: a plain HTTP status.
 pub(super) fn http_status(status: StatusCode) -> Response<Reply> {
-    let mut response = Response::new(Reply { content: Content::empty(), _untaken: None, disconnect: None });
+    let mut response =
+        Response::new(Reply { content: Content::empty(), _undelivered: None, disconnect: None });
     *response.status_mut() = status;
     response
 }
--- a/crates/daemon/src/listeners/grpc/unary.rs
+++ b/crates/daemon/src/listeners/grpc/unary.rs
@@ -24,14 +24,14 @@
 }
 
 /// The status of a call whose framing is wrong.
-pub(super) fn wrong_frame(wrong: WrongFrame) -> Status {
-    let code = match wrong {
+pub(super) fn frame_error(error: WrongFrame) -> Status {
+    let code = match error {
         // "If the flag is set and no grpc-encoding was given, INTERNAL."
         WrongFrame::Compressed => Code::Internal,
         WrongFrame::TooLarge { .. } => Code::ResourceExhausted,
         _ => Code::InvalidArgument,
     };
-    Status::new(code, wrong.to_string())
+    Status::new(code, error.to_string())
 }
 
 /// The status of a call without an answer before its deadline.
@@ -74,10 +74,10 @@
             if !reservation.try_grow(data.len()) {
                 return Err(no_memory());
             }
-            unary.push(data).map_err(wrong_frame)?;
+            unary.push(data).map_err(frame_error)?;
         }
     }
-    let message = unary.finish().map_err(wrong_frame)?;
+    let message = unary.finish().map_err(frame_error)?;
     let message = M::decode(message);
     let message = message.map_err(|error| invalid_argument(format!("the message is malformed: {error}")))?;
     Ok((message, reservation))
--- a/crates/daemon/src/listeners/http/connection.rs
+++ b/crates/daemon/src/listeners/http/connection.rs
@@ -31,7 +31,7 @@
     /// Asks it to close once no request is open on it.
     pub close: Notify,
     /// When it was asked to give way to a new connection: one that cannot for long is passed over.
-    asked_to_close_at: Cell<Option<Instant>>,
+    close_requested_at: Cell<Option<Instant>>,
     socket: Rc<Socket>,
 }
 
@@ -53,7 +53,7 @@
             closing: Cell::new(false),
             lingering: Cell::new(false),
             close: Notify::new(),
-            asked_to_close_at: Cell::new(None),
+            close_requested_at: Cell::new(None),
             socket,
         })
     }
@@ -79,16 +79,16 @@
 
     /// Its rank among those that may give way to a new connection; `None` if it may not.
     pub(super) fn close_rank(&self) -> Option<CloseRank> {
-        let asked = self.asked_to_close_at.get();
-        let is_stuck = asked.is_some_and(|since| since.elapsed() > IDLE_BEFORE_CLOSE);
+        let requested_at = self.close_requested_at.get();
+        let is_stuck = requested_at.is_some_and(|since| since.elapsed() > IDLE_BEFORE_CLOSE);
         let is_silent = self.is_silent() && self.since.get().elapsed() > IDLE_BEFORE_CLOSE_UNUSED;
         let may_close = !is_stuck && (is_silent || self.is_idle());
         may_close.then(|| CloseRank { used: self.used.get(), idle_since: self.since.get() })
     }
 
     /// Asks it to give way to a new connection.
-    pub(super) fn ask_to_close(&self) {
-        self.asked_to_close_at.set(self.asked_to_close_at.get().or_else(|| Some(Instant::now())));
+    pub(super) fn request_close(&self) {
+        self.close_requested_at.set(self.close_requested_at.get().or_else(|| Some(Instant::now())));
         self.close.notify_one();
     }
 
@@ -96,7 +96,7 @@
     pub(super) fn start_lingering(&self) {
         self.used.set(false);
         self.lingering.set(true);
-        self.asked_to_close_at.set(None);
+        self.close_requested_at.set(None);
         self.since.set(Instant::now());
     }
 }
@@ -109,7 +109,7 @@
 impl BusyGuard {
     pub(super) fn new(connection: Rc<Connection>) -> Self {
         connection.busy.set(true);
-        connection.asked_to_close_at.set(None);
+        connection.close_requested_at.set(None);
         BusyGuard { connection }
     }
 }
--- a/crates/daemon/src/listeners/http/mod.rs
+++ b/crates/daemon/src/listeners/http/mod.rs
@@ -114,6 +114,6 @@
         if rank.used && silent * SILENT_SHARE_DIVISOR >= self.max_connections {
             return;
         }
-        idlest.ask_to_close();
+        idlest.request_close();
     }
 }
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -10,7 +10,7 @@
 
 const SOCKETS: u32 = 128;
 
-fn over(server: &Fake, count: std::net::SocketAddr) -> (Fake, Limiter) {
+fn start_over(server: &Fake, count: std::net::SocketAddr) -> (Fake, Limiter) {
     // Behind many names it takes many requests at once.
     let list = (0..16).map(|n| instance(&format!("s-{n}"), server.address, "in_service")).collect();
     let discovery = discovery(list);
@@ -19,12 +19,12 @@
 }
 
 /// The most descriptors that are seen open in a time.
-fn most_open(limiter: &Limiter, time: Duration) -> usize {
-    let (mut most, end) = (0, Instant::now() + time);
+fn max_open_descriptors(limiter: &Limiter, time: Duration) -> usize {
+    let (mut max_open, end) = (0, Instant::now() + time);
     while Instant::now() < end {
-        most = most.max(limiter.descriptors());
+        max_open = max_open.max(limiter.descriptors());
     }
-    most
+    max_open
 }
 
 #[test]
@@ -36,8 +36,8 @@
     // No more than the kernel keeps waiting.
     let mut clients: Vec<Client> = (0..110).map(|_| limiter.client()).collect();
     limiter.go_on();
-    let most = most_open(&limiter, Duration::from_millis(400));
-    assert!(most <= 72, "{most} open");
+    let max_open = max_open_descriptors(&limiter, Duration::from_millis(400));
+    assert!(max_open <= 72, "{max_open} open");
     // The last of them has its turn.
     let last = clients.last_mut().expect("one");
     assert_eq!(last.ask(&quote("roomy", 9000)).status(), 200);
@@ -85,8 +85,8 @@
         served += usize::from(limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         served > 20 && count.count() > calls
     });
-    let most = most_open(&limiter, Duration::from_millis(300));
-    assert!(most <= SOCKETS as usize, "{most} open");
+    let max_open = max_open_descriptors(&limiter, Duration::from_millis(300));
+    assert!(max_open <= SOCKETS as usize, "{max_open} open");
     down.store(false, Ordering::SeqCst);
     let began = Instant::now();
     wait_until("the news hold", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
@@ -123,7 +123,7 @@
 #[test]
 fn a_connection_flood_costs_no_client_its_answer() {
     let server = Fake::new(|_| ok("served"));
-    let (_discovery, limiter) = over(&server, counter().address);
+    let (_discovery, limiter) = start_over(&server, counter().address);
     let (done, floods) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let junk = [
         "x".repeat(100_000),
@@ -146,7 +146,7 @@
         .collect();
     let usual: Vec<_> = (0..6).map(|_| spawn_usual_client(&limiter, &done)).collect();
     wait_until("much has come", || floods.load(Ordering::SeqCst) > 300);
-    let most = most_open(&limiter, Duration::from_millis(300));
+    let max_open = max_open_descriptors(&limiter, Duration::from_millis(300));
     done.store(true, Ordering::SeqCst);
     for flood in flood {
         flood.join().expect("a flood");
@@ -154,5 +154,5 @@
     for client in usual {
         assert!(client.join().expect("a client") > 5, "it was hardly answered");
     }
-    assert!(most <= SOCKETS as usize, "{most} open");
+    assert!(max_open <= SOCKETS as usize, "{max_open} open");
 }
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -8,15 +8,15 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const PROCESSES: u32 = 8;
+const INSTANCES: u32 = 8;
 /// The time that the settings name, and what may come in it to a cold server of which nobody knows more.
-const SPAN: Duration = Duration::from_secs(2);
-const LEAST: f64 = 4.0;
+const SLOW_START_TIME: Duration = Duration::from_secs(2);
+const SLOW_START_BUDGET: f64 = 4.0;
 
-fn member(me: u32) -> serde_json::Value {
+fn instance_settings(index: u32) -> serde_json::Value {
     let mut settings = settings();
-    settings["me"] = json!(me);
-    settings["peers-total"] = json!(PROCESSES);
+    settings["me"] = json!(index);
+    settings["peers-total"] = json!(INSTANCES);
     settings
 }
 
@@ -32,13 +32,13 @@
     let mut cold = instance("s-0", server.address, "in_service");
     cold["startedAtMs"] = json!(now);
     let (discovery, count, done) = (discovery(vec![cold]), counter(), Arc::new(AtomicBool::new(false)));
-    let run = |me| {
+    let run = |index| {
         let (discovery, count, done) = (discovery.clone(), count.address, done.clone());
         thread::spawn(move || {
             // Each is killed and started anew after a while, at another time than the others.
             while !done.load(Ordering::SeqCst) {
-                let limiter = Limiter::start(member(me), &discovery, count);
-                let end = Instant::now() + Duration::from_millis(500 + 150 * u64::from(me));
+                let limiter = Limiter::start(instance_settings(index), &discovery, count);
+                let end = Instant::now() + Duration::from_millis(500 + 150 * u64::from(index));
                 let mut client = limiter.client();
                 while Instant::now() < end && !done.load(Ordering::SeqCst) {
                     client.ask(&quote("roomy", 9000));
@@ -47,17 +47,18 @@
             }
         })
     };
-    let limiters: Vec<_> = (0..PROCESSES).map(run).collect();
+    let limiters: Vec<_> = (0..INSTANCES).map(run).collect();
     thread::sleep(Duration::from_secs(7));
     done.store(true, Ordering::SeqCst);
     for limiter in limiters {
         limiter.join().expect("a limiter");
     }
     let came = came.lock().expect("lock");
-    let within = |from: &Instant| came.iter().filter(|t| **t >= *from && **t - *from <= SPAN).count();
+    let within =
+        |from: &Instant| came.iter().filter(|t| **t >= *from && **t - *from <= SLOW_START_TIME).count();
     let most = came.iter().map(within).max().unwrap_or(0) as f64;
     assert!(most > 0.0, "it never warms by work");
-    assert!(most <= LEAST + 2.0 * LEAST.sqrt() + 2.0, "{most} in one window");
+    assert!(most <= SLOW_START_BUDGET + 2.0 * SLOW_START_BUDGET.sqrt() + 2.0, "{most} in one window");
 }
 
 #[test]
@@ -74,11 +75,15 @@
         }
     });
     let ready: Vec<_> = (0..10)
-        .map(|me| {
+        .map(|index| {
             let discovery = discovery.address;
             thread::spawn(move || {
                 let started = Instant::now();
-                let limiter = Limiter::with_known(&update(9, true, &[]), member(me % PROCESSES), discovery);
+                let limiter = Limiter::with_known(
+                    &update(9, true, &[]),
+                    instance_settings(index % INSTANCES),
+                    discovery,
+                );
                 wait_until("it is ready", || limiter.up());
                 started.elapsed()
             })
