--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -12,10 +12,7 @@
 
 use counter_service::CounterService;
 use fastrand::Rng;
-use liftrouter_counter::{
-    CallResult, CounterMonitor, FailoverPolicy, Pacer, PacingSettings, PauseDetector, TokenBucket,
-    ValidationCall, ValidationSettings,
-};
+use liftrouter_counter::{CallResult, CounterMonitor, Pacer, PacingSettings, PauseDetector, TokenBucket};
 use liftrouter_decision::*;
 use schedule::{Scheduled, SimulationEvent};
 use std::collections::BinaryHeap;
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_is_reset_is_sent_again_only_if_its_class_permits() {
+fn a_reset_request_is_retried_only_if_its_class_is_idempotent() {
     let fates = [
         Fate::Reset(""),
         Fate::Reset("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n"),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn past_its_window_a_keyed_request_is_not_sent_again() {
+fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
     for (window, wanted) in [(10.0, 2), (0.3, 1)] {
         let late = Fate::LateReset(Duration::from_millis(400));
         assert_eq!(sends(with_window(window), late.clone(), &post("bind", "x")).0, wanted, "window {window}");
@@ -137,7 +137,7 @@
 
 /// Allowed when it was decided, a further attempt may wait for its connection until its key is forgotten.
 #[test]
-fn a_connection_that_comes_up_late_gets_no_request_whose_key_is_forgotten() {
+fn a_late_connection_gets_no_request_past_its_deduplication_window() {
     for (window, written) in [(0.8, false), (60.0, true)] {
         let first = Raw::new(vec![Fate::LateReset(Duration::from_millis(400))]);
         let (listener, late, filled) = never_up();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_is_reset_in_the_moment_of_its_reuse_costs_nothing() {
+fn a_reset_of_an_idle_connection_at_its_reuse_costs_no_attempt() {
     let server = Fake::new(|_| ok("served"));
     let limiter = over(patient(), &[server.address]);
     let mut client = limiter.client();
@@ -194,7 +194,7 @@
 
 /// The news that a server drains and the answer to what runs there come in one moment: it has run.
 #[test]
-fn an_answer_that_crosses_the_news_of_a_drain_counts() {
+fn an_answer_that_crosses_a_drain_update_is_served() {
     let gate = Arc::new(Mutex::new(Gate::default()));
     let rule = {
         let gate = gate.clone();
@@ -233,7 +233,7 @@
 
 /// The connection comes up and the server speaks, all before the limiter looks again.
 #[test]
-fn what_a_server_says_before_it_is_asked_is_no_answer() {
+fn bytes_that_come_before_the_request_are_no_answer() {
     let (listener, address, filled) = never_up();
     let mut settings = patient();
     settings["limits"]["connect-timeout-s"] = json!(10.0);
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/client_disconnects.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_is_still_connecting_is_dropped_whether_attempts_may_be_called_off_or_not() {
+fn a_connecting_attempt_is_aborted_whether_cancellation_is_allowed_or_not() {
     at_once([true, false], |may_cancel| {
         let (listener, address, filled) = never_up();
         let mut settings = patient(may_cancel);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_end_behind_unread_bytes_is_seen() {
+fn a_disconnect_behind_unread_bytes_is_detected() {
     let behind =
         ["", "\r\n", "half a line", &quote("roomy", 9000), &"x".repeat(10_000), &"x".repeat(300_000)];
     at_once([End::Close, End::Reset, End::HalfClose], |end| {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_client_that_waits_with_bytes_behind_its_request_is_answered() {
+fn a_client_with_bytes_behind_its_request_is_answered() {
     for behind in ["\r\n".to_string(), "half a line".into(), "x".repeat(10_000), "x".repeat(300_000)] {
         let (gate, server) = held(|_| ok("served"));
         let limiter = over(patient(true), server.address);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_request_behind_another_is_answered_after_it() {
+fn a_pipelined_request_is_answered_after_the_one_before() {
     let (gate, server) = held(|m| ok(m.header("x-correlation-id").unwrap_or_default()));
     let limiter = over(patient(true), server.address);
     let (mut client, first, second) = (limiter.client(), post("bind", "x"), post("bind", "yy"));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn what_fails_after_its_client_left_is_not_sent_again() {
+fn a_failed_attempt_is_not_retried_after_its_client_disconnected() {
     for behind in ["", "half a line"] {
         let (gate, server) = held(|_| Reply::Last(String::new()));
         // The attempt stays out, so its failure comes to a request that nobody waits for.
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn fifty_that_come_and_go_in_one_moment_are_not_sent_on() {
+fn fifty_clients_that_disconnect_at_once_are_not_forwarded() {
     for (end, behind) in
         [(End::Close, ""), (End::Close, "half a line"), (End::Reset, ""), (End::HalfClose, "")]
     {
--- a/crates/daemon/tests/keeper.rs
+++ b/crates/daemon/tests/counter_validation.rs
@@ -1,4 +1,4 @@
-//! The real binary before keepers that fail: what it says of them, and that it asks only where it is told to.
+//! The real binary with counters that fail: what it logs, which counter it uses, and that validation is off by default.
 mod common;
 
 use common::*;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What the keeper does to the judge's calls.
+/// What the counter service does to validation calls.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     /// Adds, and the other limiter has called each roll.
@@ -22,12 +22,12 @@
     Doubled,
 }
 
-struct Keeper {
+struct CounterService {
     fake: Fake,
     mode: Arc<Mutex<Mode>>,
 }
 
-fn keeper() -> Keeper {
+fn counter_service() -> CounterService {
     let mode = Arc::new(Mutex::new(Mode::Sound));
     let (now, numbers) = (mode.clone(), Mutex::<HashMap<String, f64>>::default());
     let fake = Fake::new(move |call| {
@@ -48,10 +48,10 @@
             _ => ok(&(*total + others).to_string()),
         }
     });
-    Keeper { fake, mode }
+    CounterService { fake, mode }
 }
 
-impl Keeper {
+impl CounterService {
     /// Waits for the next line of the log that says so.
     fn until(&self, limiter: &Limiter, mode: Mode, said: &str) {
         let before = limiter.errors().len();
@@ -60,15 +60,15 @@
     }
 }
 
-fn judged(keeper: &Keeper, text: &str) -> Limiter {
-    judged_with(keeper, text, settings())
+fn validating(service: &CounterService, text: &str) -> Limiter {
+    validating_with(service, text, settings())
 }
 
-fn judged_with(keeper: &Keeper, text: &str, settings: serde_json::Value) -> Limiter {
+fn validating_with(service: &CounterService, text: &str, settings: serde_json::Value) -> Limiter {
     let server = Fake::new(|_| ok("served"));
     let list = discovery(vec![instance("s-0", server.address, "in_service")]);
     let file = scratch(text);
-    let counter = Some(keeper.fake.address);
+    let counter = Some(service.fake.address);
     let limiter = Limiter::with_operator_and_counter(&file, settings, list.address, counter);
     wait_until("the limiter is up", || limiter.up());
     let _ = std::fs::remove_file(file);
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn each_fault_of_the_keeper_is_told_in_a_line_and_so_is_its_end() {
-    let keeper = keeper();
-    let limiter = judged(&keeper, "[keeper]\nevery_ms = 50\nroll_ms = 250\n");
+fn each_fault_of_the_counter_and_its_end_is_logged() {
+    let service = counter_service();
+    let limiter = validating(&service, "[keeper]\nevery_ms = 50\nroll_ms = 250\n");
     let sound = "keeper: the keeper is sound; limiters on its roll: 2; share 1.00";
     wait_until("it is believed", || limiter.errors().contains(sound));
     for (mode, said) in [
@@ -88,21 +88,21 @@
         (Mode::Doubled, "the keeper adds more than it is told"),
         (Mode::Alone, "the keeper is sound; limiters on its roll: 1; share 0.50"),
     ] {
-        keeper.until(&limiter, mode, said);
-        keeper.until(&limiter, Mode::Sound, sound);
+        service.until(&limiter, mode, said);
+        service.until(&limiter, Mode::Sound, sound);
     }
 }
 
 #[test]
-fn a_judge_that_is_not_wanted_costs_no_call() {
-    let keeper = keeper();
-    let limiter = judged(&keeper, "# nothing\n");
+fn validation_that_is_off_makes_no_call() {
+    let service = counter_service();
+    let limiter = validating(&service, "# nothing\n");
     // The customers' own calls come, and nothing else does.
     wait_until("customers are counted", || {
         limiter.client().ask(&quote("roomy", 9_000));
-        keeper.fake.count() >= 2
+        service.fake.count() >= 2
     });
-    let names = keeper.fake.seen().into_iter().map(|m| m.first);
+    let names = service.fake.seen().into_iter().map(|m| m.first);
     assert!(
         names.clone().all(|n| !n.contains("canary") && !n.contains("roll")),
         "{:?}",
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_judge_that_could_not_read_its_rolls_is_refused_at_the_start() {
+fn a_census_period_too_short_for_its_calls_is_rejected_at_the_start() {
     let file = scratch("[keeper]\nevery_ms = 400\nroll_ms = 1500\n");
     let config = scratch(
         &json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
@@ -129,16 +129,16 @@
 
 const QUICK: &str = "[keeper]\nevery_ms = 50\nroll_ms = 250\njitter_ms = 50\nsettle_s = 1\n";
 
-/// Customers' calls that a keeper has seen.
-fn customers(keeper: &Keeper) -> usize {
-    let names = keeper.fake.seen().into_iter().map(|m| m.first);
+/// Customers' calls that a counter service has received.
+fn customers(service: &CounterService) -> usize {
+    let names = service.fake.seen().into_iter().map(|m| m.first);
     names.filter(|n| !n.contains("canary") && !n.contains("roll")).count()
 }
 
 #[test]
-fn with_a_standby_customers_are_counted_there_while_the_first_is_silent_and_then_at_the_first_again() {
-    let (first, second) = (keeper(), keeper());
-    let limiter = judged(&first, &format!("{QUICK}others = ['{}']\n", second.fake.address));
+fn customers_are_counted_at_the_standby_after_a_failover_and_at_the_first_after_the_failback() {
+    let (first, second) = (counter_service(), counter_service());
+    let limiter = validating(&first, &format!("{QUICK}others = ['{}']\n", second.fake.address));
     let ask = || drop(limiter.client().ask(&quote("roomy", 9_000)));
     wait_until("the first is believed", || {
         limiter.errors().contains("limiters on its roll: 2; share 1.00; keeper 1 of 2; at 127.0.0.1:")
@@ -165,8 +165,8 @@
 }
 
 #[test]
-fn an_answer_of_the_keeper_before_is_no_total_of_the_next() {
-    let (slow, next) = (Fake::new(|_| late("7")), keeper());
+fn a_late_response_of_the_previous_counter_is_dropped() {
+    let (slow, next) = (Fake::new(|_| late("7")), counter_service());
     let mut settings = settings();
     settings["family-info"]["count-limit-s"] = json!(9.0);
     let server = Fake::new(|_| ok("served"));
@@ -192,9 +192,9 @@
 }
 
 #[test]
-fn a_limiter_that_stood_still_does_not_act_on_what_it_knew_before() {
-    let keeper = keeper();
-    let limiter = judged(&keeper, QUICK);
+fn totals_from_before_a_process_pause_are_not_used_after_it() {
+    let service = counter_service();
+    let limiter = validating(&service, QUICK);
     let sound = "the keeper is sound; limiters on its roll: 2; share 1.00";
     wait_until("it is believed", || limiter.errors().contains(sound));
     let before = limiter.errors().len();
@@ -222,18 +222,18 @@
 }
 
 #[test]
-fn what_is_made_of_the_keeper_decides_how_much_is_granted() {
-    let keeper = keeper();
+fn the_usable_share_of_a_quota_follows_the_census() {
+    let service = counter_service();
     let mut settings = settings();
     settings["tariffs"][1]["rate"] = json!(2.0);
-    let limiter = judged_with(&keeper, QUICK, settings);
+    let limiter = validating_with(&service, QUICK, settings);
     let share = |share: &str| format!("share {share}; at ");
     wait_until("it is believed", || limiter.errors().contains(&share("1.00")));
     // All of the customer's demand is here: with the whole to divide, a unit comes in half a second.
     wait_until("the whole quota is granted", || (0.3..=0.65).contains(&advice(&limiter)));
     // The other limiter counts elsewhere: half of the quota is its.
-    keeper.until(&limiter, Mode::Alone, &share("0.50"));
+    service.until(&limiter, Mode::Alone, &share("0.50"));
     wait_until("half of it is granted", || advice(&limiter) > 0.8);
-    keeper.until(&limiter, Mode::Sound, &share("1.00"));
+    service.until(&limiter, Mode::Sound, &share("1.00"));
     wait_until("the whole is granted again", || (0.3..=0.65).contains(&advice(&limiter)));
 }
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn sighup_with_a_file_that_cannot_be_read_changes_nothing() {
+fn sighup_with_an_unreadable_file_changes_nothing() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -67,7 +67,7 @@
 // ----- SIGTERM -----
 
 #[test]
-fn sigterm_finishes_what_is_open_and_takes_what_still_comes() {
+fn sigterm_finishes_open_requests_and_accepts_new_ones_meanwhile() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |m| {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_log_is_text_or_json_as_the_operator_wants_it() {
+fn the_log_is_text_or_json_as_configured() {
     let said = |form: &[&str]| {
         let out = command().args(form).env_remove("ROUTER_CONFIG").output().expect("run");
         String::from_utf8_lossy(&out.stderr).into_owned()
