--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Limiters and counters in one process and in simulated time: the decision module as it is, a counter that can fail,
-//! and a customer whose use is held against the quota_bucket that its plan defines.
+//! and a customer whose use is held against the token bucket that its plan defines.
 #![allow(dead_code, reason = "each test program uses a part")]
 
 mod counter_service;
@@ -52,7 +52,7 @@
     until: f64,
     quota_bucket: TokenBucket,
     hard_limit_bucket: TokenBucket,
-    /// SimulationEvent the customer has asked, as its quota would have it.
+    /// What the customer has asked, as its quota would have it.
     demand_bucket: TokenBucket,
     in_flight: i64,
     answer: f64,
@@ -231,7 +231,7 @@
             }
             SimulationEvent::DelayedArrival(n) => self.submit_request(n),
             SimulationEvent::Timer(n, incarnation, token) => {
-                self.notify(n, incarnation, Event::Timer { token })
+                self.notify(n, incarnation, Event::Timer { token });
             }
             SimulationEvent::AttemptEnded(n, incarnation, id) => {
                 self.in_flight -= 1;
@@ -250,14 +250,10 @@
                 self.call(limiter, incarnation, (name, add, ttl), at, generation);
             }
             SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed } => {
-                self.notify(
-                    limiter,
-                    incarnation,
-                    Event::CounterReply { key: name, outcome, total, elapsed: elapsed },
-                );
+                self.notify(limiter, incarnation, Event::CounterReply { key: name, outcome, total, elapsed });
             }
             SimulationEvent::Validate(n, incarnation, counter) => {
-                self.start_validation_call(n, incarnation, counter)
+                self.start_validation_call(n, incarnation, counter);
             }
             SimulationEvent::ValidationEnded { limiter, incarnation, counter, call, answer } => {
                 self.end_validation_call(limiter, incarnation, counter, &call, answer);
@@ -298,9 +294,9 @@
             return match event {
                 Event::Timer { token } => self.schedule(at, SimulationEvent::Timer(n, incarnation, token)),
                 Event::AttemptEnded { id, .. } => {
-                    self.schedule(at, SimulationEvent::AttemptEnded(n, incarnation, id))
+                    self.schedule(at, SimulationEvent::AttemptEnded(n, incarnation, id));
                 }
-                Event::CounterReply { key: name, outcome, total, elapsed: elapsed } => {
+                Event::CounterReply { key: name, outcome, total, elapsed } => {
                     let elapsed = elapsed + at - self.now;
                     self.schedule(
                         at,
@@ -337,45 +333,31 @@
                 }
                 Action::Reject { .. } => self.result.rejected += 1.0,
                 Action::SetTimer { at, token } => {
-                    self.schedule(at - clock, SimulationEvent::Timer(n, incarnation, token))
+                    self.schedule(at - clock, SimulationEvent::Timer(n, incarnation, token));
                 }
-                Action::IncrementCounter { key: name, increment: add, ttl: ttl } => {
-                    let (at, instance) = (self.now, &mut self.instances[n]);
-                    if instance.pacer.as_mut().is_some_and(|p| !p.try_acquire(at)) {
-                        let outcome = Outcome::Overloaded;
-                        self.schedule(
-                            at,
-                            SimulationEvent::CounterReply {
-                                limiter: n,
-                                incarnation,
-                                name,
-                                outcome,
-                                total: 0.0,
-                                elapsed: 0.0,
-                            },
-                        );
-                        continue;
-                    }
-                    let generation =
-                        instance.monitor.as_ref().map_or(0, |p| p.assessment().active.generation);
-                    self.schedule(
-                        at + CALL_SECONDS / 2.0,
-                        SimulationEvent::CounterCall {
-                            limiter: n,
-                            incarnation,
-                            name,
-                            add,
-                            ttl,
-                            at,
-                            generation,
-                        },
-                    );
+                Action::IncrementCounter { key, increment, ttl } => {
+                    self.start_call(n, key, increment, ttl);
                 }
                 _ => {}
             }
         }
     }
 
+    /// Sends a customer's call to the active counter, if the pacer allows it.
+    fn start_call(&mut self, n: usize, name: String, add: f64, ttl: f64) {
+        let (at, instance) = (self.now, &mut self.instances[n]);
+        let (limiter, incarnation) = (n, instance.incarnation);
+        if instance.pacer.as_mut().is_some_and(|pacer| !pacer.try_acquire(at)) {
+            let (outcome, total, elapsed) = (Outcome::Overloaded, 0.0, 0.0);
+            let reply = SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed };
+            return self.schedule(at, reply);
+        }
+        let monitor = instance.monitor.as_ref();
+        let generation = monitor.map_or(0, |monitor| monitor.assessment().active.generation);
+        let call = SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl, at, generation };
+        self.schedule(at + CALL_SECONDS / 2.0, call);
+    }
+
     fn call(
         &mut self,
         n: usize,
--- a/crates/counter/tests/common/scenario.rs
+++ b/crates/counter/tests/common/scenario.rs
@@ -1,6 +1,6 @@
-//! SimulationEvent is played: faults, the load, and the result.
+//! What is played: faults, the load, and the result.
 
-/// SimulationEvent may happen to the counter, and to limiters.
+/// A fault of a counter or a limiter, or its end.
 #[derive(Clone, Copy, Debug)]
 pub enum Injection {
     /// A counter of the list answers nothing; what comes is not added.
@@ -38,23 +38,25 @@
     pub shift: f64,
     /// Nothing is asked that one limiter that sees everything would refuse for the quota.
     pub within_quota: bool,
-    /// Customers that submit_request, one as the other. With more than one, quotas are not validated.
+    /// Customers with the same demand. With more than one, quotas are not checked.
     pub customers: usize,
 }
 
-/// SimulationEvent became of it.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Result {
+    /// Units forwarded.
     pub forwarded: f64,
-    /// Over the quota, and over the hard ceiling.
+    /// Overshoot of the quota, in units.
     pub overshoot: f64,
+    /// Overshoot of the hard limit, in units.
     pub hard_limit_overshoot: f64,
-    /// Rejected of what was asked.
+    /// Units rejected.
     pub rejected: f64,
-    /// Attempts out at once, at most.
+    /// Most attempts in flight at once.
     pub max_in_flight: i64,
     /// Calls to the first counter by limiters' customers, second by second.
     pub calls: Vec<u32>,
-    /// Keepers that the limiters counted at, at the end.
+    /// The active counter of each limiter at the end.
     pub active_counters: Vec<usize>,
 }
--- a/crates/counter/tests/common/validation.rs
+++ b/crates/counter/tests/common/validation.rs
@@ -7,19 +7,19 @@
 use liftrouter_decision::Event;
 
 impl World {
-    /// Every limiter judges its counter.
+    /// Every limiter validates its counter.
     pub fn validated(self) -> World {
         self.with_standbys(0)
     }
 
-    /// Every limiter judges its counters, of which there are so many beside the first.
+    /// Every limiter validates its counters, of which there are `standbys` beside the first.
     pub fn with_standbys(mut self, standbys: usize) -> World {
         self.counters.resize(1 + standbys, CounterService::default());
         (0..self.instances.len()).for_each(|n| self.validate(n));
         self
     }
 
-    /// SimulationEvent each limiter goes by where it judges.
+    /// Settings of the validation.
     pub fn settings(limiters: usize) -> ValidationSettings {
         ValidationSettings { instance_count: limiters as u32, ..ValidationSettings::default() }
     }
