--- a/crates/daemon/src/relay/mod.rs
+++ b/crates/daemon/src/relay/mod.rs
@@ -38,7 +38,8 @@
 /// # Errors
 /// It cannot listen, or cannot handle signals.
 pub fn run(setup: RelaySetup) -> Result<(), StartupError> {
-    LocalSet::new().block_on(&runtime()?, serve(setup))
+    let runtime = runtime()?;
+    LocalSet::new().block_on(&runtime, serve(setup))
 }
 
 async fn serve(setup: RelaySetup) -> Result<(), StartupError> {
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -50,7 +50,8 @@
         report(info);
         std::process::exit(PANIC_EXIT_CODE);
     }));
-    LocalSet::new().block_on(&runtime()?, serve(setup, operator))
+    let runtime = runtime()?;
+    LocalSet::new().block_on(&runtime, serve(setup, operator))
 }
 
 async fn serve(
