--- a/crates/cluster/tests/cluster.rs
+++ b/crates/cluster/tests/cluster.rs
@@ -44,7 +44,7 @@
     world.kill(5);
     let missed = world.until(20 * SECOND, |w| w.views().iter().all(|v| *v == 6)).expect("missed");
     assert!(missed > SECOND, "it is suspected first");
-    // Its lease, a voter's longer word, and a claim.
+    // The lease, the longer promise of a voter, and the time to the next request.
     let bound = 20 * SECOND + LEASE.promise_duration() + LEASE.duration / 4;
     let taken = world.until(bound, |w| w.unheld_shards() == 0).expect("taken over");
     assert!(missed + taken < 10 * SECOND, "{missed} and {taken}");
@@ -62,7 +62,7 @@
     assert!(world.double_holders.is_empty());
 }
 
-/// Cut off from all, it knows nothing of being missed, and stops by its own clock before its successor begins.
+/// It does not learn that it was declared down, and stops by its own clock before its successors start.
 #[test]
 fn an_isolated_member_loses_its_leases_before_its_successors_acquire_them() {
     let mut world = cluster(6, 24, 8);
@@ -85,7 +85,7 @@
         .min();
     assert!(first.expect("taken over") > last);
     assert_eq!((world.unheld_shards(), &world.double_holders[..]), (0, &[][..]));
-    // And token_regressions: it hears that it was taken for gone.
+    // It rejoins once it learns that it was declared down.
     world.links.clear();
     world
         .until(30 * SECOND, |w| w.views().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
@@ -116,7 +116,7 @@
     assert!(world.double_holders.is_empty(), "{:?}", world.double_holders);
     world.until(30 * SECOND, |w| w.views().iter().all(|v| *v == 6) && w.unheld_shards() == 0).expect("back");
     assert!(world.double_holders.is_empty());
-    // It missed nobody for its own sleep.
+    // It declared nobody down after its own pause.
     assert!(downs(&world, 3).is_empty(), "{:?}", downs(&world, 3));
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn of_two_processes_with_one_name_only_the_earlier_requests_leases() {
     let mut world = cluster(4, 12, 13);
-    // Another process that calls itself as the last does.
+    // Another process with the name of the last.
     let settings = liftrouter_cluster::Settings {
         name: "n3".into(),
         address: address(9),
@@ -167,7 +167,7 @@
         liftrouter_cluster::ClusterMember::new(settings, 77, 0, 1_900_000_000_000).expect("settings");
     let mut out = Vec::new();
     twin.handle(0, Event::Wake, &mut out);
-    // Scheduled it says to the others comes to the first, which answers; the twin hears of its namesake.
+    // Its datagrams reach the first member, whose replies tell it of the other process.
     let clock = world.clock(0);
     let members = world.nodes[0].member.as_mut().expect("there");
     let mut answers = Vec::new();
@@ -176,23 +176,26 @@
             members.handle(clock, Event::Datagram(address(9), &bytes), &mut answers);
         }
     }
-    let conflicts: Vec<_> =
-        answers.iter().filter(|o| matches!(o, Action::Notify(Notification::NameConflict { .. }))).collect();
+    let conflicts: Vec<_> = answers
+        .iter()
+        .filter(|action| matches!(action, Action::Notify(Notification::NameConflict { .. })))
+        .collect();
     assert_eq!(conflicts.len(), 1, "{answers:?}");
-    let mut heard = Vec::new();
+    let mut reactions = Vec::new();
     for output in answers {
         if let Action::Send(to, bytes) = output {
             if to == address(9) {
-                twin.handle(2_000, Event::Datagram(address(0), &bytes), &mut heard);
+                twin.handle(2_000, Event::Datagram(address(0), &bytes), &mut reactions);
             }
         }
     }
     assert!(twin.alive().count() > 1, "it has been let in");
-    let requests = heard.iter().any(|o| matches!(o, Action::Send(_, bytes) if bytes.first() == Some(&2)));
+    let requests =
+        reactions.iter().any(|action| matches!(action, Action::Send(_, bytes) if bytes.first() == Some(&2)));
     assert!(!requests, "the later of two of one name wants no shard");
 }
 
-/// The one that holds a shard, other than this one.
+/// The member that holds a shard, other than this one.
 fn holder(world: &World, shard: u16, but: usize) -> usize {
     let holds = |n: &usize| {
         let members = world.nodes[*n].member.as_ref();
@@ -203,23 +206,26 @@
 
 fn send_as_holder(world: &mut World, n: usize, what: &[u8]) -> (bool, Vec<Action>) {
     let (clock, mut out) = (world.clock(n), Vec::new());
-    let told = world.nodes[n].member.as_mut().expect("there").send_as_holder(clock, 0, what, &mut out);
-    (told, out)
+    let was_sent = world.nodes[n].member.as_mut().expect("there").send_as_holder(clock, 0, what, &mut out);
+    (was_sent, out)
 }
 
 /// How many of the messages that one member sent are delivered by another.
 fn delivered(world: &mut World, (from, to): (usize, usize), sent: Vec<Action>) -> usize {
-    let (clock, mut heard) = (world.clock(to), Vec::new());
+    let (clock, mut reactions) = (world.clock(to), Vec::new());
     let members = world.nodes[to].member.as_mut().expect("there");
     for output in sent {
         match output {
             Action::Send(at, bytes) if at == address(to) => {
-                members.handle(clock, Event::Datagram(address(from), &bytes), &mut heard);
+                members.handle(clock, Event::Datagram(address(from), &bytes), &mut reactions);
             }
             _ => {}
         }
     }
-    heard.into_iter().filter(|o| matches!(o, Action::Notify(Notification::HolderMessage { .. }))).count()
+    reactions
+        .into_iter()
+        .filter(|action| matches!(action, Action::Notify(Notification::HolderMessage { .. })))
+        .count()
 }
 
 /// A message that a holder sent before it was paused arrives after one of its successor: it is not delivered.
@@ -227,8 +233,8 @@
 fn messages_of_an_earlier_holder_are_fenced_once_a_later_one_has_sent_one() {
     let mut world = cluster(4, 1, 16);
     let first = holder(&world, 0, 9);
-    let (told, late) = send_as_holder(&mut world, first, b"before");
-    assert!(told && late.len() == 3, "to each of the others");
+    let (was_sent, late) = send_as_holder(&mut world, first, b"before");
+    assert!(was_sent && late.len() == 3, "to each of the others");
     assert!(!send_as_holder(&mut world, (first + 1) % 4, b"not mine").0, "it does not hold it");
     world.pause(first);
     world.until(30 * SECOND, |w| w.unheld_shards() == 0).expect("taken over");
@@ -266,7 +272,7 @@
         let mut out = Vec::new();
         members.handle(clock, Event::Datagram(address(2), bytes), &mut out);
         assert!(
-            out.iter().any(|o| matches!(o, Action::Notify(Notification::InvalidDatagram { .. }))),
+            out.iter().any(|action| matches!(action, Action::Notify(Notification::InvalidDatagram { .. }))),
             "{bytes:?}: {out:?}"
         );
     }
--- a/crates/cluster/tests/common/world.rs
+++ b/crates/cluster/tests/common/world.rs
@@ -163,7 +163,7 @@
         for output in out {
             match output {
                 Action::Send(to, bytes) => self.send(n, to, &bytes),
-                Action::Notify(news) => self.nodes[n].notifications.push((self.now, news)),
+                Action::Notify(notification) => self.nodes[n].notifications.push((self.now, notification)),
             }
         }
         let node = &mut self.nodes[n];
