--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -368,6 +368,7 @@
     command
 }
 
+#[allow(clippy::needless_pass_by_value, reason = "each test makes the settings for its one limiter")]
 impl Limiter {
     /// Starts it and waits until it is ready.
     pub fn start(settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
@@ -454,7 +455,8 @@
         let address = loop {
             let line = lines.next().unwrap_or_else(|| panic!("it ended before it listened: {said}"));
             let line = line.expect("utf-8");
-            said.push_str(&format!("{line}\n"));
+            said.push_str(&line);
+            said.push('\n');
             if let Some(address) = line.strip_prefix("liftrouter: gRPC on ") {
                 grpc = Some(address.parse().expect("an address"));
             }
