--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -2,14 +2,16 @@
 //! writes one reply for each to standard output. It parses, routes and formats; it decides nothing.
 #![forbid(unsafe_code)]
 
+mod line;
 mod wire;
 
 use liftrouter_decision::{Action, Event, Limiter};
+use line::Line;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use wire::{Line, Message};
+use wire::Message;
 
 /// The limiters this process hosts; they share nothing.
 type Hosted = BTreeMap<u32, Limiter>;
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,78 +1,12 @@
 //! The simulator's wire: lines to events and settings, actions to lines.
 
+use crate::line::Line;
 use liftrouter_decision::{
     Action, EndpointEntry, EndpointState, Event, LoadReport, Outcome, Request, Settings,
 };
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// A line and its parts, split at single spaces.
-pub struct Line<'a> {
-    text: &'a str,
-    parts: Vec<&'a str>,
-}
-
-impl<'a> Line<'a> {
-    pub fn new(text: &'a str) -> Self {
-        Line { text, parts: text.split(' ').collect() }
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.text.is_empty()
-    }
-
-    fn word(&self) -> &'a str {
-        self.parts[0]
-    }
-
-    fn fault(&self, field: &str, what: &str) -> String {
-        format!("{}: {field}: {what}", self.word())
-    }
-
-    fn part(&self, n: usize, field: &str) -> Result<&'a str, String> {
-        match self.parts.get(n) {
-            Some(p) if !p.is_empty() => Ok(p),
-            _ => Err(self.fault(field, "missing")),
-        }
-    }
-
-    /// The part, or `None` where it is `-` or left out.
-    fn optional(&self, n: usize) -> Option<&'a str> {
-        self.parts.get(n).copied().filter(|p| *p != "-" && !p.is_empty())
-    }
-
-    fn integer<T: std::str::FromStr>(&self, n: usize, field: &str) -> Result<T, String> {
-        let part = self.part(n, field)?;
-        part.parse().map_err(|_| self.fault(field, &format!("not a whole number in range: {part:?}")))
-    }
-
-    fn number(&self, n: usize, field: &str) -> Result<f64, String> {
-        self.float(self.part(n, field)?, field)
-    }
-
-    fn float(&self, part: &str, field: &str) -> Result<f64, String> {
-        let value = part.parse::<f64>().ok().filter(|v| v.is_finite());
-        value.ok_or_else(|| self.fault(field, &format!("not a number: {part:?}")))
-    }
-
-    fn optional_number(&self, n: usize, field: &str) -> Result<Option<f64>, String> {
-        self.optional(n).map(|p| self.float(p, field)).transpose()
-    }
-
-    fn flag(&self, n: usize, field: &str) -> Result<bool, String> {
-        match self.part(n, field)? {
-            "1" => Ok(true),
-            "0" | "-" => Ok(false),
-            other => Err(self.fault(field, &format!("neither 1 nor 0: {other:?}"))),
-        }
-    }
-
-    fn rest(&self, n: usize, field: &str) -> Result<&'a str, String> {
-        let text = self.text.splitn(n + 1, ' ').nth(n).filter(|t| !t.is_empty());
-        text.ok_or_else(|| self.fault(field, "missing"))
-    }
-}
-
 /// What one line within a batch says.
 pub enum Message {
     /// The batch is complete.
