--- a/crates/daemon/src/cluster/probing.rs
+++ b/crates/daemon/src/cluster/probing.rs
@@ -61,7 +61,7 @@
             request_rate: rate,
             error_rate: errors,
         };
-        HostEvent::HealthChecked(self.server.as_str().into(), outcome, report)
+        HostEvent::HealthChecked { endpoint: self.server.as_str().into(), outcome, report }
     }
 }
 
@@ -88,7 +88,7 @@
             last.insert(id.clone(), Instant::now());
             let (group, servers) = (group.clone(), servers.clone());
             spawn_local(async move {
-                let (outcome, report) = servers.probe(group.events.clone(), id.clone()).await;
+                let (outcome, report) = servers.check_health(group.events.clone(), id.clone()).await;
                 group.tell(&id, outcome, &report);
             });
         }
--- a/crates/daemon/src/discovery/host_list.rs
+++ b/crates/daemon/src/discovery/host_list.rs
@@ -147,5 +147,5 @@
 }
 
 fn push(events: &EventQueue, whole: bool, endpoints: Vec<ListedEndpoint>) {
-    events.push(HostEvent::EndpointUpdate { whole, endpoints, version: None });
+    events.push(HostEvent::EndpointUpdate { complete: whole, endpoints, version: None });
 }
--- a/crates/daemon/src/discovery/inventory_file.rs
+++ b/crates/daemon/src/discovery/inventory_file.rs
@@ -198,7 +198,7 @@
         let version = inventory.version.unwrap_or(self.adopted_versions);
         log("inventory", format_args!("version {version} adopted, {} nodes", inventory.nodes.len()));
         let endpoints = inventory.nodes.iter().map(listed_endpoint).collect();
-        self.events.push(HostEvent::EndpointUpdate { whole: true, endpoints, version: Some(version) });
+        self.events.push(HostEvent::EndpointUpdate { complete: true, endpoints, version: Some(version) });
         self.adopted.notify_one();
     }
 
--- a/crates/daemon/src/events/mod.rs
+++ b/crates/daemon/src/events/mod.rs
@@ -60,11 +60,18 @@
         pauses: u32,
     },
     /// A health check has ended.
-    HealthChecked(EndpointId, Outcome, LoadReport),
+    HealthChecked {
+        /// The endpoint.
+        endpoint: EndpointId,
+        /// How the check ended.
+        outcome: Outcome,
+        /// The load that the endpoint reported.
+        report: LoadReport,
+    },
     /// The endpoint list, or changes to it.
     EndpointUpdate {
         /// Whether `endpoints` is the complete list.
-        whole: bool,
+        complete: bool,
         /// The endpoints.
         endpoints: Vec<ListedEndpoint>,
         /// Version of the list, if requests carry it to servers.
--- a/crates/daemon/src/events/queue.rs
+++ b/crates/daemon/src/events/queue.rs
@@ -60,7 +60,7 @@
     }
 
     /// Number of requests without an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.unanswered_requests.get()
     }
 
--- a/crates/daemon/src/host/attempts.rs
+++ b/crates/daemon/src/host/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::Host;
 use crate::events::{Answer, AttemptResult};
-use crate::upstream::servers::{Attempt, Limits};
+use crate::upstream::attempt::{Attempt, Limits};
 use liftrouter_decision::{EndpointId, Event, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/daemon/src/host/endpoint_updates.rs
+++ b/crates/daemon/src/host/endpoint_updates.rs
@@ -2,7 +2,7 @@
 
 use super::Host;
 use crate::events::{AttemptResult, ListedEndpoint};
-use crate::upstream::servers::Place;
+use crate::upstream::servers::ServerStatus;
 use liftrouter_decision::{EndpointId, EndpointState, Event, Outcome, RequestId};
 use std::collections::HashSet;
 
@@ -44,7 +44,7 @@
         let servers = &self.clients.servers;
         let mut withdrawn = Withdrawn::default();
         for ListedEndpoint { entry, address } in listed {
-            servers.place(&entry.id, Place { address: *address, state: entry.state });
+            servers.set_status(&entry.id, ServerStatus { address: *address, state: entry.state });
             match entry.state {
                 EndpointState::InService => {}
                 EndpointState::Draining => drop(withdrawn.draining.insert(entry.id.clone())),
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -128,12 +128,12 @@
                     self.dispatch(Event::CounterValidity { usable_quota_ratio });
                 }
             }
-            HostEvent::HealthChecked(endpoint, outcome, report) => {
+            HostEvent::HealthChecked { endpoint, outcome, report } => {
                 self.dispatch(Event::HealthChecked { endpoint, outcome, report });
             }
-            HostEvent::EndpointUpdate { whole, endpoints, version } => {
+            HostEvent::EndpointUpdate { complete, endpoints, version } => {
                 self.endpoint_list_version = version;
-                self.update_endpoints(whole, endpoints);
+                self.update_endpoints(complete, endpoints);
             }
             HostEvent::WatchFailed => self.dispatch(Event::DiscoveryFailed),
             HostEvent::EndpointListExpired => self.rejection_cause = RejectionCause::EndpointListExpired,
@@ -202,7 +202,7 @@
     }
 
     fn check_health(&self, endpoint: EndpointId) {
-        let check = self.clients.servers.clone().probe(self.events.clone(), endpoint);
+        let check = self.clients.servers.clone().check_health(self.events.clone(), endpoint);
         tokio::task::spawn_local(async move {
             let _ = check.await;
         });
--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -8,7 +8,7 @@
 use crate::authoriser::{Authorisation, AuthorisationRequest, Authoriser, Authorisers, WhenUnsure};
 use crate::count::Count;
 use crate::events::{Answer, DisconnectGuard, EventQueue, IncomingRequest, Rejection, RequestKind};
-use crate::upstream::servers::OWN;
+use crate::upstream::headers::OWN;
 use hyper::header::HeaderValue;
 use liftrouter_authz::{Changes, Verdict};
 use liftrouter_decision::Settings;
--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -6,7 +6,7 @@
 use crate::events::{Answer, DisconnectGuard, IncomingRequest, RequestKind};
 use crate::listeners::fields::{self, MAX_ID_BYTES};
 use crate::number::read_number;
-use crate::upstream::servers::OWN;
+use crate::upstream::headers::OWN;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::StatusCode;
--- a/crates/daemon/src/listeners/http/check_request.rs
+++ b/crates/daemon/src/listeners/http/check_request.rs
@@ -1,6 +1,6 @@
 //! Describes a request to an authoriser, as a `CheckRequest` of `envoy.service.auth.v3`.
 
-use crate::upstream::servers::CORRELATION_ID;
+use crate::upstream::headers::CORRELATION_ID;
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use liftrouter_authz::messages::envoy::service::auth::v3::attribute_context::{self, HttpRequest};
--- a/crates/daemon/src/listeners/http/connection.rs
+++ b/crates/daemon/src/listeners/http/connection.rs
@@ -1,6 +1,6 @@
 //! The state of a client's connection, and which connection gives way to a new one.
 
-use crate::upstream::connection::Socket;
+use crate::upstream::socket::Socket;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/daemon/src/listeners/http/exchange.rs
+++ b/crates/daemon/src/listeners/http/exchange.rs
@@ -3,7 +3,7 @@
 use super::connection::{BusyGuard, Connection};
 use super::reply::{self, Reply};
 use super::HttpServer;
-use crate::upstream::connection::{Socket, Tracked};
+use crate::upstream::socket::{Socket, SocketIo};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, TRANSFER_ENCODING};
 use hyper::server::conn::http1;
@@ -42,7 +42,7 @@
             () = ready(()) => {}
         }
         tokio::select! {
-            () = socket.linger(LINGER_TIME, LINGER_BYTES) => {}
+            () = socket.lingering_close(LINGER_TIME, LINGER_BYTES) => {}
             () = connection.close.notified() => {}
         }
     }
@@ -57,7 +57,7 @@
         let mut builder = http1::Builder::new();
         builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
         builder.max_buf_size(MAX_HEAD_BYTES);
-        let mut http = pin!(builder.serve_connection(TokioIo::new(Tracked(socket.clone())), service));
+        let mut http = pin!(builder.serve_connection(TokioIo::new(SocketIo(socket.clone())), service));
         loop {
             tokio::select! {
                 // hyper comes first, so that it gets what there is to read.
@@ -70,7 +70,7 @@
                 () = client_disconnected(socket, connection) => return false,
                 () = connection.close.notified() => {
                     // A request that lies unread would be lost with its connection: it is served first.
-                    if connection.busy.get() || socket.quiet() {
+                    if connection.busy.get() || socket.is_quiet() {
                         if connection.is_silent() {
                             // A partial head would hold up hyper's own shutdown.
                             return false;
@@ -116,7 +116,7 @@
         socket.record(MAX_HEAD_BYTES);
         // Behind a chunked body nothing is read as a request, whatever another reader would find there; nor where the
         // socket brought more than was recorded.
-        if is_chunked || socket.overrun() || self.draining.get() {
+        if is_chunked || socket.is_overrun() || self.draining.get() {
             reply::close_connection(&mut reply);
         }
         reply
@@ -131,7 +131,7 @@
     poll_fn(
         |context| {
             if connection.awaiting_answer.get() {
-                socket.poll_gone(context)
+                socket.poll_closed(context)
             } else {
                 Poll::Pending
             }
--- a/crates/daemon/src/listeners/http/head.rs
+++ b/crates/daemon/src/listeners/http/head.rs
@@ -6,7 +6,7 @@
 use super::rejection::RequestError;
 use crate::listeners::fields::{self, MAX_ID_BYTES};
 use crate::number::read_number;
-use crate::upstream::servers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
+use crate::upstream::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
--- a/crates/daemon/src/listeners/http/mod.rs
+++ b/crates/daemon/src/listeners/http/mod.rs
@@ -13,7 +13,7 @@
 
 use super::accept::{accept, ACCEPT_PAUSE};
 use super::admission::Admission;
-use crate::upstream::connection::Socket;
+use crate::upstream::socket::Socket;
 use connection::Connection;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/daemon/src/listeners/http/request.rs
+++ b/crates/daemon/src/listeners/http/request.rs
@@ -9,7 +9,7 @@
 use super::{body, HttpServer};
 use crate::authoriser::AuthorisationRequest;
 use crate::events::{ForwardedRequest, IncomingRequest, RequestKind};
-use crate::upstream::servers::IDEMPOTENCY_KEY;
+use crate::upstream::headers::IDEMPOTENCY_KEY;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{HeaderName, CONTENT_TYPE};
--- a/crates/daemon/src/serve/endpoint_list.rs
+++ b/crates/daemon/src/serve/endpoint_list.rs
@@ -86,7 +86,7 @@
             Some(known) => {
                 log("discovery", "no list came: going by the one in the configuration");
                 let endpoints = known.instances.iter().map(listed_endpoint).collect();
-                events.push(HostEvent::EndpointUpdate { whole: true, endpoints, version: None });
+                events.push(HostEvent::EndpointUpdate { complete: true, endpoints, version: None });
             }
             None => log("discovery", "no list came: all is refused until one does"),
         }
--- a/crates/daemon/src/serve/shutdown.rs
+++ b/crates/daemon/src/serve/shutdown.rs
@@ -37,7 +37,7 @@
     let deadline = Duration::from_secs_f64(longest_deadline.min(MAX_DEADLINE_SECONDS));
     let kill_at = Instant::now() + MIN_KILL_DELAY + deadline;
     let final_answers_at = kill_at - FINAL_ANSWERS_BEFORE_KILL;
-    log("liftrouter", format_args!("SIGTERM: finishing {} requests", events.owed()));
+    log("liftrouter", format_args!("SIGTERM: finishing {} requests", events.unanswered_requests()));
     admission.set_shutdown_deadline(final_answers_at);
     listeners.drain();
     if let Some(cluster) = cluster {
@@ -54,7 +54,7 @@
     // Connections that are left then carry no request, or one that is incomplete.
     let _ = timeout_at(kill_at - EXIT_BEFORE_KILL, listeners.all_closed()).await;
     listeners.stop_accepting();
-    match events.owed() {
+    match events.unanswered_requests() {
         0 => Ok(()),
         left => Err(ServeError::OpenRequests(left)),
     }
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -1,9 +1,10 @@
 //! One attempt of a request at one server.
 
 use super::answer;
-use super::connection::{Failure, HttpConnection, Socket, Written};
+use super::connection::{Failure, HttpConnection};
 use super::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, INVENTORY, TIME_LEFT};
 use super::servers::Servers;
+use super::socket::{Socket, Written};
 use crate::events::{AttemptResult, EventQueue, ForwardedRequest, HostEvent};
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/daemon/src/upstream/connection.rs
+++ b/crates/daemon/src/upstream/connection.rs
@@ -2,8 +2,7 @@
 //!
 //! Dropping an [`HttpConnection`] closes its socket at once, and nothing is ever sent twice.
 
-pub use super::socket::{Socket, Tracked, Written};
-
+use super::socket::{Socket, SocketIo, Written};
 use crate::count::Count;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -53,7 +52,7 @@
 
 /// The hyper connection that reads and writes the socket.
 struct Driver {
-    connection: Pin<Box<Connection<TokioIo<Tracked>, Full<Bytes>>>>,
+    connection: Pin<Box<Connection<TokioIo<SocketIo>, Full<Bytes>>>>,
     has_ended: bool,
 }
 
@@ -96,7 +95,7 @@
         let socket = Socket::new(TcpStream::connect(address).await?);
         let mut http = http1::Builder::new();
         http.max_buf_size(MAX_BUFFER);
-        let handshake = http.handshake(TokioIo::new(Tracked(socket.clone())));
+        let handshake = http.handshake(TokioIo::new(SocketIo(socket.clone())));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let driver = Driver { connection: Box::pin(connection), has_ended: false };
         Ok(HttpConnection { sender, driver, socket, _counted: counted, used: Instant::now() })
@@ -110,7 +109,7 @@
     /// Whether it can be used for requests, now or once it has rested. Bytes behind the last answer are no answer to
     /// anything: with them the connection is of no further use.
     pub fn usable(&self) -> bool {
-        !self.driver.has_ended && self.sender.is_ready() && self.socket.quiet()
+        !self.driver.has_ended && self.sender.is_ready() && self.socket.is_quiet()
     }
 
     /// Whether it has been idle long enough to be used again.
@@ -141,7 +140,7 @@
     /// Each [`Failure`].
     pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, Failure> {
         let socket = self.socket.clone();
-        if !socket.quiet() {
+        if !socket.is_quiet() {
             socket.begin_message();
             return Err(Failure::NotSent);
         }
--- a/crates/daemon/src/upstream/health_check.rs
+++ b/crates/daemon/src/upstream/health_check.rs
@@ -28,7 +28,11 @@
 
 impl Servers {
     /// Asks a server for its load. Both the caller and the event queue get the result.
-    pub async fn probe(self: Rc<Self>, events: Rc<EventQueue>, id: EndpointId) -> (Outcome, LoadReport) {
+    pub async fn check_health(
+        self: Rc<Self>,
+        events: Rc<EventQueue>,
+        id: EndpointId,
+    ) -> (Outcome, LoadReport) {
         let (outcome, report, kept) = match timeout(TIMEOUT, self.check(&id)).await {
             Ok(Some(Checked { answer, address, connection })) => {
                 let healthy = answer.status() == StatusCode::OK;
@@ -38,7 +42,7 @@
             Ok(None) => (Outcome::ConnectFailed, LoadReport::default(), None),
             Err(_) => (Outcome::Timeout, LoadReport::default(), None),
         };
-        events.push(HostEvent::HealthChecked(id.clone(), outcome, report));
+        events.push(HostEvent::HealthChecked { endpoint: id.clone(), outcome, report });
         if let Some((address, connection)) = kept {
             self.keep(&id, address, connection).await;
         }
--- a/crates/daemon/src/upstream/servers.rs
+++ b/crates/daemon/src/upstream/servers.rs
@@ -1,8 +1,5 @@
 //! The servers: where each listens, and the idle connections to it.
 
-pub use super::attempt::{Attempt, Limits};
-pub use super::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, OWN, TIME_LEFT};
-
 use super::connection::HttpConnection;
 use liftrouter_decision::{EndpointId, EndpointState, Settings};
 use std::cell::{Cell, RefCell};
@@ -24,7 +21,7 @@
 
 /// What the pool knows of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ServerStatus {
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it takes new work.
@@ -32,7 +29,7 @@
 }
 
 struct Server {
-    place: Place,
+    status: ServerStatus,
     /// Idle connections, the most recently used last.
     idle: Vec<HttpConnection>,
 }
@@ -66,20 +63,20 @@
 
     /// Sets the state and address of a server. Idle connections to another address, or to a server that takes no new
     /// work, are closed.
-    pub fn place(&self, id: &EndpointId, place: Place) {
-        if place.state == EndpointState::Removed {
+    pub fn set_status(&self, id: &EndpointId, status: ServerStatus) {
+        if status.state == EndpointState::Removed {
             return self.remove(id);
         }
         let mut table = self.table.borrow_mut();
         match table.get_mut(id) {
             Some(server) => {
-                if server.place.address != place.address || place.state != EndpointState::InService {
+                if server.status.address != status.address || status.state != EndpointState::InService {
                     server.idle.clear();
                 }
-                server.place = place;
+                server.status = status;
             }
             None => {
-                table.insert(id.clone(), Server { place, idle: Vec::new() });
+                table.insert(id.clone(), Server { status, idle: Vec::new() });
             }
         }
     }
@@ -90,8 +87,8 @@
     }
 
     /// All servers, with where each listens and whether it takes new work.
-    pub fn places(&self) -> Vec<(EndpointId, Place)> {
-        self.table.borrow().iter().map(|(id, server)| (id.clone(), server.place)).collect()
+    pub fn statuses(&self) -> Vec<(EndpointId, ServerStatus)> {
+        self.table.borrow().iter().map(|(id, server)| (id.clone(), server.status)).collect()
     }
 
     /// The ids of all servers.
@@ -102,8 +99,8 @@
     /// Where a server listens, if it takes new work.
     pub fn address(&self, id: &EndpointId) -> Option<SocketAddr> {
         let table = self.table.borrow();
-        let server = table.get(id).filter(|server| server.place.state == EndpointState::InService);
-        server.map(|server| server.place.address)
+        let server = table.get(id).filter(|server| server.status.state == EndpointState::InService);
+        server.map(|server| server.status.address)
     }
 
     /// Takes the idle connection that was used last, past those that have not rested or are no longer usable.
@@ -121,7 +118,7 @@
             return;
         }
         if let Some(server) = self.table.borrow_mut().get_mut(id) {
-            if server.place.address == address && server.place.state == EndpointState::InService {
+            if server.status.address == address && server.status.state == EndpointState::InService {
                 server.idle.push(connection);
             }
         }
--- a/crates/daemon/src/upstream/socket.rs
+++ b/crates/daemon/src/upstream/socket.rs
@@ -119,7 +119,7 @@
     /// A lingering close: closes the sending side, and discards what comes in until the peer has closed, `time` is over
     /// or `most` bytes have come. Closing with unread data would reset the connection, and the peer could lose the
     /// answer.
-    pub async fn linger(&self, time: Duration, most: usize) {
+    pub async fn lingering_close(&self, time: Duration, most: usize) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
         let discard = async {
             let mut left = most;
@@ -137,7 +137,7 @@
 
     /// Ready once the peer has closed its side or reset the connection, whatever is unread before that, or sends without
     /// end. Reads ahead, and keeps what it finds for the next reader.
-    pub fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_closed(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut read_ahead = self.read_ahead.borrow_mut();
         let mut buffer = [0; READ_AHEAD_BUFFER];
         for _ in 0..MAX_READS_PER_POLL {
@@ -160,13 +160,13 @@
     }
 
     /// Whether more was read ahead than was kept: what is read from here on has a hole.
-    pub fn overrun(&self) -> bool {
+    pub fn is_overrun(&self) -> bool {
         self.read_ahead.borrow().is_overrun()
     }
 
     /// Whether the connection is open and has nothing to read. Asks the kernel, since the runtime may not have noticed
     /// yet.
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         if !self.read_ahead.borrow().is_empty() {
             return false;
         }
@@ -187,9 +187,9 @@
 }
 
 /// The side of the socket that hyper reads and writes.
-pub struct Tracked(pub Rc<Socket>);
+pub struct SocketIo(pub Rc<Socket>);
 
-impl AsyncRead for Tracked {
+impl AsyncRead for SocketIo {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -218,7 +218,7 @@
     }
 }
 
-impl AsyncWrite for Tracked {
+impl AsyncWrite for SocketIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(bytes)])
     }
--- a/crates/scale/src/run/hollow/limiter.rs
+++ b/crates/scale/src/run/hollow/limiter.rs
@@ -107,7 +107,7 @@
 
     /// How it stands.
     pub fn status(&self) -> LimiterStatus {
-        let places = self.servers.places();
+        let places = self.servers.statuses();
         let digest = list_digest(places.iter().map(|(id, place)| ListedServer {
             id,
             address: place.address,
--- a/crates/scale/src/run/hollow/list_keeper.rs
+++ b/crates/scale/src/run/hollow/list_keeper.rs
@@ -6,7 +6,7 @@
 use crate::run::standin::wall_clock_ms;
 use liftrouter::counter::pool::CounterPool;
 use liftrouter::events::{EventQueue, HostEvent, ListedEndpoint};
-use liftrouter::upstream::servers::{Place, Servers};
+use liftrouter::upstream::servers::{ServerStatus, Servers};
 use liftrouter_decision::{Action, EndpointState, Event, Limiter, Outcome, Settings};
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -166,7 +166,9 @@
 
     fn hear(&mut self, news: HostEvent) {
         match news {
-            HostEvent::EndpointUpdate { whole, endpoints: servers, .. } => self.listed(whole, servers),
+            HostEvent::EndpointUpdate { complete: whole, endpoints: servers, .. } => {
+                self.listed(whole, servers)
+            }
             HostEvent::WatchFailed => {
                 self.observed.list_broken();
                 self.feed(Event::DiscoveryFailed);
@@ -189,7 +191,7 @@
             held.iter().filter(|id| !named.contains(id)).for_each(|id| self.servers.remove(id));
         }
         for ListedEndpoint { entry, address } in &servers {
-            self.servers.place(&entry.id, Place { address: *address, state: entry.state });
+            self.servers.set_status(&entry.id, ServerStatus { address: *address, state: entry.state });
         }
         let changed_at_ms: Vec<u64> = servers.iter().map(changed_at_ms).collect();
         let entries = servers.into_iter().map(|listed| listed.entry).collect();
