--- a/crates/daemon/src/cluster/health_checks.rs
+++ b/crates/daemon/src/cluster/health_checks.rs
@@ -102,7 +102,11 @@
     }
 
     fn into_event(self) -> HostEvent {
-        HostEvent::HealthChecked(self.endpoint.as_str().into(), self.outcome.into(), self.load.into())
+        HostEvent::HealthChecked {
+            endpoint: self.endpoint.as_str().into(),
+            outcome: self.outcome.into(),
+            report: self.load.into(),
+        }
     }
 }
 
@@ -133,7 +137,7 @@
 }
 
 async fn check_and_share(cluster: Rc<ClusterService>, servers: Rc<Servers>, endpoint: EndpointId) {
-    let (outcome, report) = servers.probe(cluster.events.clone(), endpoint.clone()).await;
+    let (outcome, report) = servers.check_health(cluster.events.clone(), endpoint.clone()).await;
     let check = SharedHealthCheck::new(&endpoint, outcome, &report);
     if let Ok(payload) = postcard::to_stdvec(&check) {
         cluster.send_as_holder_of(&endpoint, &payload);
