--- a/crates/scale/src/capacity/needs/fleet.rs
+++ b/crates/scale/src/capacity/needs/fleet.rs
@@ -1,7 +1,8 @@
 //! What discovery, the counter, the control machines and the servers need.
 
 use super::{
-    need, Carries, Need, Page, Role, BY_SERVICE, COUNTER, COVER, MILLISECOND_US, SOCKETS, SUBSET, TODAY,
+    need, Carries, Need, Page, Role, BY_SERVICE, COUNTER, INSTANCES_PER_ENDPOINT, MILLISECOND_US,
+    MIN_SUBSET_SIZE, SOCKETS, TODAY,
 };
 use crate::capacity::formula::Term;
 use crate::capacity::records::RecordError;
@@ -158,11 +159,11 @@
     /// Connections by services of a limiter.
     pub(super) fn servers(&self) -> Vec<Need> {
         let fleet = &self.budget.fleet;
-        let today = (fleet.servers * COVER / fleet.limiters).ceil().max(SUBSET);
+        let today = (fleet.servers * INSTANCES_PER_ENDPOINT / fleet.limiters).ceil().max(MIN_SUBSET_SIZE);
         let flat = Term::given(
             today,
             &format!(
-                "{} servers × {COVER} / {} limiters, rounded up",
+                "{} servers × {INSTANCES_PER_ENDPOINT} / {} limiters, rounded up",
                 number(fleet.servers),
                 number(fleet.limiters)
             ),
@@ -178,12 +179,14 @@
         for services in [1.0, self.budget.assumed.services_of_a_limiter, fleet.services] {
             let sharing = fleet.limiters * services / fleet.services;
             let of_service = self.budget.servers_per_service().round();
-            let subset = (of_service * COVER / sharing).ceil().clamp(SUBSET.min(of_service), of_service);
+            let subset = (of_service * INSTANCES_PER_ENDPOINT / sharing)
+                .ceil()
+                .clamp(MIN_SUBSET_SIZE.min(of_service), of_service);
             let used = Term::given(subset * services, "services × the subset of each service's 55 servers");
             let seen =
                 Term::given(sharing * subset / of_service, "limiters of the service × subset / 55 servers");
             let not_yet = (
-                "subsets of servers by service (`COVER` 48, `SUBSET` 8 in `crates/decision`)",
+                "subsets of servers by service (`INSTANCES_PER_ENDPOINT` 48, `MIN_SUBSET_SIZE` 8 in `crates/decision`)",
                 Carries::NotYet,
             );
             let what = format!("servers that a limiter uses, {services} services a limiter");
--- a/crates/scale/src/capacity/needs/mod.rs
+++ b/crates/scale/src/capacity/needs/mod.rs
@@ -12,14 +12,14 @@
 
 /// Surveys of the list a second: the decision module wakes itself each 50 ms.
 const SURVEYS_PER_SECOND: f64 = 20.0;
-/// The longest message of discovery that the program takes, `LONGEST` in `crates/daemon/src/membership/watch.rs`.
+/// The longest message of discovery that the program takes, `MAX_MESSAGE_BYTES` in `crates/daemon/src/discovery/upstream.rs`.
 const LONGEST_MESSAGE: f64 = (4 << 20) as f64;
-/// The most members that one knows, `MOST_MEMBERS` in `crates/cluster/src/swim.rs`.
+/// The most members that one knows, `MAX_MEMBERS` in `crates/cluster/src/gossip.rs`.
 const MOST_MEMBERS: f64 = 4_096.0;
-/// The fewest servers that a limiter uses, and limiters that share one: `SUBSET` and `COVER` in
-/// `crates/decision/src/policy/fleet.rs`.
-const SUBSET: f64 = 8.0;
-const COVER: f64 = 48.0;
+/// The fewest servers that a limiter uses, and limiters that share one: `MIN_SUBSET_SIZE` and `INSTANCES_PER_ENDPOINT` in
+/// `crates/decision/src/endpoints/subset.rs`.
+const MIN_SUBSET_SIZE: f64 = 8.0;
+const INSTANCES_PER_ENDPOINT: f64 = 48.0;
 /// Sockets of a limiter in `deploy/sample-config.json`.
 const SOCKETS: f64 = 1_024.0;
 /// Bytes that tell a member of one probe: the server's name, the outcome, and three load values.
