--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -47,8 +47,10 @@
     seen: Arc<Mutex<Vec<Message>>>,
 }
 
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+    drop(stream);
 }
 
 impl Raw {
@@ -155,7 +157,7 @@
         thread::sleep(Duration::from_millis(950));
         drop(filled);
         listener.set_nonblocking(true).expect("set");
-        let (mut came, end) = (0, Instant::now() + Duration::from_millis(4_000));
+        let (mut came, end) = (0, Instant::now() + Duration::from_secs(4));
         while Instant::now() < end && came == 0 {
             let Ok((accepted, _)) = listener.accept() else {
                 thread::sleep(Duration::from_millis(5));
