--- a/crates/counter/tests/monitor.rs
+++ b/crates/counter/tests/monitor.rs
@@ -1,4 +1,4 @@
-//! Panels of several limiters before counters that are written out here: who is believed, when, and in what words.
+//! Counter monitors of several limiters before scripted counters: the validity they report, when, and the text of it.
 #![allow(clippy::float_cmp, reason = "the expected values are exact in f64")]
 
 use liftrouter_counter::{
@@ -141,12 +141,14 @@
     let mut site = Site::new(1);
     site.play(20.0);
     let now = site.now;
-    let woken = site.monitors[0].process_resumed(now).expect("a change");
+    let after_pause = site.monitors[0].process_resumed(now).expect("a change");
     assert_eq!(
-        (woken.validity.usable_quota_ratio, woken.validity.verdict),
+        (after_pause.validity.usable_quota_ratio, after_pause.validity.verdict),
         (0.0, Verdict::UnknownAfterPause)
     );
-    assert!(woken.to_string().starts_with("the keeper has not been heard since this limiter stood still"));
+    assert!(after_pause
+        .to_string()
+        .starts_with("the keeper has not been heard since this limiter stood still"));
     site.play(0.1);
     assert_eq!(
         site.usable_quota_ratios()[0],
--- a/crates/scale/src/capacity/needs/mod.rs
+++ b/crates/scale/src/capacity/needs/mod.rs
@@ -132,7 +132,7 @@
 }
 
 const TODAY: &str =
-    "one flat list at every limiter (`Fleet` in `crates/decision`), whole lists and changes from discovery";
+    "one flat list at every limiter (`EndpointSet` in `crates/decision`), whole lists and changes from discovery";
 const BY_SERVICE: &str =
     "subscriptions by service through relays, with deltas and digests (`crates/catalog`)";
 const COUNTER: &str = "calls of the counter by share of the tries (`Quota` in `crates/decision`)";
