--- /dev/null
+++ b/crates/daemon/src/cluster/mod.rs
@@ -0,0 +1,208 @@
+//! The other limiters: which of them are alive and which shards this one holds, over UDP. Off unless the operator's file has a
+//! section for it.
+//!
+//! The crate `liftrouter-cluster` decides; this module has its socket and clock, answers status queries, and runs the work
+//! that is divided by shards: each endpoint is health-checked by one limiter, which shares the result with all others.
+
+mod error;
+mod health_checks;
+mod status;
+mod transport;
+
+pub use error::ClusterError;
+pub use status::{listen, show};
+
+use crate::events::EventQueue;
+use crate::log;
+use crate::upstream::servers::Servers;
+use liftrouter_cluster::{
+    Action, ClusterMember, Event, Micros, Notification, Settings, Shard, MAX_DATAGRAM_BYTES,
+};
+use std::cell::RefCell;
+use std::hash::{BuildHasher, Hasher};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::sync::Notify;
+use tokio::time::{sleep_until, Instant};
+use transport::Transport;
+
+/// Datagrams read before the clock is checked again.
+const DATAGRAMS_PER_BATCH: usize = 64;
+/// Room in the receive buffer beyond the largest datagram: for the address of a proxied one, and to detect one that is too long.
+const EXCESS_BYTES: usize = 16;
+/// The longest sleep of the member's loop.
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
+
+/// The cluster section of the operator's file.
+#[derive(Clone, Debug)]
+pub struct Setup {
+    /// The settings of the member.
+    pub settings: Settings,
+    /// The Unix socket for status queries.
+    pub status_socket: Option<PathBuf>,
+    /// How often each endpoint is health-checked, by the limiter that holds its shard; `None` for no health checks.
+    pub health_check_interval: Option<Duration>,
+    /// In tests only: the proxy that all datagrams go through, which plays the links between members.
+    pub link_proxy: Option<SocketAddr>,
+}
+
+/// This limiter as a member of its cluster.
+pub struct ClusterService {
+    member: RefCell<ClusterMember>,
+    transport: Transport,
+    started: Instant,
+    /// Wakes the loop when the time to wake at may have changed.
+    wake: Notify,
+    events: Rc<EventQueue>,
+}
+
+impl ClusterService {
+    /// Opens the UDP socket.
+    ///
+    /// # Errors
+    /// The socket cannot be opened, or the settings cannot be used.
+    pub async fn open(setup: &Setup, events: Rc<EventQueue>) -> Result<Rc<ClusterService>, ClusterError> {
+        let mut settings = setup.settings.clone();
+        let transport = Transport::open(settings.address, setup.link_proxy).await?;
+        settings.address = transport.address();
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        // The hasher is keyed by the system's randomness, anew for each process.
+        let instance = std::hash::RandomState::new().build_hasher().finish();
+        let member = ClusterMember::new(settings, instance, 0, unix_time.as_millis() as u64)
+            .map_err(ClusterError::Settings)?;
+        let identity = member.identity();
+        log("liftrouter", format_args!("member {} on {}", identity.name, identity.address));
+        Ok(Rc::new(ClusterService {
+            member: RefCell::new(member),
+            transport,
+            started: Instant::now(),
+            wake: Notify::new(),
+            events,
+        }))
+    }
+
+    fn now(&self) -> Micros {
+        self.started.elapsed().as_micros() as Micros
+    }
+
+    fn handle(&self, event: Event) {
+        let mut actions = Vec::new();
+        self.member.borrow_mut().handle(self.now(), event, &mut actions);
+        self.carry_out(actions);
+    }
+
+    fn carry_out(&self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(to, bytes) => self.transport.send(to, &bytes),
+                Action::Notify(notification) => self.handle_notification(notification),
+            }
+        }
+    }
+
+    fn handle_notification(&self, notification: Notification) {
+        match notification {
+            Notification::HolderMessage { payload, .. } => health_checks::receive(&self.events, &payload),
+            other => log_notification(&other),
+        }
+    }
+
+    /// Runs for as long as it is polled.
+    pub async fn run(self: Rc<Self>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + EXCESS_BYTES];
+        self.handle(Event::Wake);
+        loop {
+            let now = self.now();
+            let wake_at = self.member.borrow().wake_at(now);
+            let latest = now + MAX_SLEEP.as_micros() as Micros;
+            let deadline = self.started + Duration::from_micros(wake_at.min(latest));
+            tokio::select! {
+                // Datagrams that arrived while the process was paused are handled before overdue timers.
+                biased;
+                result = self.transport.readable() => {
+                    if result.is_err() {
+                        continue;
+                    }
+                    self.receive_batch(&mut buffer);
+                    if self.now() >= wake_at {
+                        self.handle(Event::Wake);
+                    }
+                }
+                () = sleep_until(deadline) => self.handle(Event::Wake),
+                () = self.wake.notified() => {}
+            }
+        }
+    }
+
+    fn receive_batch(&self, buffer: &mut [u8]) {
+        for _ in 0..DATAGRAMS_PER_BATCH {
+            let Some((len, from)) = self.transport.try_receive(buffer) else { break };
+            if let Some((from, bytes)) = self.transport.unwrap(from, &buffer[..len]) {
+                self.handle(Event::Datagram(from, bytes));
+            }
+        }
+    }
+
+    /// Releases all leases and tells the others that this member leaves.
+    pub fn leave(&self) {
+        self.handle(Event::Leave);
+        self.wake.notify_one();
+    }
+
+    /// Health-checks the endpoints whose shards are held here, each once in an interval.
+    pub async fn run_health_checks(self: Rc<Self>, servers: Rc<Servers>, interval: Duration) {
+        health_checks::run(self, servers, interval).await;
+    }
+
+    /// Answers status queries on a Unix socket.
+    pub async fn answer_status_queries(self: Rc<Self>, listener: tokio::net::UnixListener) {
+        status::answer(self, listener).await;
+    }
+
+    /// The shard of a name, if it is held here now.
+    fn held_shard_of(&self, name: &str) -> Option<Shard> {
+        let member = self.member.borrow();
+        let shard = member.shard_of(name);
+        member.fencing_token(self.now(), shard).map(|_| shard)
+    }
+
+    /// Sends a payload to all other members, if the shard of the name is still held here.
+    fn send_as_holder_of(&self, name: &str, payload: &[u8]) {
+        let mut actions = Vec::new();
+        {
+            let mut member = self.member.borrow_mut();
+            let shard = member.shard_of(name);
+            member.send_as_holder(self.now(), shard, payload, &mut actions);
+        }
+        self.carry_out(actions);
+    }
+}
+
+fn log_notification(notification: &Notification) {
+    match notification {
+        Notification::MemberUp(member) => log(
+            "members",
+            format_args!("{} is there, {}, instance {:016x}", member.name, member.address, member.instance),
+        ),
+        Notification::MemberDown(member) => {
+            log("members", format_args!("{} is gone, instance {:016x}", member.name, member.instance));
+        }
+        Notification::Rejoined => log("members", "the others took this one for gone; it is back"),
+        Notification::NameConflict { name, instances: [a, b] } => log(
+            "members",
+            format_args!("two processes are called {name}, {a:016x} and {b:016x}; the later holds no duty"),
+        ),
+        Notification::LeaseAcquired(shard, token) => {
+            log("members", format_args!("holds slot {shard} by {token}"));
+        }
+        Notification::LeaseLost(shard, token) => {
+            log("members", format_args!("holds slot {shard} by {token} no more"));
+        }
+        Notification::InvalidDatagram { from, error } => {
+            log("members", format_args!("a datagram from {from} is none of a member's: {error}"));
+        }
+        Notification::HolderMessage { .. } => {}
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/discovery/endpoint.rs
@@ -0,0 +1,43 @@
+//! Servers of discovery as the rest of the limiter knows them.
+
+use crate::events::ListedEndpoint;
+use crate::log;
+use liftrouter_catalog::{Instance, Lifecycle, Update};
+use liftrouter_decision::{EndpointEntry, EndpointState};
+
+const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
+
+/// A server of the list as an endpoint.
+pub fn listed_endpoint(instance: &Instance) -> ListedEndpoint {
+    ListedEndpoint { entry: entry(instance), address: instance.host_port }
+}
+
+/// The same in another state.
+pub fn listed_endpoint_in(state: EndpointState, instance: &Instance) -> ListedEndpoint {
+    let mut listed = listed_endpoint(instance);
+    listed.entry.state = state;
+    listed
+}
+
+fn entry(instance: &Instance) -> EndpointEntry {
+    EndpointEntry {
+        id: instance.instance_id.as_str().into(),
+        zone: instance.zone.as_str().into(),
+        kind: instance.machine_type.as_str().into(),
+        cell: instance.cell,
+        state: match instance.lifecycle {
+            Lifecycle::InService => EndpointState::InService,
+            Lifecycle::Terminating => EndpointState::Draining,
+            Lifecycle::Terminated => EndpointState::Removed,
+        },
+        weight: instance.weight.unwrap_or(1.0),
+        started: instance.started_at_ms.filter(|at| *at > 0.0).map(|at| at / MILLISECONDS_PER_SECOND),
+    }
+}
+
+/// Logs the entries of an update that could not be read.
+pub fn log_unreadable(update: &Update) {
+    for reason in &update.unreadable {
+        log("discovery", format_args!("an entry cannot be read: {reason}"));
+    }
+}
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -1,27 +1,25 @@
 //! A discovery service that limiters call over the network: one queue of limited capacity, and faults on demand.
 //!
-//! Each limiter has a listening address of its own, so that calls, refusals and signs of life are counted per
+//! Each limiter has a listening address of its own, so that calls, refusals and heartbeats are counted per
 //! limiter; all addresses share the queue and the list.
-use super::{chunk, command, instance, ok, raw, scratch, update, Fake, Limiter, Message, WATCH_HEAD};
+
+mod connection;
+pub mod timed_server;
+
+use crate::common::{command, instance, scratch, update, Limiter, Message};
+use connection::Connection;
 use serde_json::{json, Value};
-use std::collections::{HashMap, HashSet};
-use std::io::{BufReader, ErrorKind, Write};
+use std::collections::HashMap;
+use std::io::BufReader;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// A call whose answer would take longer than this is refused at once.
 const OVERBOOK_BOUND: Duration = Duration::from_secs(2);
-/// An empty line is written after so long without a message.
-const EMPTY_LINE_PERIOD: Duration = Duration::from_secs(2);
-/// How often a waiting connection looks at the state.
-const POLL: Duration = Duration::from_millis(5);
 /// The generation of the first list, in which every server is in service.
 const FIRST_GENERATION: u64 = 10;
-/// Begins the correlation id of each request of an asker; the limiter's number and a serial number follow.
-const ID_MARK: &str = "7e57";
 
 /// What answering a call takes of the service.
 #[derive(Clone, Copy)]
@@ -86,7 +84,7 @@
 
 /// A whole message or an empty line, written to a limiter.
 #[derive(Clone, Debug)]
-pub struct Sign {
+pub struct Heartbeat {
     pub limiter: usize,
     pub front: SocketAddr,
     pub at: Instant,
@@ -120,10 +118,10 @@
     faults: HashMap<SocketAddr, Fault>,
     busy_until: Instant,
     calls: Vec<Call>,
-    signs: Vec<Sign>,
+    heartbeats: Vec<Heartbeat>,
     drains: Vec<Drain>,
     /// When a limiter was first written that a server drains.
-    told: HashMap<(usize, usize), Instant>,
+    notified: HashMap<(usize, usize), Instant>,
     next_watch: u64,
     /// Watches with smaller numbers end.
     ended_below: u64,
@@ -131,7 +129,7 @@
     silent_below: u64,
 }
 
-/// A message that can be written, and the draining servers that it tells of.
+/// A message that can be written, and the draining servers that it announces.
 struct Text {
     line: String,
     lines: u32,
@@ -198,17 +196,17 @@
 
 /// The service.
 #[derive(Clone)]
-pub struct AskedDiscovery(Arc<Mutex<State>>);
+pub struct OnRequestDiscovery(Arc<Mutex<State>>);
 
-impl AskedDiscovery {
+impl OnRequestDiscovery {
     /// One that lists these servers as `s-0`, `s-1` and so on, all in service.
-    pub fn new(cost: Cost, servers: &[SocketAddr]) -> AskedDiscovery {
+    pub fn new(cost: Cost, servers: &[SocketAddr]) -> OnRequestDiscovery {
         let listed = |address: &SocketAddr| Listed {
             address: *address,
             lifecycle: "in_service",
             changed: FIRST_GENERATION,
         };
-        AskedDiscovery(Arc::new(Mutex::new(State {
+        OnRequestDiscovery(Arc::new(Mutex::new(State {
             cost,
             says_unchanged: false,
             servers: servers.iter().map(listed).collect(),
@@ -216,9 +214,9 @@
             faults: HashMap::new(),
             busy_until: Instant::now(),
             calls: Vec::new(),
-            signs: Vec::new(),
+            heartbeats: Vec::new(),
             drains: Vec::new(),
-            told: HashMap::new(),
+            notified: HashMap::new(),
             next_watch: 0,
             ended_below: 0,
             silent_below: 0,
@@ -301,8 +299,8 @@
         self.state().calls.iter().filter(|c| c.limiter == limiter).cloned().collect()
     }
 
-    pub fn signs(&self, limiter: usize) -> Vec<Sign> {
-        self.state().signs.iter().filter(|s| s.limiter == limiter).cloned().collect()
+    pub fn heartbeats(&self, limiter: usize) -> Vec<Heartbeat> {
+        self.state().heartbeats.iter().filter(|s| s.limiter == limiter).cloned().collect()
     }
 
     pub fn drains(&self) -> Vec<Drain> {
@@ -310,8 +308,8 @@
     }
 
     /// When this limiter was first written that the server drains.
-    pub fn told(&self, limiter: usize, server: usize) -> Option<Instant> {
-        self.state().told.get(&(limiter, server)).copied()
+    pub fn notified_at(&self, limiter: usize, server: usize) -> Option<Instant> {
+        self.state().notified.get(&(limiter, server)).copied()
     }
 
     fn connection(&self, stream: &TcpStream, limiter: usize, front: SocketAddr) {
@@ -332,213 +330,11 @@
     }
 }
 
-/// A connection on which a call has come.
-struct Connection<'a> {
-    service: &'a AskedDiscovery,
-    stream: &'a TcpStream,
-    limiter: usize,
-    front: SocketAddr,
-    call: usize,
-}
-
-impl Connection<'_> {
-    fn answer(&self, after: Option<u64>, conduct: Conduct) {
-        match conduct {
-            Conduct::Hang => {
-                self.wait_until(None);
-            }
-            Conduct::Close => self.finish(Outcome::Cut),
-            Conduct::Refuse(advice) => self.refuse(advice),
-            Conduct::CutInHead => {
-                let (begun, _) = WATCH_HEAD.split_at(WATCH_HEAD.len() / 2);
-                self.finish(Outcome::Cut);
-                self.write(begun);
-            }
-            Conduct::CutInMessage => {
-                let whole = {
-                    let state = self.service.state();
-                    chunk(&state.message(None, conduct).expect("a whole list").line)
-                };
-                self.finish(Outcome::Cut);
-                self.write(WATCH_HEAD);
-                self.write(&whole[..whole.len() / 2]);
-            }
-            Conduct::AnswerAfter(pause) => {
-                if self.wait_until(Some(Instant::now() + pause)) {
-                    self.serve(after, Conduct::Serve);
-                }
-            }
-            Conduct::Serve | Conduct::OlderList | Conduct::LeaveOutDraining => self.serve(after, conduct),
-        }
-    }
-
-    fn refuse(&self, advice: Option<&str>) {
-        let header = advice.map(|after| format!("Retry-After: {after}\r\n")).unwrap_or_default();
-        self.finish(Outcome::Refused);
-        self.write(&raw("503 Service Unavailable", &header, "overbooked"));
-    }
-
-    /// Answers in turn, and follows the list from there on.
-    fn serve(&self, after: Option<u64>, conduct: Conduct) {
-        let booked = {
-            let mut state = self.service.state();
-            let lines = state.message(after, conduct).map_or(0, |text| text.lines);
-            state.book(lines)
-        };
-        let Some(ready) = booked else { return self.refuse(None) };
-        // The work is done whether or not the caller waits for it.
-        if !self.wait_until(Some(ready)) {
-            return;
-        }
-        let (number, mut sent, first) = {
-            let mut state = self.service.state();
-            let number = state.next_watch;
-            state.next_watch += 1;
-            let first = state.message(after, conduct);
-            let generation = state.generation;
-            (number, generation, first)
-        };
-        self.finish(Outcome::Answered);
-        self.write(WATCH_HEAD);
-        if let Some(text) = first {
-            sent = sent.max(text.generation);
-            self.tell(&text);
-        }
-        let mut spoke = Instant::now();
-        while !self.has_left() {
-            let (ends, silent, news) = {
-                let state = self.service.state();
-                let news =
-                    if state.generation > sent { state.message(Some(sent), Conduct::Serve) } else { None };
-                (number < state.ended_below, number < state.silent_below, news)
-            };
-            if ends {
-                return;
-            }
-            if !silent {
-                if let Some(text) = news {
-                    sent = text.generation;
-                    self.tell(&text);
-                    spoke = Instant::now();
-                } else if spoke.elapsed() >= EMPTY_LINE_PERIOD {
-                    self.sign(&[]);
-                    self.write("1\r\n\n\r\n");
-                    spoke = Instant::now();
-                }
-            }
-            thread::sleep(POLL);
-        }
-    }
-
-    fn tell(&self, text: &Text) {
-        self.sign(&text.drained);
-        self.write(&chunk(&text.line));
-    }
-
-    /// Notes a sign of life, and what it tells, just before it is written.
-    fn sign(&self, drained: &[usize]) {
-        if self.has_left() {
-            return;
-        }
-        let mut state = self.service.state();
-        let at = Instant::now();
-        state.signs.push(Sign { limiter: self.limiter, front: self.front, at });
-        for server in drained {
-            state.told.entry((self.limiter, *server)).or_insert(at);
-        }
-    }
-
-    fn finish(&self, outcome: Outcome) {
-        self.service.state().finish(self.call, outcome);
-    }
-
-    fn write(&self, text: &str) {
-        // The texts are short: they always fit.
-        let _ = (&mut &*self.stream).write_all(text.as_bytes());
-    }
-
-    fn has_left(&self) -> bool {
-        match self.stream.peek(&mut [0]) {
-            Ok(read) => read == 0,
-            Err(e) => e.kind() != ErrorKind::WouldBlock,
-        }
-    }
-
-    /// Waits until then, or for ever; false if the limiter left before.
-    fn wait_until(&self, end: Option<Instant>) -> bool {
-        while end.is_none_or(|end| Instant::now() < end) {
-            if self.has_left() {
-                self.finish(Outcome::Abandoned);
-                return false;
-            }
-            thread::sleep(POLL);
-        }
-        true
-    }
-}
-
-/// A request as it came to a server.
-#[derive(Clone, Debug)]
-pub struct Arrival {
-    /// Who sent it, where the request tells.
-    pub limiter: Option<usize>,
-    pub at: Instant,
-    pub first: String,
-}
-
-/// A server that answers its name and notes when requests come.
-pub struct TimedServer {
-    pub fake: Fake,
-    arrivals: Arc<Mutex<Vec<Arrival>>>,
-    work_ms: Arc<AtomicU64>,
-}
-
-impl TimedServer {
-    pub fn new(name: &'static str) -> TimedServer {
-        let arrivals: Arc<Mutex<Vec<Arrival>>> = Arc::default();
-        let work_ms: Arc<AtomicU64> = Arc::default();
-        let (noted, work) = (arrivals.clone(), work_ms.clone());
-        let fake = Fake::new(move |request| {
-            let id = request.header("x-correlation-id").unwrap_or_default();
-            let number = id.strip_prefix(ID_MARK).and_then(|rest| rest.get(..4));
-            let limiter = number.and_then(|digits| usize::from_str_radix(digits, 16).ok());
-            let arrival = Arrival { limiter, at: Instant::now(), first: request.first.clone() };
-            noted.lock().expect("lock").push(arrival);
-            thread::sleep(Duration::from_millis(work.load(Ordering::SeqCst)));
-            ok(name)
-        });
-        TimedServer { fake, arrivals, work_ms }
-    }
-
-    /// From now on a request takes so long.
-    pub fn take(&self, work: Duration) {
-        self.work_ms.store(work.as_millis() as u64, Ordering::SeqCst);
-    }
-
-    pub fn arrivals(&self) -> Vec<Arrival> {
-        self.arrivals.lock().expect("lock").clone()
-    }
-}
-
 /// Starts a limiter with a list that it had before and a seed of its own, and does not wait until it is ready.
-pub fn start_limiter(seed: u64, known: &str, settings: Value, front: SocketAddr) -> Limiter {
+pub fn start_limiter(seed: u64, known: &str, settings: &Value, front: SocketAddr) -> Limiter {
     let known: Value = serde_json::from_str(known).expect("a list");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
         "discovery": front.to_string(), "known": known, "settings": settings});
     let file = scratch(&config.to_string());
     Limiter::spawn(command(), file, config, front)
 }
-
-/// The text of a request that tells which limiter it was sent to.
-pub fn marked_quote(limiter: usize, serial: usize) -> String {
-    format!(
-        "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1\r\nHost: api.internal\r\n\
-         X-Correlation-Id: {ID_MARK}{limiter:04x}{serial:08x}\r\nX-Contract: roomy\r\nX-Time-Left: 9000m\r\n\
-         X-Metering: units=1,spread=1,first=0\r\n\r\n"
-    )
-}
-
-/// The limiters among these arrivals.
-pub fn senders(arrivals: &[Arrival]) -> HashSet<usize> {
-    arrivals.iter().filter_map(|a| a.limiter).collect()
-}
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,76 +1,12 @@
-//! The wire's words: lines to events and settings, actions to lines.
+//! The simulator's wire: lines to events and settings, actions to lines.
 
-use liftrouter_decision::{Action, Event, LoadReport, Outcome, Request, ServerEntry, ServerState, Settings};
+use crate::line::Line;
+use liftrouter_decision::{
+    Action, EndpointEntry, EndpointState, Event, LoadReport, Outcome, Request, Settings,
+};
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// A line and its parts, split at single spaces.
-pub struct Line<'a> {
-    text: &'a str,
-    parts: Vec<&'a str>,
-}
-
-impl<'a> Line<'a> {
-    pub fn new(text: &'a str) -> Self {
-        Line { text, parts: text.split(' ').collect() }
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.text.is_empty()
-    }
-
-    fn word(&self) -> &'a str {
-        self.parts[0]
-    }
-
-    fn fault(&self, field: &str, what: &str) -> String {
-        format!("{}: {field}: {what}", self.word())
-    }
-
-    fn part(&self, n: usize, field: &str) -> Result<&'a str, String> {
-        match self.parts.get(n) {
-            Some(p) if !p.is_empty() => Ok(p),
-            _ => Err(self.fault(field, "missing")),
-        }
-    }
-
-    /// The part, or `None` where it is `-` or left out.
-    fn optional(&self, n: usize) -> Option<&'a str> {
-        self.parts.get(n).copied().filter(|p| *p != "-" && !p.is_empty())
-    }
-
-    fn integer<T: std::str::FromStr>(&self, n: usize, field: &str) -> Result<T, String> {
-        let part = self.part(n, field)?;
-        part.parse().map_err(|_| self.fault(field, &format!("not a whole number in range: {part:?}")))
-    }
-
-    fn number(&self, n: usize, field: &str) -> Result<f64, String> {
-        self.float(self.part(n, field)?, field)
-    }
-
-    fn float(&self, part: &str, field: &str) -> Result<f64, String> {
-        let value = part.parse::<f64>().ok().filter(|v| v.is_finite());
-        value.ok_or_else(|| self.fault(field, &format!("not a number: {part:?}")))
-    }
-
-    fn optional_number(&self, n: usize, field: &str) -> Result<Option<f64>, String> {
-        self.optional(n).map(|p| self.float(p, field)).transpose()
-    }
-
-    fn flag(&self, n: usize, field: &str) -> Result<bool, String> {
-        match self.part(n, field)? {
-            "1" => Ok(true),
-            "0" | "-" => Ok(false),
-            other => Err(self.fault(field, &format!("neither 1 nor 0: {other:?}"))),
-        }
-    }
-
-    fn rest(&self, n: usize, field: &str) -> Result<&'a str, String> {
-        let text = self.text.splitn(n + 1, ' ').nth(n).filter(|t| !t.is_empty());
-        text.ok_or_else(|| self.fault(field, "missing"))
-    }
-}
-
 /// What one line within a batch says.
 pub enum Message {
     /// The batch is complete.
@@ -79,7 +15,7 @@
     Start(u32, u64, Box<Settings>),
     /// An instance was killed.
     Stop(u32),
-    /// A list of servers begins.
+    /// An endpoint list begins.
     List(PendingList),
     /// An event for an instance.
     Event(u32, Event),
@@ -87,12 +23,12 @@
     Skip,
 }
 
-/// A list of servers of which some lines are still to come.
+/// An endpoint list of which some lines are still to come.
 pub struct PendingList {
     instance: u32,
     kind: ListKind,
     left: usize,
-    entries: Vec<ServerEntry>,
+    entries: Vec<EndpointEntry>,
 }
 
 enum ListKind {
@@ -111,31 +47,29 @@
             return Err(format!("{:?} where {} more ITEM lines are due", line.word(), self.left));
         }
         let state = match line.part(5, "status")? {
-            "in_service" => Some(ServerState::InService),
-            "terminating" => Some(ServerState::Draining),
-            // A state this host does not know is no state to send work to.
-            _ => Some(ServerState::Gone),
+            "in_service" => EndpointState::InService,
+            "terminating" => EndpointState::Draining,
+            // An endpoint in a state that is not known here gets no requests.
+            _ => EndpointState::Removed,
         };
-        if let Some(state) = state {
-            self.entries.push(ServerEntry {
-                id: line.part(1, "server")?.into(),
-                zone: line.part(2, "region-part")?.into(),
-                kind: line.part(3, "flavor")?.into(),
-                cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
-                state,
-                weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
-                started: line.optional_number(7, "start-time-s")?.filter(|t| *t != 0.0),
-            });
-        }
+        self.entries.push(EndpointEntry {
+            id: line.part(1, "server")?.into(),
+            zone: line.part(2, "region-part")?.into(),
+            kind: line.part(3, "flavor")?.into(),
+            cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
+            state,
+            weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
+            started: line.optional_number(7, "start-time-s")?.filter(|started| *started != 0.0),
+        });
         self.left -= 1;
         Ok(())
     }
 
     pub fn into_event(self) -> (u32, Event) {
         let event = match self.kind {
-            ListKind::Whole => Event::ServerList(self.entries),
-            ListKind::Patch => Event::ServerChanges(self.entries),
-            ListKind::Broken => Event::DiscoveryBroken,
+            ListKind::Whole => Event::EndpointList(self.entries),
+            ListKind::Patch => Event::EndpointChanges(self.entries),
+            ListKind::Broken => Event::DiscoveryFailed,
         };
         (self.instance, event)
     }
@@ -150,6 +84,20 @@
     Ok((line.number(1, "clock")?, number.to_string()))
 }
 
+/// Kinds of lines that concern the decision module, besides those that frame a batch or a list.
+const HANDLED: [&str; 10] = [
+    "PROVISION",
+    "REGISTRY",
+    "SUBMIT",
+    "FIRST",
+    "ENDED",
+    "DESTROY",
+    "CLIENT_GONE",
+    "TOTAL",
+    "HEALTH_RESULT",
+    "ALARM",
+];
+
 /// Any other line of a batch, but for the entries of a list.
 pub fn message(line: &Line) -> Result<Message, String> {
     let word = line.word();
@@ -159,88 +107,85 @@
         "" => return Err("empty line within a batch".into()),
         _ => {}
     }
-    let known = [
-        "PROVISION",
-        "REGISTRY",
-        "SUBMIT",
-        "FIRST",
-        "ENDED",
-        "DESTROY",
-        "CLIENT_GONE",
-        "TOTAL",
-        "HEALTH_RESULT",
-        "ALARM",
-    ];
-    if !known.contains(&word) {
+    if !HANDLED.contains(&word) {
         return Ok(Message::Skip);
     }
     let instance: u32 = line.integer(1, "limiter-id")?;
-    let handle = || line.integer::<u64>(2, "handle");
-    Ok(match word {
-        "PROVISION" => {
-            let settings: Settings = serde_json::from_str(line.rest(3, "config")?)
-                .map_err(|e| line.fault("config", &e.to_string()))?;
-            Message::Start(instance, line.integer(2, "rng-seed")?, Box::new(settings))
-        }
-        "DESTROY" => Message::Stop(instance),
-        "REGISTRY" => {
-            let kind = match line.part(2, "kind")? {
-                "whole" | "stale_copy" => ListKind::Whole,
-                "patch" => ListKind::Patch,
-                "broken" => ListKind::Broken,
-                other => return Err(line.fault("kind", &format!("unknown: {other:?}"))),
-            };
-            let left = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
-            Message::List(PendingList { instance, kind, left, entries: Vec::new() })
-        }
-        "SUBMIT" => Message::Event(
-            instance,
-            Event::Request(Request {
-                id: handle()?,
-                repeat: line.flag(4, "repeat")?,
-                due: line.number(5, "due-s")?,
-                width: line.number(6, "width")?.max(1.0) as u32,
-                units: line.number(7, "weight")?,
-                plan: line.part(9, "contract")?.into(),
-                class: line.part(10, "profile")?.into(),
-                customer: line.part(11, "api-key")?.into(),
-            }),
-        ),
-        "FIRST" => Message::Event(instance, Event::StreamStarted { id: handle()? }),
-        "ENDED" => Message::Event(
-            instance,
-            Event::AttemptEnded {
-                id: handle()?,
-                attempt: line.integer(3, "n")?,
-                finished: line.flag(5, "final")?,
-                took: line.number(7, "time-taken-s")?,
-                outcome: outcome(line, 8)?,
-                units: line.optional_number(9, "actual")?.filter(|u| *u > 0.0),
-                report: report(line, 10)?,
-            },
-        ),
-        "CLIENT_GONE" => Message::Event(instance, Event::ClientGone { id: handle()? }),
-        "TOTAL" => {
-            let outcome = outcome(line, 3)?;
-            let total = line.optional_number(2, "level")?.unwrap_or(0.0);
-            let took = line.optional_number(4, "time-taken-s")?.unwrap_or(0.0);
-            let name = line.part(5, "counter")?.into();
-            Message::Event(instance, Event::Counted { name, outcome, total, took })
-        }
-        "HEALTH_RESULT" => Message::Event(
-            instance,
-            Event::Probed {
-                server: Arc::from(line.part(2, "server")?),
-                outcome: outcome(line, 4)?,
-                report: report(line, 5)?,
-            },
-        ),
-        // A timer this host never set is one nobody wants.
-        "ALARM" => match line.part(2, "ref")?.parse() {
-            Ok(token) => Message::Event(instance, Event::Timer { token }),
-            Err(_) => Message::Skip,
+    match word {
+        "PROVISION" => start(line, instance),
+        "DESTROY" => Ok(Message::Stop(instance)),
+        "REGISTRY" => endpoint_list(line, instance),
+        _ => Ok(event(line)?.map_or(Message::Skip, |event| Message::Event(instance, event))),
+    }
+}
+
+fn start(line: &Line, instance: u32) -> Result<Message, String> {
+    let settings: Settings =
+        serde_json::from_str(line.rest(3, "config")?).map_err(|e| line.fault("config", &e.to_string()))?;
+    Ok(Message::Start(instance, line.integer(2, "rng-seed")?, Box::new(settings)))
+}
+
+fn endpoint_list(line: &Line, instance: u32) -> Result<Message, String> {
+    let kind = match line.part(2, "kind")? {
+        "whole" | "stale_copy" => ListKind::Whole,
+        "patch" => ListKind::Patch,
+        "broken" => ListKind::Broken,
+        other => return Err(line.fault("kind", &format!("unknown: {other:?}"))),
+    };
+    let left = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
+    Ok(Message::List(PendingList { instance, kind, left, entries: Vec::new() }))
+}
+
+/// The event of a line; none for a timer that this host never set.
+fn event(line: &Line) -> Result<Option<Event>, String> {
+    let id = || line.integer::<u64>(2, "handle");
+    Ok(Some(match line.word() {
+        "SUBMIT" => Event::Request(request(line)?),
+        "FIRST" => Event::StreamStarted { id: id()? },
+        "ENDED" => attempt_ended(line)?,
+        "CLIENT_GONE" => Event::ClientDisconnected { id: id()? },
+        "TOTAL" => counter_reply(line)?,
+        "HEALTH_RESULT" => Event::HealthChecked {
+            endpoint: Arc::from(line.part(2, "server")?),
+            outcome: outcome(line, 4)?,
+            report: report(line, 5)?,
         },
-        _ => Message::Skip,
+        "ALARM" => return Ok(line.part(2, "ref")?.parse().ok().map(|token| Event::Timer { token })),
+        _ => return Ok(None),
+    }))
+}
+
+fn request(line: &Line) -> Result<Request, String> {
+    Ok(Request {
+        id: line.integer(2, "handle")?,
+        is_retry: line.flag(4, "repeat")?,
+        deadline: line.number(5, "due-s")?,
+        reachable_instances: line.number(6, "width")?.max(1.0) as u32,
+        units: line.number(7, "weight")?,
+        plan: line.part(9, "contract")?.into(),
+        class: line.part(10, "profile")?.into(),
+        customer: line.part(11, "api-key")?.into(),
+    })
+}
+
+fn attempt_ended(line: &Line) -> Result<Event, String> {
+    Ok(Event::AttemptEnded {
+        id: line.integer(2, "handle")?,
+        attempt: line.integer(3, "n")?,
+        request_finished: line.flag(5, "final")?,
+        elapsed: line.number(7, "time-taken-s")?,
+        outcome: outcome(line, 8)?,
+        units: line.optional_number(9, "actual")?.filter(|units| *units > 0.0),
+        report: report(line, 10)?,
+    })
+}
+
+fn counter_reply(line: &Line) -> Result<Event, String> {
+    Ok(Event::CounterReply {
+        outcome: outcome(line, 3)?,
+        total: line.optional_number(2, "level")?.unwrap_or(0.0),
+        elapsed: line.optional_number(4, "time-taken-s")?.unwrap_or(0.0),
+        key: line.part(5, "counter")?.into(),
     })
 }
 
@@ -248,12 +193,12 @@
     Ok(match line.integer::<u32>(n, "code")? {
         100 => Outcome::Ok,
         301 => Outcome::Error,
-        302 => Outcome::Full,
+        302 => Outcome::Overloaded,
         303 => Outcome::Timeout,
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         other => return Err(line.fault("code", &format!("unknown: {other}"))),
     })
 }
@@ -270,20 +215,22 @@
 }
 
 /// Writes one action as a line.
-pub fn write(out: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
+pub fn write(output: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
     match action {
-        // The wire has no word for the time by which it is to be written.
-        Action::Send { id, server, timeout, .. } => {
-            writeln!(out, "ASSIGN {instance} {id} {timeout} {server}")
+        // The wire has no field for the send deadline.
+        Action::Send { id, endpoint, timeout, .. } => {
+            writeln!(output, "ASSIGN {instance} {id} {timeout} {endpoint}")
+        }
+        // The simulator asks for no authorizations, and its protocol has none.
+        Action::Authorize { .. } => Ok(()),
+        Action::Reject { id, retry_after } => writeln!(output, "SAY_NO {instance} {id} {retry_after}"),
+        Action::Fail { id } => writeln!(output, "END_FAILED {instance} {id}"),
+        Action::Cancel { id, attempt } => writeln!(output, "STOP_ATTEMPT {instance} {id} {attempt}"),
+        Action::IncrementCounter { key, increment, ttl } => {
+            writeln!(output, "INCR {instance} {key} {increment} {ttl}")
         }
-        // The simulator asks for no permissions, and its protocol has no word for them.
-        Action::Permit { .. } => Ok(()),
-        Action::Refuse { id, retry_after } => writeln!(out, "SAY_NO {instance} {id} {retry_after}"),
-        Action::Fail { id } => writeln!(out, "END_FAILED {instance} {id}"),
-        Action::Cancel { id, attempt } => writeln!(out, "STOP_ATTEMPT {instance} {id} {attempt}"),
-        Action::Count { name, add, lives } => writeln!(out, "INCR {instance} {name} {add} {lives}"),
-        Action::SetTimer { at, token } => writeln!(out, "DEFER {instance} {at} {token}"),
-        Action::Probe { server } => writeln!(out, "TEST {instance} {server}"),
-        Action::FollowServers => writeln!(out, "FOLLOW {instance} 1"),
+        Action::SetTimer { at, token } => writeln!(output, "DEFER {instance} {at} {token}"),
+        Action::CheckHealth { endpoint } => writeln!(output, "TEST {instance} {endpoint}"),
+        Action::WatchEndpoints => writeln!(output, "FOLLOW {instance} 1"),
     }
 }
--- /dev/null
+++ b/crates/storage/src/snapshot.rs
@@ -0,0 +1,271 @@
+//! Snapshots in two generations: a new one replaces the older, so that the newer survives a failure at any step.
+//!
+//! File format, integers little-endian: magic, format version (u16), kind (u32), content version (u16), generation (u64),
+//! length (u64), the content, CRC-32 of all before it.
+
+use crate::little_endian::{u16_at, u32_at, u64_at};
+use crate::{Result, Storage, StorageError};
+use std::io::{Error, ErrorKind};
+use thiserror::Error as ThisError;
+
+const MAGIC: &[u8; 4] = b"LRsn";
+const FORMAT_VERSION: u16 = 1;
+const FORMAT_VERSION_OFFSET: usize = 4;
+const KIND_OFFSET: usize = 6;
+const CONTENT_VERSION_OFFSET: usize = 10;
+const GENERATION_OFFSET: usize = 12;
+const LENGTH_OFFSET: usize = 20;
+const HEADER_BYTES: usize = 28;
+const CHECKSUM_BYTES: usize = 4;
+const MIN_FILE_BYTES: usize = HEADER_BYTES + CHECKSUM_BYTES;
+
+/// The snapshots of one store, under one name.
+#[derive(Debug)]
+pub struct SnapshotStore {
+    name: String,
+    kind: u32,
+    version: u16,
+    /// The newest generation that was saved or loaded.
+    newest_generation: u64,
+}
+
+/// An undamaged snapshot.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Snapshot {
+    /// Counts up from 1 with each snapshot saved.
+    pub generation: u64,
+    /// The content.
+    pub bytes: Vec<u8>,
+}
+
+/// A snapshot file that was not loaded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RejectedSnapshot {
+    /// The file.
+    pub file: String,
+    /// Why it was rejected.
+    pub cause: SnapshotRejection,
+}
+
+/// Why a snapshot file was rejected: what was found, and what was expected.
+#[derive(Clone, Debug, PartialEq, Eq, ThisError)]
+pub enum SnapshotRejection {
+    /// The file is shorter than any snapshot.
+    #[error("{found} bytes, expected {MIN_FILE_BYTES} at least: it is torn")]
+    TooShort {
+        /// Length of the file, in bytes.
+        found: usize,
+    },
+    /// The file is no snapshot.
+    #[error("it does not begin as a snapshot does")]
+    NotASnapshot,
+    /// The file has another format.
+    #[error("a snapshot of format {found}, expected {FORMAT_VERSION}")]
+    Format {
+        /// The format version in the header.
+        found: u16,
+    },
+    /// The file is not as long as its header says.
+    #[error("{found} bytes, expected {expected}: it is torn")]
+    Torn {
+        /// Length of the file, in bytes.
+        found: usize,
+        /// The length by the header.
+        expected: u64,
+    },
+    /// The content does not match its checksum.
+    #[error("its checksum is {found:08x}, expected {expected:08x}: bytes of it are changed")]
+    Checksum {
+        /// Computed from the file.
+        found: u32,
+        /// Stored in the file.
+        expected: u32,
+    },
+    /// The snapshot belongs to another store.
+    #[error("a snapshot of kind {found}, expected {expected}: it is another store's")]
+    Kind {
+        /// The kind in the header.
+        found: u32,
+        /// The kind of this store.
+        expected: u32,
+    },
+    /// The content was written by another version of the program.
+    #[error(
+        "it is of version {found}, expected {expected}: {} program's",
+        if .found > .expected { "a later" } else { "an earlier" }
+    )]
+    Version {
+        /// The content version in the header.
+        found: u16,
+        /// The content version of this store.
+        expected: u16,
+    },
+    /// The generation does not belong under this name: an old copy was put back.
+    #[error("generation {generation} under this name: it is misplaced")]
+    Misplaced {
+        /// The generation in the header.
+        generation: u64,
+    },
+}
+
+/// What was found when snapshots were loaded.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct LoadedSnapshots {
+    /// The newest undamaged snapshot.
+    pub newest: Option<Snapshot>,
+    /// Files that were not loaded.
+    pub rejected: Vec<RejectedSnapshot>,
+}
+
+#[derive(Debug, ThisError)]
+enum VerificationError {
+    #[error("what was written is not what is there")]
+    ContentDiffers,
+    #[error("the rename said yes and did nothing")]
+    RenameLost,
+}
+
+impl SnapshotStore {
+    /// The snapshots under a name. `kind` tells them from those of other stores, `version` from those of other versions of
+    /// the program.
+    pub fn new(name: &str, kind: u32, version: u16) -> SnapshotStore {
+        SnapshotStore { name: name.into(), kind, version, newest_generation: 0 }
+    }
+
+    /// The file of a generation: even and odd generations have one each.
+    fn file(&self, generation: u64) -> String {
+        format!("{}.{}", self.name, generation % 2)
+    }
+
+    fn encode(&self, generation: u64, content: &[u8]) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(MIN_FILE_BYTES + content.len());
+        bytes.extend(MAGIC);
+        bytes.extend(FORMAT_VERSION.to_le_bytes());
+        bytes.extend(self.kind.to_le_bytes());
+        bytes.extend(self.version.to_le_bytes());
+        bytes.extend(generation.to_le_bytes());
+        bytes.extend((content.len() as u64).to_le_bytes());
+        bytes.extend(content);
+        bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
+        bytes
+    }
+
+    fn decode(&self, bytes: &[u8]) -> std::result::Result<Snapshot, SnapshotRejection> {
+        check_integrity(bytes)?;
+        let kind = u32_at(bytes, KIND_OFFSET).unwrap_or_default();
+        if kind != self.kind {
+            return Err(SnapshotRejection::Kind { found: kind, expected: self.kind });
+        }
+        let version = u16_at(bytes, CONTENT_VERSION_OFFSET).unwrap_or_default();
+        if version != self.version {
+            return Err(SnapshotRejection::Version { found: version, expected: self.version });
+        }
+        let generation = u64_at(bytes, GENERATION_OFFSET).unwrap_or_default();
+        let content = bytes[HEADER_BYTES..bytes.len() - CHECKSUM_BYTES].to_vec();
+        Ok(Snapshot { generation, bytes: content })
+    }
+
+    /// Decodes the file of the even (0) or odd (1) generations.
+    fn decode_file(&self, bytes: &[u8], parity: u64) -> std::result::Result<Snapshot, SnapshotRejection> {
+        let snapshot = self.decode(bytes)?;
+        if snapshot.generation % 2 == parity {
+            Ok(snapshot)
+        } else {
+            Err(SnapshotRejection::Misplaced { generation: snapshot.generation })
+        }
+    }
+
+    /// Loads the newest undamaged snapshot. A disk that returns an old file as the newest is not detected here: compare the
+    /// generation with what other processes know.
+    ///
+    /// # Errors
+    /// A file cannot be read, and there is no undamaged snapshot in the other.
+    pub fn load(&mut self, storage: &mut dyn Storage) -> Result<LoadedSnapshots> {
+        let mut loaded = LoadedSnapshots::default();
+        let mut read_error = None;
+        for parity in 0..2 {
+            let file = self.file(parity);
+            let bytes = match storage.read(&file) {
+                Ok(Some(bytes)) => bytes,
+                Ok(None) => continue,
+                Err(error) => {
+                    read_error = Some(error);
+                    continue;
+                }
+            };
+            match self.decode_file(&bytes, parity) {
+                Ok(snapshot) => {
+                    if loaded.newest.as_ref().is_none_or(|newest| snapshot.generation > newest.generation) {
+                        loaded.newest = Some(snapshot);
+                    }
+                }
+                Err(cause) => loaded.rejected.push(RejectedSnapshot { file, cause }),
+            }
+        }
+        let generation = loaded.newest.as_ref().map_or(0, |snapshot| snapshot.generation);
+        self.newest_generation = self.newest_generation.max(generation);
+        match read_error {
+            Some(error) if loaded.newest.is_none() => Err(error),
+            _ => Ok(loaded),
+        }
+    }
+
+    /// Saves a snapshot in place of the older of two and returns its generation. It is read back before it replaces
+    /// anything, so that a torn write that was reported as successful leaves both as they were.
+    ///
+    /// # Errors
+    /// The snapshot cannot be written, made durable or read back. The newer of the two is there as before.
+    pub fn save(&mut self, storage: &mut dyn Storage, content: &[u8]) -> Result<u64> {
+        let generation = self.newest_generation + 1;
+        let bytes = self.encode(generation, content);
+        let temporary = format!("{}.new", self.name);
+        storage.write(&temporary, &bytes)?;
+        storage.sync(&temporary)?;
+        verify(storage, &temporary, &bytes, VerificationError::ContentDiffers)?;
+        let file = self.file(generation);
+        storage.rename(&temporary, &file)?;
+        storage.sync_directory()?;
+        // A lost rename would leave two old generations, and the next save would replace the newer of them.
+        verify(storage, &file, &bytes, VerificationError::RenameLost)?;
+        self.newest_generation = generation;
+        Ok(generation)
+    }
+}
+
+/// Checks length, format and checksum.
+fn check_integrity(bytes: &[u8]) -> std::result::Result<(), SnapshotRejection> {
+    if bytes.len() < MIN_FILE_BYTES {
+        return Err(SnapshotRejection::TooShort { found: bytes.len() });
+    }
+    if !bytes.starts_with(MAGIC) {
+        return Err(SnapshotRejection::NotASnapshot);
+    }
+    let format = u16_at(bytes, FORMAT_VERSION_OFFSET).unwrap_or_default();
+    if format != FORMAT_VERSION {
+        return Err(SnapshotRejection::Format { found: format });
+    }
+    let content_len = u64_at(bytes, LENGTH_OFFSET).unwrap_or_default();
+    let expected_len = content_len.saturating_add(MIN_FILE_BYTES as u64);
+    if bytes.len() as u64 != expected_len {
+        return Err(SnapshotRejection::Torn { found: bytes.len(), expected: expected_len });
+    }
+    let checked = bytes.len() - CHECKSUM_BYTES;
+    let expected = u32_at(bytes, checked).unwrap_or_default();
+    let found = crc32fast::hash(&bytes[..checked]);
+    if found != expected {
+        return Err(SnapshotRejection::Checksum { found, expected });
+    }
+    Ok(())
+}
+
+fn verify(
+    storage: &mut dyn Storage,
+    file: &str,
+    expected: &[u8],
+    otherwise: VerificationError,
+) -> Result<()> {
+    if storage.read(file)?.as_deref() == Some(expected) {
+        return Ok(());
+    }
+    Err(StorageError::new("store", file, Error::new(ErrorKind::InvalidData, otherwise)))
+}
