--- a/crates/counter/tests/common/faults.rs
+++ b/crates/counter/tests/common/faults.rs
@@ -13,7 +13,7 @@
         counter: usize,
         name: &str,
         add: f64,
-        ttl: f64,
+        ttl_s: f64,
     ) -> (CallResult, f64) {
         let instance = &self.instances[n];
         let first = counter == 0;
@@ -28,13 +28,13 @@
         if counter.silent {
             return (CallResult::Unanswered, TIMEOUT);
         }
-        let total = counter.add(self.now, name, add, ttl);
-        let elapsed = CALL_SECONDS + counter.slow;
+        let total = counter.add(self.now, name, add, ttl_s);
+        let elapsed_s = CALL_SECONDS + counter.slow;
         // An answer that comes after the call was given up finds nobody; it was added all the same.
-        if elapsed > TIMEOUT || counter.mute {
+        if elapsed_s > TIMEOUT || counter.mute {
             (CallResult::Unanswered, TIMEOUT)
         } else {
-            (CallResult::Total(total), elapsed)
+            (CallResult::Total(total), elapsed_s)
         }
     }
 
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -78,19 +78,19 @@
 fn settings(plan: Plan, limiters: usize) -> Settings {
     let class = Class {
         name: "read".into(),
-        latency_objective: 1.0,
-        deadline: 4.0,
+        latency_objective_s: 1.0,
+        deadline_s: 4.0,
         priority_weight: 1.0,
         ..Class::default()
     };
     Settings {
         instance_count: limiters as u32,
-        tick_interval: 0.002,
+        tick_interval_s: 0.002,
         classes: vec![class],
         plans: vec![plan],
         max_request_units: 1.0,
         has_counter: true,
-        counter_timeout: TIMEOUT,
+        counter_timeout_s: TIMEOUT,
         slow_start_capacity: 1.0,
         max_attempts: 2,
         ..Settings::default()
@@ -177,11 +177,11 @@
         let entry = |k: usize| EndpointEntry {
             id: format!("10.0.0.{k}:1").into(),
             zone: "".into(),
-            kind: "std".into(),
+            machine_type: "std".into(),
             cell: 0,
             state: EndpointState::InService,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
         self.dispatch(n, Event::EndpointList((1..=4).map(entry).collect()));
     }
@@ -240,17 +240,21 @@
                     attempt: 0,
                     request_finished: true,
                     outcome: Outcome::Ok,
-                    elapsed: ATTEMPT_SECONDS,
+                    elapsed_s: ATTEMPT_SECONDS,
                     units: None,
                     report: LoadReport::default(),
                 };
                 self.notify(n, incarnation, event);
             }
-            SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl, at, generation } => {
-                self.call(limiter, incarnation, (name, add, ttl), at, generation);
+            SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl_s, at, generation } => {
+                self.call(limiter, incarnation, (name, add, ttl_s), at, generation);
             }
-            SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed } => {
-                self.notify(limiter, incarnation, Event::CounterReply { key: name, outcome, total, elapsed });
+            SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed_s } => {
+                self.notify(
+                    limiter,
+                    incarnation,
+                    Event::CounterReply { key: name, outcome, total, elapsed_s },
+                );
             }
             SimulationEvent::Validate(n, incarnation, counter) => {
                 self.start_validation_call(n, incarnation, counter);
@@ -296,8 +300,8 @@
                 Event::AttemptEnded { id, .. } => {
                     self.schedule(at, SimulationEvent::AttemptEnded(n, incarnation, id));
                 }
-                Event::CounterReply { key: name, outcome, total, elapsed } => {
-                    let elapsed = elapsed + at - self.now;
+                Event::CounterReply { key: name, outcome, total, elapsed_s } => {
+                    let elapsed_s = elapsed_s + at - self.now;
                     self.schedule(
                         at,
                         SimulationEvent::CounterReply {
@@ -306,7 +310,7 @@
                             name,
                             outcome,
                             total,
-                            elapsed,
+                            elapsed_s,
                         },
                     );
                 }
@@ -332,11 +336,11 @@
                     self.schedule(self.now + self.answer, SimulationEvent::AttemptEnded(n, incarnation, id));
                 }
                 Action::Reject { .. } => self.result.rejected += 1.0,
-                Action::SetTimer { at, token } => {
-                    self.schedule(at - clock, SimulationEvent::Timer(n, incarnation, token));
+                Action::SetTimer { expires_at, token } => {
+                    self.schedule(expires_at - clock, SimulationEvent::Timer(n, incarnation, token));
                 }
-                Action::IncrementCounter { key, increment, ttl } => {
-                    self.start_call(n, key, increment, ttl);
+                Action::IncrementCounter { key, increment, ttl_s } => {
+                    self.start_call(n, key, increment, ttl_s);
                 }
                 _ => {}
             }
@@ -344,17 +348,18 @@
     }
 
     /// Sends a customer's call to the active counter, if the pacer allows it.
-    fn start_call(&mut self, n: usize, name: String, add: f64, ttl: f64) {
+    fn start_call(&mut self, n: usize, name: String, add: f64, ttl_s: f64) {
         let (at, instance) = (self.now, &mut self.instances[n]);
         let (limiter, incarnation) = (n, instance.incarnation);
         if instance.pacer.as_mut().is_some_and(|pacer| !pacer.try_acquire(at)) {
-            let (outcome, total, elapsed) = (Outcome::Overloaded, 0.0, 0.0);
-            let reply = SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed };
+            let (outcome, total, elapsed_s) = (Outcome::Overloaded, 0.0, 0.0);
+            let reply =
+                SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed_s };
             return self.schedule(at, reply);
         }
         let monitor = instance.monitor.as_ref();
         let generation = monitor.map_or(0, |monitor| monitor.assessment().active.generation);
-        let call = SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl, at, generation };
+        let call = SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl_s, at, generation };
         self.schedule(at + CALL_SECONDS / 2.0, call);
     }
 
@@ -362,7 +367,7 @@
         &mut self,
         n: usize,
         incarnation: u32,
-        (name, add, ttl): (String, f64, f64),
+        (name, add, ttl_s): (String, f64, f64),
         at: f64,
         generation: u64,
     ) {
@@ -371,8 +376,8 @@
         self.result.calls[second] += 1;
         let post = self.instances[n].monitor.as_ref().map(|p| p.assessment().active).unwrap_or_default();
         // One that was on its way while the counter was changed is the old one's: its answer is nobody's.
-        let (answer, elapsed) = if post.generation == generation {
-            self.reach(n, post.index, &name, add, ttl)
+        let (answer, elapsed_s) = if post.generation == generation {
+            self.reach(n, post.index, &name, add, ttl_s)
         } else {
             (CallResult::Unanswered, TIMEOUT)
         };
@@ -381,11 +386,11 @@
             _ => (Outcome::Timeout, 0.0),
         };
         if let Some(pacer) = &mut self.instances[n].pacer {
-            pacer.record_result(outcome == Outcome::Ok, at + elapsed);
+            pacer.record_result(outcome == Outcome::Ok, at + elapsed_s);
         }
         self.schedule(
-            at + elapsed,
-            SimulationEvent::CounterReply { limiter: n, incarnation, name, outcome, total, elapsed },
+            at + elapsed_s,
+            SimulationEvent::CounterReply { limiter: n, incarnation, name, outcome, total, elapsed_s },
         );
     }
 }
--- a/crates/counter/tests/common/validation.rs
+++ b/crates/counter/tests/common/validation.rs
@@ -61,9 +61,9 @@
         let call = monitor.due_call(counter, clock);
         let next = monitor.next_call_at(counter) - skew;
         if let Some(call) = call {
-            let (answer, elapsed) = self.reach(n, counter, &call.key, call.increment, call.ttl);
+            let (answer, elapsed_s) = self.reach(n, counter, &call.key, call.increment, call.ttl);
             self.schedule(
-                self.now + elapsed,
+                self.now + elapsed_s,
                 SimulationEvent::ValidationEnded { limiter: n, incarnation, counter, call, answer },
             );
         }
--- a/crates/daemon/src/cluster/health_checks.rs
+++ b/crates/daemon/src/cluster/health_checks.rs
@@ -74,9 +74,9 @@
             in_flight: report.in_flight,
             queued: report.queued,
             utilization: report.utilization,
-            latency: report.latency,
-            request_rate: report.request_rate,
-            error_rate: report.error_rate,
+            latency: report.latency_s,
+            request_rate: report.requests_per_s,
+            error_rate: report.errors_per_s,
         }
     }
 }
@@ -89,9 +89,9 @@
             in_flight: finite(load.in_flight),
             queued: finite(load.queued),
             utilization: finite(load.utilization),
-            latency: finite(load.latency),
-            request_rate: finite(load.request_rate),
-            error_rate: finite(load.error_rate),
+            latency_s: finite(load.latency),
+            requests_per_s: finite(load.request_rate),
+            errors_per_s: finite(load.error_rate),
         }
     }
 }
--- a/crates/daemon/src/cluster/health_checks/tests.rs
+++ b/crates/daemon/src/cluster/health_checks/tests.rs
@@ -56,5 +56,5 @@
     let load =
         SharedLoad { in_flight: Some(f64::NAN), latency: Some(f64::INFINITY), queued: Some(3.0), ..NO_LOAD };
     let report = LoadReport::from(load);
-    assert_eq!((report.in_flight, report.latency, report.queued), (None, None, Some(3.0)));
+    assert_eq!((report.in_flight, report.latency_s, report.queued), (None, None, Some(3.0)));
 }
--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -72,7 +72,7 @@
 impl CounterClient {
     /// A client of the counter at an address, if it has one yet.
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
-        let seconds = settings.counter_timeout;
+        let seconds = settings.counter_timeout_s;
         let seconds = if seconds > 0.0 && seconds.is_finite() { seconds } else { DEFAULT_TIMEOUT };
         CounterClient {
             address: Cell::new(address),
@@ -118,14 +118,14 @@
         Ok(CallPermit { address, _counted: Count::new(self.calls_in_flight.clone()) })
     }
 
-    /// Adds to a count that lives `ttl` seconds, and waits for the outcome and the total.
-    pub async fn add(&self, key: &str, increment: f64, ttl: f64) -> (Outcome, f64) {
+    /// Adds to a count that lives `ttl_s` seconds, and waits for the outcome and the total.
+    pub async fn add(&self, key: &str, increment: f64, ttl_s: f64) -> (Outcome, f64) {
         let permit = match self.reserve_call() {
             Ok(permit) => permit,
             Err(outcome) => return (outcome, 0.0),
         };
         let CounterTotal { outcome, total, connection } =
-            self.send(permit.address, key, increment, ttl).await;
+            self.send(permit.address, key, increment, ttl_s).await;
         let address = permit.address;
         drop(permit);
         self.keep(address, connection).await;
@@ -142,9 +142,9 @@
     }
 
     /// Makes a call at an address, within the timeout.
-    pub async fn send(&self, address: SocketAddr, key: &str, increment: f64, ttl: f64) -> CounterTotal {
+    pub async fn send(&self, address: SocketAddr, key: &str, increment: f64, ttl_s: f64) -> CounterTotal {
         let deadline = Instant::now() + self.timeout;
-        let keep_ms = (ttl * 1000.0).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
+        let keep_ms = (ttl_s * 1000.0).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
         let target = format!("/tally/{key}?n={increment}&keep_ms={keep_ms}");
         loop {
             // The address may have changed between two tries: idle connections lead to the present one.
--- a/crates/daemon/src/counter/pool.rs
+++ b/crates/daemon/src/counter/pool.rs
@@ -106,7 +106,7 @@
         events: &Rc<EventQueue>,
         key: String,
         increment: f64,
-        ttl: f64,
+        ttl_s: f64,
     ) -> Result<(), Outcome> {
         let active = self.active.get();
         let client = self.clients.get(active.index).ok_or(Outcome::ConnectFailed)?;
@@ -119,7 +119,7 @@
         tokio::task::spawn_local(async move {
             let started_at = Instant::now();
             let CounterTotal { outcome, total, connection } =
-                client.send(permit.address, &key, increment, ttl).await;
+                client.send(permit.address, &key, increment, ttl_s).await;
             let address = permit.address;
             drop(permit);
             let outcome = pool.attribute(active, outcome);
--- a/crates/daemon/src/counter/validation.rs
+++ b/crates/daemon/src/counter/validation.rs
@@ -89,7 +89,7 @@
             monitor: RefCell::new(monitor),
             known: Cell::default(),
             plans: reported_plans(settings, instance_count),
-            timing: Timing { timeout: settings.counter_timeout.max(0.0), ..Timing::default() },
+            timing: Timing { timeout: settings.counter_timeout_s.max(0.0), ..Timing::default() },
         })
     }
 
--- a/crates/daemon/src/discovery/endpoint.rs
+++ b/crates/daemon/src/discovery/endpoint.rs
@@ -23,7 +23,7 @@
     EndpointEntry {
         id: instance.instance_id.as_str().into(),
         zone: instance.zone.as_str().into(),
-        kind: instance.machine_type.as_str().into(),
+        machine_type: instance.machine_type.as_str().into(),
         cell: instance.cell,
         state: match instance.lifecycle {
             Lifecycle::InService => EndpointState::InService,
@@ -31,7 +31,7 @@
             Lifecycle::Terminated => EndpointState::Removed,
         },
         weight: instance.weight.unwrap_or(1.0),
-        started: instance.started_at_ms.filter(|at| *at > 0.0).map(|at| at / MILLISECONDS_PER_SECOND),
+        started_at: instance.started_at_ms.filter(|at| *at > 0.0).map(|at| at / MILLISECONDS_PER_SECOND),
     }
 }
 
--- a/crates/daemon/src/discovery/inventory_file.rs
+++ b/crates/daemon/src/discovery/inventory_file.rs
@@ -225,11 +225,11 @@
     let entry = EndpointEntry {
         id: node.id.as_str().into(),
         zone: node.zone.as_str().into(),
-        kind: node.kind.as_str().into(),
+        machine_type: node.kind.as_str().into(),
         cell: node.cell.unwrap_or(0),
         state,
         weight: node.weight,
-        started: node.started_ms.map(|at| at as f64 / MILLISECONDS_PER_SECOND),
+        started_at: node.started_ms.map(|at| at as f64 / MILLISECONDS_PER_SECOND),
     };
     ListedEndpoint { entry, address: node.address }
 }
--- a/crates/daemon/src/host/attempts.rs
+++ b/crates/daemon/src/host/attempts.rs
@@ -29,7 +29,7 @@
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
-        timeout: f64,
+        timeout_s: f64,
         send_deadline: f64,
     ) {
         let Some(open) = self.requests.get_mut(&id) else { return };
@@ -38,14 +38,14 @@
         // Enforces the rules even against the module: no attempt for a request that is answered or that its client
         // sends itself, never two attempts at once, and no more attempts than the settings allow.
         let allowed =
-            open.reply.is_some() && open.running.is_none() && number < self.max_attempts && timeout >= 0.0;
+            open.reply.is_some() && open.running.is_none() && number < self.max_attempts && timeout_s >= 0.0;
         let Some(forward) = open.forward.clone().filter(|_| allowed) else {
             return self.pending.push_back(Event::attempt_not_sent(id, number));
         };
         let started_at = Instant::now();
         let deadline = forward.deadline;
-        let give_up = if timeout > 0.0 {
-            (started_at + Duration::from_secs_f64(timeout.min(MAX_TIMEOUT))).min(deadline)
+        let give_up = if timeout_s > 0.0 {
+            (started_at + Duration::from_secs_f64(timeout_s.min(MAX_TIMEOUT))).min(deadline)
         } else {
             deadline
         };
@@ -77,7 +77,7 @@
             attempt,
             request_finished: open.reply.is_none(),
             outcome: result.outcome,
-            elapsed: running.started_at.elapsed().as_secs_f64(),
+            elapsed_s: running.started_at.elapsed().as_secs_f64(),
             units: result.units,
             report: result.report,
         });
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -119,8 +119,8 @@
                 self.run_pending();
             }
             HostEvent::CounterReply { key, outcome, total, elapsed } => {
-                let elapsed = elapsed.as_secs_f64();
-                self.dispatch(Event::CounterReply { key, outcome, total, elapsed });
+                let elapsed_s = elapsed.as_secs_f64();
+                self.dispatch(Event::CounterReply { key, outcome, total, elapsed_s });
             }
             HostEvent::CounterValidity { usable_quota_ratio, pauses } => {
                 // A verdict from before a pause that the validation did not know of is out of date.
@@ -170,16 +170,16 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, endpoint, timeout, send_deadline } => {
-                self.start_attempt(id, endpoint, timeout, send_deadline);
+            Action::Send { id, endpoint, timeout_s, send_deadline } => {
+                self.start_attempt(id, endpoint, timeout_s, send_deadline);
             }
             Action::Authorize { id } => {
                 let guard = DisconnectGuard { events: self.events.clone(), id: Some(id) };
                 self.answer(id, Answer::Authorized(guard));
             }
-            Action::Reject { id, retry_after } => {
+            Action::Reject { id, retry_after_s } => {
                 let cause = self.rejection_cause;
-                self.answer(id, Answer::Rejected(Rejection { retry_after, cause }));
+                self.answer(id, Answer::Rejected(Rejection { retry_after: retry_after_s, cause }));
             }
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
@@ -187,17 +187,19 @@
                     self.attempt_ended(id, attempt, AttemptResult::of(Outcome::Cancelled));
                 }
             }
-            Action::IncrementCounter { key, increment, ttl } => self.increment_counter(key, increment, ttl),
-            Action::SetTimer { at, token } => self.timers.set(self.clock.instant(at), token),
+            Action::IncrementCounter { key, increment, ttl_s } => {
+                self.increment_counter(key, increment, ttl_s)
+            }
+            Action::SetTimer { expires_at, token } => self.timers.set(self.clock.instant(expires_at), token),
             Action::CheckHealth { endpoint } => self.check_health(endpoint),
             // Discovery follows the list all the time.
             Action::WatchEndpoints => {}
         }
     }
 
-    fn increment_counter(&mut self, key: String, increment: f64, ttl: f64) {
-        if let Err(outcome) = self.clients.counters.call(&self.events, key.clone(), increment, ttl) {
-            self.pending.push_back(Event::CounterReply { key, outcome, total: 0.0, elapsed: 0.0 });
+    fn increment_counter(&mut self, key: String, increment: f64, ttl_s: f64) {
+        if let Err(outcome) = self.clients.counters.call(&self.events, key.clone(), increment, ttl_s) {
+            self.pending.push_back(Event::CounterReply { key, outcome, total: 0.0, elapsed_s: 0.0 });
         }
     }
 
--- a/crates/daemon/src/listeners/fields.rs
+++ b/crates/daemon/src/listeners/fields.rs
@@ -30,7 +30,7 @@
         (_, Some(number)) => (1e-6, number),
         _ => return None,
     };
-    let max_seconds = if class.deadline > 0.0 { class.deadline } else { f64::MAX };
+    let max_seconds = if class.deadline_s > 0.0 { class.deadline_s } else { f64::MAX };
     Duration::try_from_secs_f64((read_number(number)? * seconds_per_unit).min(max_seconds)).ok()
 }
 
--- a/crates/daemon/src/listeners/fields/tests.rs
+++ b/crates/daemon/src/listeners/fields/tests.rs
@@ -17,6 +17,6 @@
     for malformed in ["", "480", "m", "-1m", "1e3m", "480s"] {
         assert_eq!(read_time_left(malformed, &class), None, "{malformed:?}");
     }
-    class.deadline = 0.25;
+    class.deadline_s = 0.25;
     assert_eq!(read_time_left("480m", &class), Some(Duration::from_millis(250)));
 }
--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -147,8 +147,8 @@
         Some(text) => {
             fields::read_time_left(text, class).ok_or_else(|| invalid_argument("the time left is malformed"))
         }
-        None if class.deadline > 0.0 => {
-            Ok(Duration::try_from_secs_f64(class.deadline).unwrap_or(MAX_CALL_DURATION))
+        None if class.deadline_s > 0.0 => {
+            Ok(Duration::try_from_secs_f64(class.deadline_s).unwrap_or(MAX_CALL_DURATION))
         }
         None => Ok(MAX_WAIT),
     }
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -101,7 +101,7 @@
 
 /// The longest deadline of a class, in seconds; 0 without classes.
 fn longest_deadline(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
+    settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max)
 }
 
 /// Admits requests once the first endpoint list has come.
--- a/crates/daemon/src/upstream/servers.rs
+++ b/crates/daemon/src/upstream/servers.rs
@@ -49,12 +49,12 @@
     /// A pool without servers that opens at most `socket_budget` sockets.
     pub fn new(settings: &Settings, socket_budget: usize) -> Self {
         let or = |value: f64, default| if value > 0.0 && value.is_finite() { value } else { default };
-        let server_idle_timeout = or(settings.idle_timeout, DEFAULT_IDLE_TIMEOUT);
-        let connect_timeout = or(settings.connect_timeout, DEFAULT_CONNECT_TIMEOUT);
+        let server_idle_timeout_s = or(settings.idle_timeout_s, DEFAULT_IDLE_TIMEOUT);
+        let connect_timeout_s = or(settings.connect_timeout_s, DEFAULT_CONNECT_TIMEOUT);
         Servers {
             table: RefCell::default(),
-            connect_timeout: Duration::from_secs_f64(connect_timeout),
-            idle_timeout: Duration::from_secs_f64(IDLE_TIMEOUT_RATIO * server_idle_timeout),
+            connect_timeout: Duration::from_secs_f64(connect_timeout_s),
+            idle_timeout: Duration::from_secs_f64(IDLE_TIMEOUT_RATIO * server_idle_timeout_s),
             open_sockets: Rc::default(),
             socket_budget,
             max_units: or(settings.max_request_units, f64::MAX),
--- a/crates/decision/src/endpoints/concurrency_limit.rs
+++ b/crates/decision/src/endpoints/concurrency_limit.rs
@@ -29,9 +29,9 @@
 /// How an attempt went, as far as limits depend on it.
 pub struct Pace {
     /// Seconds from sending to the end.
-    pub elapsed: f64,
+    pub elapsed_s: f64,
     /// The latency objective of its class, in seconds.
-    pub latency_objective: f64,
+    pub latency_objective_s: f64,
     /// It got no response in time, or the endpoint rejected it as overloaded.
     pub failed: bool,
 }
@@ -57,7 +57,7 @@
     /// endpoint as a ratio of what is usual.
     pub fn adjust(&mut self, instance_count: u32, in_flight: u32, latency_ratio: f64, pace: &Pace, now: f64) {
         if pace.failed || latency_ratio > DECREASE_ABOVE_RATIO {
-            if now - self.decreased_at > pace.latency_objective / 2.0 {
+            if now - self.decreased_at > pace.latency_objective_s / 2.0 {
                 let min_limit = MIN_ATTEMPTS / f64::from(instance_count.max(1));
                 self.limit = (self.limit * DECREASE_FACTOR).max(min_limit);
                 self.decreased_at = now;
--- a/crates/decision/src/endpoints/endpoint.rs
+++ b/crates/decision/src/endpoints/endpoint.rs
@@ -21,7 +21,7 @@
     pub weight: f64,
     pub state: EndpointState,
     /// Its latest start, if that is recent.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
     /// When the list first named it, or named it as restarted.
     pub listed_at: f64,
     /// Attempts in flight from here.
@@ -41,7 +41,7 @@
             location: Location { zone: entry.zone.clone(), cell: entry.cell },
             weight: 0.0,
             state: EndpointState::default(),
-            started: entry.started,
+            started_at: entry.started_at,
             listed_at: now,
             in_flight: 0,
             concurrency: ConcurrencyLimit::new(instance_count),
--- a/crates/decision/src/endpoints/endpoint_set.rs
+++ b/crates/decision/src/endpoints/endpoint_set.rs
@@ -31,7 +31,7 @@
 
 /// The tightest latency objective of all classes, by which times of the whole fleet are measured.
 pub fn fleet_objective(settings: &Settings) -> f64 {
-    let objectives = settings.classes.iter().map(|class| class.latency_objective);
+    let objectives = settings.classes.iter().map(|class| class.latency_objective_s);
     objectives.fold(f64::MAX, f64::min).min(MAX_FLEET_OBJECTIVE_SECONDS)
 }
 
@@ -74,7 +74,7 @@
             .endpoints
             .entry(entry.id.clone())
             .or_insert_with(|| Endpoint::new(entry, settings.instance_count, now));
-        if endpoint.started != entry.started && entry.started.is_some() {
+        if endpoint.started_at != entry.started_at && entry.started_at.is_some() {
             // A restarted process has nothing of its former self but what is in flight. Where only its start
             // was corrected, its recent sends are kept: no slow-start budget is given twice.
             let in_flight = endpoint.in_flight;
@@ -141,7 +141,7 @@
     pub fn adjust_limits(&mut self, Context { settings, now }: Context, id: &EndpointId, pace: &Pace) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         if !pace.failed {
-            self.fleet.on_response(pace.elapsed / pace.latency_objective);
+            self.fleet.on_response(pace.elapsed_s / pace.latency_objective_s);
         }
         let latency_ratio = self.fleet.latency_ratio() * endpoint.latency.ratio();
         let in_flight = endpoint.in_flight;
--- a/crates/decision/src/endpoints/slow_start.rs
+++ b/crates/decision/src/endpoints/slow_start.rs
@@ -52,15 +52,15 @@
     /// Share of its full capacity that an endpoint has at least, by its age.
     pub fn slow_start_factor(&self, settings: &Settings, now: f64) -> f64 {
         let progress = self
-            .started
-            .map_or(1.0, |started| (now - started).max(0.0) / settings.slow_start_duration.max(1e-9));
+            .started_at
+            .map_or(1.0, |started_at| (now - started_at).max(0.0) / settings.slow_start_duration_s.max(1e-9));
         settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * progress.min(1.0)
     }
 
     /// Notes an attempt that is sent during slow start.
     pub fn note_slow_start_send(&mut self, settings: &Settings, now: f64) {
         if self.slow_start_factor(settings, now) < 1.0 {
-            self.slow_start_sends.retain(|sent| now - sent <= settings.overload_window);
+            self.slow_start_sends.retain(|sent| now - sent <= settings.overload_window_s);
             self.slow_start_sends.push(now);
         }
     }
@@ -73,7 +73,7 @@
         let used = used.filter(|endpoint| endpoint.is_serving(now)).take(self.subset.size() as usize);
         let warm = used.filter(|endpoint| endpoint.slow_start_factor(settings, now) >= 1.0);
         self.slow_start.warm_weight = warm.map(|endpoint| endpoint.weight).sum();
-        self.slow_start.warm_responses.retain(|response| now - response <= settings.overload_window);
+        self.slow_start.warm_responses.retain(|response| now - response <= settings.overload_window_s);
     }
 
     /// Whether an endpoint may get one more attempt from here within the overload window.
@@ -94,7 +94,7 @@
         }
         let instances = self.subset.instances_per_endpoint();
         let budget = self.slow_start.window_attempts(settings, endpoint.weight, factor, instances);
-        let window = settings.overload_window.max(settings.tick_interval);
+        let window = settings.overload_window_s.max(settings.tick_interval_s);
         let recent = endpoint.slow_start_sends.iter().filter(|sent| now - **sent <= window).count() as f64;
         if recent + 1.0 <= budget * ((now - self.slow_start.started_at) / window).min(1.0) {
             return true;
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -12,7 +12,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Give up after this many seconds; 0: at the client's deadline.
-        timeout: f64,
+        timeout_s: f64,
         /// Time by which the request must be written completely, since its idempotency key may be forgotten
         /// after that. Infinite where there is no such time.
         send_deadline: f64,
@@ -27,7 +27,7 @@
         /// The request.
         id: RequestId,
         /// Seconds after which the client should retry; 0: no advice.
-        retry_after: f64,
+        retry_after_s: f64,
     },
     /// Final answer: failed; the request may have had an effect.
     Fail {
@@ -48,12 +48,12 @@
         /// What to add; 0 only reads.
         increment: f64,
         /// Seconds after which a new key expires.
-        ttl: f64,
+        ttl_s: f64,
     },
     /// Set a timer.
     SetTimer {
         /// The time at which it expires.
-        at: f64,
+        expires_at: f64,
         /// Comes back in [`Event::Timer`](super::Event::Timer).
         token: u64,
     },
--- a/crates/decision/src/interface/endpoint.rs
+++ b/crates/decision/src/interface/endpoint.rs
@@ -24,8 +24,8 @@
     pub id: EndpointId,
     /// Zone.
     pub zone: Arc<str>,
-    /// Machine kind.
-    pub kind: Arc<str>,
+    /// Machine type.
+    pub machine_type: Arc<str>,
     /// Cell within the zone.
     pub cell: i64,
     /// State.
@@ -33,5 +33,5 @@
     /// Capacity relative to other endpoints.
     pub weight: f64,
     /// Time of its latest start; `None` if that is too long ago to matter.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
 }
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -79,7 +79,7 @@
         /// How the attempt ended.
         outcome: Outcome,
         /// Seconds since it was sent.
-        elapsed: f64,
+        elapsed_s: f64,
         /// The true units, given once, where they are settled with the response.
         units: Option<f64>,
         /// The endpoint's load report.
@@ -100,7 +100,7 @@
         /// The total after the increment, with [`Outcome::Ok`].
         total: f64,
         /// Seconds since the call.
-        elapsed: f64,
+        elapsed_s: f64,
     },
     /// How far the counter's totals can be used from now on; before the first of these events, fully.
     CounterValidity {
@@ -132,7 +132,7 @@
             attempt,
             request_finished: false,
             outcome: Outcome::NotSent,
-            elapsed: 0.0,
+            elapsed_s: 0.0,
             units: None,
             report: LoadReport::default(),
         }
--- a/crates/decision/src/interface/load_report.rs
+++ b/crates/decision/src/interface/load_report.rs
@@ -10,11 +10,11 @@
     /// Share of its cores in use, from 0 to 1.
     pub utilization: Option<f64>,
     /// Recent service time in seconds.
-    pub latency: Option<f64>,
+    pub latency_s: Option<f64>,
     /// Requests a second.
-    pub request_rate: Option<f64>,
+    pub requests_per_s: Option<f64>,
     /// Errors a second.
-    pub error_rate: Option<f64>,
+    pub errors_per_s: Option<f64>,
 }
 
 impl LoadReport {
@@ -25,9 +25,9 @@
             "rif" | "inflight" => self.in_flight = value,
             "q" | "queue" => self.queued = value,
             "busy" | "util" => self.utilization = value,
-            "lat_ms" | "latency_ms" => self.latency = value.map(|milliseconds| milliseconds / 1000.0),
-            "rate" | "qps" => self.request_rate = value,
-            "fail_rate" | "eps" => self.error_rate = value,
+            "lat_ms" | "latency_ms" => self.latency_s = value.map(|milliseconds| milliseconds / 1000.0),
+            "rate" | "qps" => self.requests_per_s = value,
+            "fail_rate" | "eps" => self.errors_per_s = value,
             _ => {}
         }
     }
--- a/crates/decision/src/interface/settings/mod.rs
+++ b/crates/decision/src/interface/settings/mod.rs
@@ -34,9 +34,9 @@
     /// Name, as requests give it.
     pub name: String,
     /// Seconds within which a response earns the full weight.
-    pub latency_objective: f64,
+    pub latency_objective_s: f64,
     /// Seconds after which the client gives up, over all its attempts.
-    pub deadline: f64,
+    pub deadline_s: f64,
     /// Priority of a served request, relative to other classes.
     pub priority_weight: f64,
     /// Fraction of the weight earned after the latency objective.
@@ -46,7 +46,7 @@
     /// Which endpoints drop repeats, for [`Idempotency::IdempotencyKey`].
     pub deduplication_scope: DeduplicationScope,
     /// Seconds for which repeats are dropped, from the first attempt that may have run.
-    pub deduplication_window: f64,
+    pub deduplication_window_s: f64,
     /// The response is a stream.
     pub streaming: bool,
 }
@@ -87,7 +87,7 @@
     /// Zone of this limiter.
     pub zone: String,
     /// Shortest time between two rounds of events, in seconds.
-    pub tick_interval: f64,
+    pub tick_interval_s: f64,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Plans.
@@ -95,23 +95,23 @@
     /// Largest number of units of one request.
     pub max_request_units: f64,
     /// A request's units are an estimate, settled with the response.
-    pub post_paid: bool,
+    pub units_are_estimates: bool,
     /// The counter service may be used.
     pub has_counter: bool,
     /// Seconds after which a counter call is abandoned.
-    pub counter_timeout: f64,
+    pub counter_timeout_s: f64,
     /// The endpoint list comes only when the limiter watches or polls it.
     pub polls_discovery: bool,
     /// Longest time between two polls of the endpoint list, in seconds.
-    pub max_poll_interval: f64,
+    pub max_poll_interval_s: f64,
     /// Share of its capacity that an endpoint has when it starts.
     pub slow_start_capacity: f64,
     /// Seconds after which a started endpoint has its full capacity.
-    pub slow_start_duration: f64,
+    pub slow_start_duration_s: f64,
     /// An endpoint in slow start fails at this multiple of its present capacity ...
     pub overload_multiple: f64,
     /// ... if the load lasts for this many seconds.
-    pub overload_window: f64,
+    pub overload_window_s: f64,
     /// Largest number of attempts of a request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
@@ -123,11 +123,11 @@
     /// Rejections may carry advice on when to retry.
     pub may_send_retry_after: bool,
     /// Longest such advice, in seconds.
-    pub max_retry_after: f64,
+    pub max_retry_after_s: f64,
     /// Seconds after which a connection attempt is abandoned. For the host; the module has no connections.
-    pub connect_timeout: f64,
+    pub connect_timeout_s: f64,
     /// Seconds after which endpoints close an idle connection. For the host.
-    pub idle_timeout: f64,
+    pub idle_timeout_s: f64,
     /// Largest number of requests in flight at once; 0: unknown. For the host.
     pub max_in_flight: u32,
 }
--- a/crates/decision/src/interface/settings/wire.rs
+++ b/crates/decision/src/interface/settings/wire.rs
@@ -21,7 +21,7 @@
     instance_count: u32,
     zone: String,
     #[serde(rename = "period-s")]
-    tick_interval: f64,
+    tick_interval_s: f64,
     discovery: String,
     classes: Vec<WireClass>,
     #[serde(rename = "tariffs")]
@@ -38,9 +38,9 @@
 struct WireClass {
     name: String,
     #[serde(rename = "aim-s")]
-    latency_objective: f64,
+    latency_objective_s: f64,
     #[serde(rename = "deadline-s")]
-    deadline: f64,
+    deadline_s: f64,
     #[serde(rename = "worth")]
     priority_weight: f64,
     #[serde(rename = "late-share")]
@@ -50,7 +50,7 @@
     #[serde(rename = "group")]
     deduplication_scope: String,
     #[serde(rename = "window-s")]
-    deduplication_window: f64,
+    deduplication_window_s: f64,
     streaming: bool,
 }
 
@@ -83,10 +83,11 @@
 struct WireAccounting {
     has_counter: bool,
     #[serde(rename = "count-limit-s")]
-    counter_timeout: f64,
+    counter_timeout_s: f64,
     #[serde(rename = "max-units")]
     max_request_units: f64,
-    post_paid: bool,
+    #[serde(rename = "post-paid")]
+    units_are_estimates: bool,
 }
 
 /// What the endpoints and their list require of a limiter.
@@ -94,15 +95,15 @@
 #[serde(default, rename_all = "kebab-case", expecting = "the invariants object")]
 struct WireRules {
     #[serde(rename = "must-ask-in-s")]
-    max_poll_interval: f64,
+    max_poll_interval_s: f64,
     #[serde(rename = "start-capacity")]
     slow_start_capacity: f64,
     #[serde(rename = "ramp-time-s")]
-    slow_start_duration: f64,
+    slow_start_duration_s: f64,
     #[serde(rename = "fall-multiple")]
     overload_multiple: f64,
     #[serde(rename = "overload-for-s")]
-    overload_window: f64,
+    overload_window_s: f64,
 }
 
 /// What a limiter may do with a request.
@@ -114,13 +115,13 @@
     may_cancel: bool,
     max_attempts: u32,
     #[serde(rename = "connect-timeout-s")]
-    connect_timeout: f64,
+    connect_timeout_s: f64,
     #[serde(rename = "idle-close-s")]
-    idle_timeout: f64,
+    idle_timeout_s: f64,
     #[serde(rename = "max-open")]
     max_in_flight: u32,
     #[serde(rename = "max-retry-after-s")]
-    max_retry_after: f64,
+    max_retry_after_s: f64,
     #[serde(rename = "may-probe")]
     may_health_check: bool,
     #[serde(rename = "retry-after")]
@@ -133,8 +134,8 @@
     fn from(wire: WireClass) -> Self {
         Class {
             name: wire.name,
-            latency_objective: wire.latency_objective,
-            deadline: wire.deadline,
+            latency_objective_s: wire.latency_objective_s,
+            deadline_s: wire.deadline_s,
             priority_weight: wire.priority_weight,
             late_weight_ratio: wire.late_weight_ratio,
             // A value of a later version is read as the strictest: never repeated, or only within one cell.
@@ -148,7 +149,7 @@
                 "zone" => DeduplicationScope::Zone,
                 _ => DeduplicationScope::Cell,
             },
-            deduplication_window: wire.deduplication_window,
+            deduplication_window_s: wire.deduplication_window_s,
             streaming: wire.streaming,
         }
     }
@@ -178,27 +179,27 @@
             instance_index: wire.instance_index,
             instance_count: wire.instance_count,
             zone: wire.zone,
-            tick_interval: wire.tick_interval,
+            tick_interval_s: wire.tick_interval_s,
             classes: wire.classes.into_iter().map(Class::from).collect(),
             plans: wire.plans.into_iter().map(Plan::from).collect(),
             max_request_units: accounting.max_request_units,
-            post_paid: accounting.post_paid,
+            units_are_estimates: accounting.units_are_estimates,
             has_counter: accounting.has_counter,
-            counter_timeout: accounting.counter_timeout,
+            counter_timeout_s: accounting.counter_timeout_s,
             polls_discovery: wire.discovery == "on_request",
-            max_poll_interval: rules.max_poll_interval,
+            max_poll_interval_s: rules.max_poll_interval_s,
             slow_start_capacity: rules.slow_start_capacity,
-            slow_start_duration: rules.slow_start_duration,
+            slow_start_duration_s: rules.slow_start_duration_s,
             overload_multiple: rules.overload_multiple,
-            overload_window: rules.overload_window,
+            overload_window_s: rules.overload_window_s,
             max_attempts: limits.max_attempts,
             may_cancel: limits.may_cancel,
             may_health_check: limits.may_health_check,
             may_hedge: limits.may_hedge,
             may_send_retry_after: limits.may_send_retry_after,
-            max_retry_after: limits.max_retry_after,
-            connect_timeout: limits.connect_timeout,
-            idle_timeout: limits.idle_timeout,
+            max_retry_after_s: limits.max_retry_after_s,
+            connect_timeout_s: limits.connect_timeout_s,
+            idle_timeout_s: limits.idle_timeout_s,
             max_in_flight: limits.max_in_flight,
         }
     }
--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -56,13 +56,13 @@
             Event::Request(request) => requests.admit(context, request, actions),
             Event::Authorization(request) => requests.authorize(context, request, actions),
             Event::StreamStarted { id } => requests.on_stream_started(id),
-            Event::AttemptEnded { id, attempt, request_finished, outcome, elapsed, units, .. } => {
-                let end = AttemptEnd { request_finished, outcome, elapsed, units: units.unwrap_or(0.0) };
+            Event::AttemptEnded { id, attempt, request_finished, outcome, elapsed_s, units, .. } => {
+                let end = AttemptEnd { request_finished, outcome, elapsed_s, units: units.unwrap_or(0.0) };
                 requests.on_attempt_ended(context, id, attempt, end, actions);
             }
             Event::ClientDisconnected { id } => requests.on_client_disconnected(context, id, actions),
-            Event::CounterReply { key, outcome, total, elapsed } => {
-                requests.quota.on_counter_reply(context, &key, outcome, total, elapsed);
+            Event::CounterReply { key, outcome, total, elapsed_s } => {
+                requests.quota.on_counter_reply(context, &key, outcome, total, elapsed_s);
             }
             Event::CounterValidity { usable_quota_ratio } => {
                 requests.quota.set_usable_quota_ratio(usable_quota_ratio);
@@ -101,5 +101,5 @@
 }
 
 fn set_tick_timer(now: f64, actions: &mut Vec<Action>) {
-    actions.push(Action::SetTimer { at: now + TICK_SECONDS, token: Timer::Tick.token() });
+    actions.push(Action::SetTimer { expires_at: now + TICK_SECONDS, token: Timer::Tick.token() });
 }
--- a/crates/decision/src/quota/counter_health.rs
+++ b/crates/decision/src/quota/counter_health.rs
@@ -57,10 +57,10 @@
         self.next_probe_at = now + CALL_PERIOD_SECONDS;
     }
 
-    /// Takes in a reply, or that there was none, `elapsed` seconds after the call.
-    pub fn on_reply(&mut self, outcome: Outcome, elapsed: f64, timeout: f64) {
+    /// Takes in a reply, or that there was none, `elapsed_s` seconds after the call.
+    pub fn on_reply(&mut self, outcome: Outcome, elapsed_s: f64, timeout_s: f64) {
         let answered = outcome == Outcome::Ok;
-        let probability = if answered && elapsed <= QUICK_TIMEOUT_RATIO * timeout {
+        let probability = if answered && elapsed_s <= QUICK_TIMEOUT_RATIO * timeout_s {
             self.call_probability + CALL_PROBABILITY_INCREASE
         } else {
             self.call_probability * CALL_PROBABILITY_DECREASE_FACTOR
--- a/crates/decision/src/quota/counter_reply.rs
+++ b/crates/decision/src/quota/counter_reply.rs
@@ -23,16 +23,16 @@
 const MIN_SPAN_SECONDS: f64 = CALL_PERIOD_SECONDS / 4.0;
 
 impl Quota {
-    /// Handles the reply to a counter call, which took `elapsed` seconds.
+    /// Handles the reply to a counter call, which took `elapsed_s` seconds.
     pub fn on_counter_reply(
         &mut self,
         Context { settings, now }: Context,
         key: &str,
         outcome: Outcome,
         total: f64,
-        elapsed: f64,
+        elapsed_s: f64,
     ) {
-        self.counter_health.on_reply(outcome, elapsed, settings.counter_timeout);
+        self.counter_health.on_reply(outcome, elapsed_s, settings.counter_timeout_s);
         let Some(call) = self.calls.remove(key) else { return };
         let Some(customer) = self.customers.get_mut(&call.customer) else { return };
         customer.call_in_flight = false;
--- a/crates/decision/src/quota/hard_limit.rs
+++ b/crates/decision/src/quota/hard_limit.rs
@@ -19,9 +19,9 @@
     }
 
     /// Adds what came in within so many seconds.
-    pub fn refill(&mut self, plan: &Plan, instances: f64, elapsed: f64) {
+    pub fn refill(&mut self, plan: &Plan, instances: f64, elapsed_s: f64) {
         let (rate, burst) = (plan.hard_limit_rate / instances, plan.hard_limit_burst / instances);
-        self.tokens = (self.tokens + rate * elapsed).min(burst);
+        self.tokens = (self.tokens + rate * elapsed_s).min(burst);
     }
 
     /// Takes units out.
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaExceeded {
     /// Seconds after which a retry is worth it; 0: unknown.
-    pub retry_after: f64,
+    pub retry_after_s: f64,
 }
 
 /// What the bucket can offer a request.
@@ -48,7 +48,7 @@
     ) -> Result<(), QuotaExceeded> {
         let usable_ratio = if self.counter_health.is_down() { 0.0 } else { self.usable_quota_ratio };
         let Some(customer) = self.customers.get_mut(id) else {
-            return Err(QuotaExceeded { retry_after: 0.0 });
+            return Err(QuotaExceeded { retry_after_s: 0.0 });
         };
         let plan = &settings.plans[customer.plan];
         let totals = customer.usable_totals(usable_ratio, now);
@@ -59,15 +59,15 @@
         if is_below_one_token && usable_ratio > 0.0 && customer.totals.is_none() {
             let admission = self.plan_admissions.get(customer.plan);
             if admission.is_some_and(|admission| rng.f64() >= admission.mean_probability()) {
-                return Err(QuotaExceeded { retry_after: CALL_PERIOD_SECONDS });
+                return Err(QuotaExceeded { retry_after_s: CALL_PERIOD_SECONDS });
             }
         }
         if let Some(totals) = totals.filter(|_| is_below_one_token) {
             let probability = admission_probability(plan, usable_ratio, &customer.shared_bucket, totals);
             if rng.f64() >= probability {
                 let missing = units + plan.burst - customer.shared_bucket.level();
-                let retry_after = (missing / (plan.rate * usable_ratio)).max(CALL_PERIOD_SECONDS);
-                return Err(QuotaExceeded { retry_after });
+                let retry_after_s = (missing / (plan.rate * usable_ratio)).max(CALL_PERIOD_SECONDS);
+                return Err(QuotaExceeded { retry_after_s });
             }
             // The shared bucket covers it: the local one, which serves while totals are missing, owes
             // nothing.
@@ -76,7 +76,7 @@
             customer.check_bucket(units, &refilled, now)?;
         }
         match customer.hard_limit.wait(plan, customer.reachable_instances, units) {
-            Some(retry_after) => Err(QuotaExceeded { retry_after }),
+            Some(retry_after_s) => Err(QuotaExceeded { retry_after_s }),
             None => Ok(()),
         }
     }
@@ -94,8 +94,8 @@
     ) -> Refilled {
         let rate = demand_share::limit(plan.rate, usable_ratio, self.reachable_instances, units, totals);
         let burst = rate * plan.burst / plan.rate.max(1e-9);
-        let elapsed = self.bucket.refill(rate, burst.max(units), now);
-        self.hard_limit.refill(plan, self.reachable_instances, elapsed);
+        let elapsed_s = self.bucket.refill(rate, burst.max(units), now);
+        self.hard_limit.refill(plan, self.reachable_instances, elapsed_s);
         Refilled { rate, borrowable: borrowable_units(plan, burst, units, usable_ratio, totals) }
     }
 
@@ -105,13 +105,13 @@
             return Ok(());
         }
         if self.known_totals().is_none() {
-            return Err(QuotaExceeded { retry_after: 0.0 });
+            return Err(QuotaExceeded { retry_after_s: 0.0 });
         }
         let refill_wait =
             (units - self.bucket.tokens() - refilled.borrowable) / refilled.rate.max(MIN_REFILL_RATE);
         // Where the quota is idle, the next totals are worth more than the wait for tokens.
         let max_wait =
             if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait };
-        Err(QuotaExceeded { retry_after: refill_wait.min(max_wait) })
+        Err(QuotaExceeded { retry_after_s: refill_wait.min(max_wait) })
     }
 }
--- a/crates/decision/src/quota/token_bucket.rs
+++ b/crates/decision/src/quota/token_bucket.rs
@@ -30,11 +30,11 @@
     /// Adds what came in since the last refill at `rate` units a second, up to `capacity`; gives the seconds
     /// since.
     pub fn refill(&mut self, rate: f64, capacity: f64, now: f64) -> f64 {
-        let elapsed = now - self.refilled_at;
-        let filled = self.tokens + rate * elapsed;
+        let elapsed_s = now - self.refilled_at;
+        let filled = self.tokens + rate * elapsed_s;
         self.tokens = filled.min(capacity.max(self.tokens));
         self.refilled_at = now;
-        elapsed
+        elapsed_s
     }
 
     /// Takes units out; more than there are leave a debt.
--- a/crates/decision/src/quota/usage_report.rs
+++ b/crates/decision/src/quota/usage_report.rs
@@ -74,6 +74,6 @@
             now + CALL_PERIOD_SECONDS * (CALL_PERIOD_MIN_RATIO + CALL_PERIOD_SPREAD * draw);
         let key = counter_key(demand.customer, epoch);
         self.calls.insert(key.clone(), CounterCall { customer: demand.customer.clone(), epoch, steps });
-        actions.push(Action::IncrementCounter { key, increment: steps.pack(), ttl: counter_ttl() });
+        actions.push(Action::IncrementCounter { key, increment: steps.pack(), ttl_s: counter_ttl() });
     }
 }
--- a/crates/decision/src/requests/admission.rs
+++ b/crates/decision/src/requests/admission.rs
@@ -29,8 +29,8 @@
         let Request { id, customer, deadline, .. } = request;
         let in_flight = InFlightRequest::new(customer, admitted.class, admitted.units, deadline);
         self.in_flight.insert(id, in_flight);
-        let at = deadline - DEADLINE_MARGIN_TICKS * context.settings.tick_interval;
-        actions.push(Action::SetTimer { at, token: Timer::RequestDeadline(id).token() });
+        let expires_at = deadline - DEADLINE_MARGIN_TICKS * context.settings.tick_interval_s;
+        actions.push(Action::SetTimer { expires_at, token: Timer::RequestDeadline(id).token() });
         self.send(context, id, admitted.endpoint, actions);
     }
 
@@ -80,7 +80,7 @@
             let demand = Demand { customer: &request.customer, units, admitted: false };
             self.quota.report_demand(context, &mut self.rng, &demand, actions);
         }
-        self.reject(context, request.id, exceeded.retry_after, actions);
+        self.reject(context, request.id, exceeded.retry_after_s, actions);
     }
 
     /// The endpoint for a request within its quota, unless load or the concurrency limit forbid it.
--- a/crates/decision/src/requests/attempt.rs
+++ b/crates/decision/src/requests/attempt.rs
@@ -41,7 +41,7 @@
         });
         self.quota.on_attempt_started(&request.customer);
         actions.extend(Self::slow_attempt_timer(context, id, request, &self.service_times));
-        actions.push(Action::Send { id, endpoint, timeout: 0.0, send_deadline });
+        actions.push(Action::Send { id, endpoint, timeout_s: 0.0, send_deadline });
     }
 
     /// Frees an attempt's place in its endpoint's concurrency limit, once: at its end, or when it takes so
--- a/crates/decision/src/requests/authorization.rs
+++ b/crates/decision/src/requests/authorization.rs
@@ -22,7 +22,8 @@
         let Request { id, customer, deadline, .. } = request;
         self.quota.on_attempt_started(&customer);
         self.authorizations.insert(id, customer);
-        actions.push(Action::SetTimer { at: deadline, token: Timer::AuthorizationExpiry(id).token() });
+        actions
+            .push(Action::SetTimer { expires_at: deadline, token: Timer::AuthorizationExpiry(id).token() });
         actions.push(Action::Authorize { id });
     }
 
--- a/crates/decision/src/requests/completion.rs
+++ b/crates/decision/src/requests/completion.rs
@@ -12,12 +12,12 @@
     /// Rejects a request; `wait` is after how many seconds a retry is worth it.
     pub(super) fn reject(&mut self, context: Context, id: RequestId, wait: f64, actions: &mut Vec<Action>) {
         let settings = context.settings;
-        let retry_after = if settings.may_send_retry_after {
-            wait.clamp(0.0, settings.max_retry_after.max(0.0))
+        let retry_after_s = if settings.may_send_retry_after {
+            wait.clamp(0.0, settings.max_retry_after_s.max(0.0))
         } else {
             0.0
         };
-        actions.push(Action::Reject { id, retry_after });
+        actions.push(Action::Reject { id, retry_after_s });
         self.finish(context, id, actions);
     }
 
--- a/crates/decision/src/requests/idempotency.rs
+++ b/crates/decision/src/requests/idempotency.rs
@@ -43,8 +43,8 @@
     pub fn send_deadline(&self, settings: &Settings) -> f64 {
         let class = &settings.classes[self.class];
         self.deduplicated_attempt(class).map_or(f64::INFINITY, |attempt| {
-            attempt.sent_at + class.deduplication_window * USABLE_WINDOW_RATIO
-                - settings.tick_interval * SEND_TICKS
+            attempt.sent_at + class.deduplication_window_s * USABLE_WINDOW_RATIO
+                - settings.tick_interval_s * SEND_TICKS
         })
     }
 
--- a/crates/decision/src/requests/outcome.rs
+++ b/crates/decision/src/requests/outcome.rs
@@ -17,7 +17,7 @@
     pub request_finished: bool,
     pub outcome: Outcome,
     /// Seconds since the attempt was sent.
-    pub elapsed: f64,
+    pub elapsed_s: f64,
     /// The true units, where they are settled with the response; otherwise 0.
     pub units: f64,
 }
@@ -52,7 +52,8 @@
             !matches!(end.outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent);
         let ended = EndedAttempt { endpoint: attempt.endpoint.clone(), class, units, is_retry: number > 0 };
         self.release_place(id, number);
-        let is_settled = end.outcome == Outcome::Ok && end.units > 0.0 && context.settings.post_paid;
+        let is_settled =
+            end.outcome == Outcome::Ok && end.units > 0.0 && context.settings.units_are_estimates;
         let correction = if is_settled { end.units - units } else { 0.0 };
         self.quota.on_attempt_ended(context, &customer, correction);
         self.record_outcome(context, &ended, &end);
@@ -68,12 +69,12 @@
     /// Records what an outcome says of the endpoint.
     fn record_outcome(&mut self, context: Context, ended: &EndedAttempt, end: &AttemptEnd) {
         let endpoint = &ended.endpoint;
-        let latency_objective = context.settings.classes[ended.class].latency_objective;
-        let pace = |failed| Pace { elapsed: end.elapsed, latency_objective, failed };
+        let latency_objective_s = context.settings.classes[ended.class].latency_objective_s;
+        let pace = |failed| Pace { elapsed_s: end.elapsed_s, latency_objective_s, failed };
         match end.outcome {
             Outcome::Ok => {
-                self.record_service_time(context, ended, end.elapsed);
-                if ended.is_retry && end.elapsed < latency_objective {
+                self.record_service_time(context, ended, end.elapsed_s);
+                if ended.is_retry && end.elapsed_s < latency_objective_s {
                     self.retry_budget.on_retry_success();
                 }
                 self.endpoints.adjust_limits(context, endpoint, &pace(false));
@@ -92,8 +93,8 @@
         }
     }
 
-    fn record_service_time(&mut self, context: Context, ended: &EndedAttempt, elapsed: f64) {
-        let per_unit = elapsed / ended.units.max(1.0);
+    fn record_service_time(&mut self, context: Context, ended: &EndedAttempt, elapsed_s: f64) {
+        let per_unit = elapsed_s / ended.units.max(1.0);
         let latency_ratio = per_unit / self.service_times.of_class(ended.class).max(1e-6);
         let progress = Progress::Responded;
         self.endpoints.record_latency(context, &ended.endpoint, ended.class, latency_ratio, progress);
--- a/crates/decision/src/requests/service_times.rs
+++ b/crates/decision/src/requests/service_times.rs
@@ -23,7 +23,7 @@
     pub fn new(settings: &Settings) -> Self {
         let initial = |objective: f64| objective * INITIAL_MEAN_OBJECTIVES;
         ServiceTimes {
-            means: settings.classes.iter().map(|class| initial(class.latency_objective)).collect(),
+            means: settings.classes.iter().map(|class| initial(class.latency_objective_s)).collect(),
         }
     }
 
--- a/crates/decision/src/requests/slow_attempt.rs
+++ b/crates/decision/src/requests/slow_attempt.rs
@@ -42,11 +42,11 @@
         request: &InFlightRequest,
         service_times: &ServiceTimes,
     ) -> Option<Action> {
-        let objective = settings.classes[request.class].latency_objective;
+        let objective = settings.classes[request.class].latency_objective_s;
         let wait = SLOW_AFTER_SERVICE_TIMES * service_times.of_class(request.class) * request.units.max(1.0);
         let wait = wait.clamp(MIN_SLOW_OBJECTIVES * objective, MAX_SLOW_OBJECTIVES * objective);
         let is_in_time = now + wait < request.deadline;
-        is_in_time.then(|| Action::SetTimer { at: now + wait, token: Timer::SlowAttempt(id).token() })
+        is_in_time.then(|| Action::SetTimer { expires_at: now + wait, token: Timer::SlowAttempt(id).token() })
     }
 
     /// The latest attempt of a request, if it still waits for a response.
@@ -72,23 +72,23 @@
     ) {
         let Context { settings, now } = context;
         let Some(slow) = self.slow_attempt(id) else { return };
-        let objective = settings.classes[slow.class].latency_objective;
-        let elapsed = now - slow.sent_at;
-        if elapsed < MIN_SLOW_OBJECTIVES * objective {
+        let objective = settings.classes[slow.class].latency_objective_s;
+        let elapsed_s = now - slow.sent_at;
+        if elapsed_s < MIN_SLOW_OBJECTIVES * objective {
             return;
         }
-        if elapsed >= objective {
+        if elapsed_s >= objective {
             return self.release_place(id, slow.number);
         }
-        let is_own_pause = now <= last_pause + settings.tick_interval && slow.sent_at < last_pause;
-        let at = if is_own_pause {
+        let is_own_pause = now <= last_pause + settings.tick_interval_s && slow.sent_at < last_pause;
+        let expires_at = if is_own_pause {
             now + RECHECK_AFTER_PAUSE_SECONDS
         } else {
-            slow.sent_at + objective + settings.tick_interval
+            slow.sent_at + objective + settings.tick_interval_s
         };
-        actions.push(Action::SetTimer { at, token: Timer::SlowAttempt(id).token() });
+        actions.push(Action::SetTimer { expires_at, token: Timer::SlowAttempt(id).token() });
         if !is_own_pause {
-            self.record_slow_attempt(context, &slow, elapsed);
+            self.record_slow_attempt(context, &slow, elapsed_s);
             if self.is_cancelled_for_retry(context, id, &slow) {
                 // One attempt at a time: the end of this one brings the next.
                 actions.push(Action::Cancel { id, attempt: slow.number });
@@ -96,11 +96,11 @@
         }
     }
 
-    fn record_slow_attempt(&mut self, context: Context, slow: &SlowAttempt, elapsed: f64) {
-        if self.endpoints.is_silent_since(&slow.endpoint, context.now - elapsed) {
+    fn record_slow_attempt(&mut self, context: Context, slow: &SlowAttempt, elapsed_s: f64) {
+        if self.endpoints.is_silent_since(&slow.endpoint, context.now - elapsed_s) {
             self.endpoints.record_failure(context, &slow.endpoint);
         }
-        let latency_ratio = elapsed / slow.usual.max(1e-6);
+        let latency_ratio = elapsed_s / slow.usual.max(1e-6);
         let progress = Progress::StillWaiting;
         self.endpoints.record_latency(context, &slow.endpoint, slow.class, latency_ratio, progress);
     }
--- a/crates/decision/tests/decision/admission.rs
+++ b/crates/decision/tests/decision/admission.rs
@@ -21,7 +21,7 @@
 fn a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time() {
     let advice = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Reject { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after_s, .. } => Some(*retry_after_s),
             _ => None,
         })
     };
--- a/crates/decision/tests/decision/counter.rs
+++ b/crates/decision/tests/decision/counter.rs
@@ -51,14 +51,14 @@
 fn a_slow_counter_is_called_for_few_requests_and_for_more_when_quick_again() {
     // Guards against a counter crowded by hundreds of limiters, each with many rare customers.
     let mut host = Host::new(settings()).with_quick_counter();
-    let calls = |host: &mut Host, from: u32, elapsed: f64| {
+    let calls = |host: &mut Host, from: u32, elapsed_s: f64| {
         let mut made = 0;
         for n in from..from + 400 {
             host.now += 0.05;
             host.serve(&format!("c{n}"), "plain", 1.0);
             for (name, total) in std::mem::take(&mut host.calls) {
                 made += 1;
-                host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed });
+                host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed_s });
             }
         }
         made
@@ -97,7 +97,7 @@
                 "{used} used, {refused} refused"
             );
             let total = used + refused * REJECTED_UNIT;
-            host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: 0.001 });
+            host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed_s: 0.001 });
         }
     }
 }
@@ -107,13 +107,13 @@
     let mut host = Host::new(settings());
     let name = "0123456789abcdef.10".to_string();
     assert!(host
-        .event(Event::CounterReply { key: name, outcome: Outcome::Ok, total: 5.0, elapsed: 0.001 })
+        .event(Event::CounterReply { key: name, outcome: Outcome::Ok, total: 5.0, elapsed_s: 0.001 })
         .is_empty());
     host.event(Event::CounterReply {
         key: "no such form".into(),
         outcome: Outcome::Ok,
         total: 5.0,
-        elapsed: 0.001,
+        elapsed_s: 0.001,
     });
 }
 
--- a/crates/decision/tests/decision/endpoint_selection.rs
+++ b/crates/decision/tests/decision/endpoint_selection.rs
@@ -21,7 +21,7 @@
                 attempt: 0,
                 request_finished: true,
                 outcome,
-                elapsed: 0.05,
+                elapsed_s: 0.05,
                 units: None,
                 report,
             };
@@ -51,7 +51,7 @@
             attempt: 0,
             request_finished: true,
             outcome: Outcome::Ok,
-            elapsed: if is_at_a { 0.6 } else { 0.05 },
+            elapsed_s: if is_at_a { 0.6 } else { 0.05 },
             units: None,
             report: LoadReport::default(),
         });
--- a/crates/decision/tests/decision/fleet_limit.rs
+++ b/crates/decision/tests/decision/fleet_limit.rs
@@ -15,14 +15,14 @@
         // Some quick responses, then some that waited: only those tell what endpoints are like.
         for n in 0..4 + late {
             let (id, _) = host.request("c", "free", "read", 1.0);
-            let (elapsed, report) = (if n < 4 { 0.05 } else { 0.9 }, LoadReport::default());
+            let (elapsed_s, report) = (if n < 4 { 0.05 } else { 0.9 }, LoadReport::default());
             let (outcome, units) = (Outcome::Ok, None);
             host.event(Event::AttemptEnded {
                 id,
                 attempt: 0,
                 request_finished: true,
                 outcome,
-                elapsed,
+                elapsed_s,
                 units,
                 report,
             });
@@ -55,7 +55,7 @@
             } {
                 in_flight.push_back(id);
             }
-            let (id, elapsed) =
+            let (id, elapsed_s) =
                 (in_flight.pop_front().expect("one is out"), if n < quick { 0.05 } else { 0.9 });
             let (outcome, units, report) = (Outcome::Ok, None, LoadReport::default());
             host.event(Event::AttemptEnded {
@@ -63,7 +63,7 @@
                 attempt: 0,
                 request_finished: true,
                 outcome,
-                elapsed,
+                elapsed_s,
                 units,
                 report,
             });
--- a/crates/decision/tests/decision/limiter.rs
+++ b/crates/decision/tests/decision/limiter.rs
@@ -9,8 +9,8 @@
         Settings::default(),
         Settings { classes: vec![Class { name: "read".into(), ..Class::default() }], ..settings() },
         Settings {
-            slow_start_duration: 0.0,
-            overload_window: 0.0,
+            slow_start_duration_s: 0.0,
+            overload_window_s: 0.0,
             overload_multiple: -1.0,
             instance_count: 0,
             ..settings()
@@ -54,7 +54,10 @@
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut actions = Vec::new();
     limiter.handle(100.2, Event::EndpointList(Vec::new()), &mut actions);
-    let ticks = actions.iter().filter(|a| matches!(a, Action::SetTimer { at, .. } if *at > 100.2)).count();
+    let ticks = actions
+        .iter()
+        .filter(|a| matches!(a, Action::SetTimer { expires_at, .. } if *expires_at > 100.2))
+        .count();
     assert_eq!(ticks, 1, "{actions:?}");
 }
 
--- a/crates/decision/tests/decision/quota_accounts.rs
+++ b/crates/decision/tests/decision/quota_accounts.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn settlement_may_take_the_bucket_below_zero() {
-    let mut host = Host::new(Settings { post_paid: true, ..settings() });
+    let mut host = Host::new(Settings { units_are_estimates: true, ..settings() });
     let (id, _) = host.request("c", "plain", "read", 1.0);
     host.end_attempt(id, 0, Outcome::Ok, Some(14.0));
     assert!(!host.serve("c", "plain", 1.0));
--- a/crates/decision/tests/decision/quota_share.rs
+++ b/crates/decision/tests/decision/quota_share.rs
@@ -111,7 +111,7 @@
                 7 => 4.0 * add,
                 _ => total + 4.0 * add,
             };
-            host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: 0.001 });
+            host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed_s: 0.001 });
         }
     }
     let limit = drained_rate(&mut host, "c");
--- a/crates/decision/tests/decision/settings.rs
+++ b/crates/decision/tests/decision/settings.rs
@@ -9,25 +9,25 @@
     assert_eq!(settings.instance_index, 3);
     assert_eq!(settings.instance_count, 12);
     assert_eq!(settings.zone, "zone-b");
-    assert_eq!(settings.tick_interval, 0.002);
+    assert_eq!(settings.tick_interval_s, 0.002);
     assert!(settings.polls_discovery);
     assert_eq!(settings.classes.len(), 3);
     assert_eq!(settings.plans.len(), 1);
     assert!(settings.has_counter);
-    assert_eq!(settings.counter_timeout, 0.05);
+    assert_eq!(settings.counter_timeout_s, 0.05);
     assert_eq!(settings.max_request_units, 7.5);
-    assert!(settings.post_paid);
-    assert_eq!(settings.max_poll_interval, 31.5);
+    assert!(settings.units_are_estimates);
+    assert_eq!(settings.max_poll_interval_s, 31.5);
     assert_eq!(settings.slow_start_capacity, 0.15);
-    assert_eq!(settings.slow_start_duration, 17.5);
+    assert_eq!(settings.slow_start_duration_s, 17.5);
     assert_eq!(settings.overload_multiple, 3.25);
-    assert_eq!(settings.overload_window, 2.75);
+    assert_eq!(settings.overload_window_s, 2.75);
     assert!(settings.may_cancel);
     assert_eq!(settings.max_attempts, 6);
-    assert_eq!(settings.connect_timeout, 0.35);
-    assert_eq!(settings.idle_timeout, 45.5);
+    assert_eq!(settings.connect_timeout_s, 0.35);
+    assert_eq!(settings.idle_timeout_s, 45.5);
     assert_eq!(settings.max_in_flight, 9000);
-    assert_eq!(settings.max_retry_after, 8.5);
+    assert_eq!(settings.max_retry_after_s, 8.5);
     assert!(settings.may_health_check);
     assert!(settings.may_send_retry_after);
     assert!(settings.may_hedge);
@@ -39,20 +39,20 @@
         serde_json::from_str(include_str!("../fixtures/settings.json")).expect("settings");
     let [quote, bind, pay] = &settings.classes[..] else { panic!("{:?}", settings.classes) };
     assert_eq!(quote.name, "price-quote");
-    assert_eq!(quote.latency_objective, 0.75);
-    assert_eq!(quote.deadline, 2.5);
+    assert_eq!(quote.latency_objective_s, 0.75);
+    assert_eq!(quote.deadline_s, 2.5);
     assert_eq!(quote.priority_weight, 2.25);
     assert_eq!(quote.late_weight_ratio, 0.125);
     assert_eq!(quote.idempotency, Idempotency::Idempotent);
     assert_eq!(quote.deduplication_scope, DeduplicationScope::All);
-    assert_eq!(quote.deduplication_window, 5.5);
+    assert_eq!(quote.deduplication_window_s, 5.5);
     assert!(quote.streaming);
     assert_eq!(bind.idempotency, Idempotency::IdempotencyKey);
     assert_eq!(bind.deduplication_scope, DeduplicationScope::Zone);
     assert!(!bind.streaming);
     assert_eq!(pay.idempotency, Idempotency::NonIdempotent);
     assert_eq!(pay.deduplication_scope, DeduplicationScope::Cell);
-    assert_eq!((pay.latency_objective, pay.deadline, pay.deduplication_window), (0.0, 0.0, 0.0));
+    assert_eq!((pay.latency_objective_s, pay.deadline_s, pay.deduplication_window_s), (0.0, 0.0, 0.0));
 }
 
 #[test]
@@ -88,9 +88,9 @@
             in_flight: Some(3.0),
             queued: Some(4.0),
             utilization: Some(0.5),
-            latency: Some(0.25),
-            request_rate: Some(70.0),
-            error_rate: Some(2.0),
+            latency_s: Some(0.25),
+            requests_per_s: Some(70.0),
+            errors_per_s: Some(2.0),
         };
         assert_eq!(report, expected, "{names:?}");
     }
--- a/crates/decision/tests/decision/slow_attempt.rs
+++ b/crates/decision/tests/decision/slow_attempt.rs
@@ -15,7 +15,7 @@
     host.now += 0.6;
     let actions = host.event(Event::Timer { token: id * 4 + 2 });
     let at = actions.iter().find_map(|a| match a {
-        Action::SetTimer { at, .. } => Some(*at),
+        Action::SetTimer { expires_at, .. } => Some(*expires_at),
         _ => None,
     });
     assert!(!host.serve("d", "plain", 1.0));
--- a/crates/decision/tests/decision/slow_start.rs
+++ b/crates/decision/tests/decision/slow_start.rs
@@ -48,7 +48,7 @@
         let mut host = Host::new(Settings {
             instance_count: instances,
             instance_index: instance,
-            overload_window: OVERLOAD_WINDOW,
+            overload_window_s: OVERLOAD_WINDOW,
             ..settings()
         });
         host.now = self.now;
--- a/crates/decision/tests/decision/support.rs
+++ b/crates/decision/tests/decision/support.rs
@@ -10,12 +10,12 @@
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency, scope| Class {
         name: name.into(),
-        latency_objective: 1.0,
-        deadline: 4.0,
+        latency_objective_s: 1.0,
+        deadline_s: 4.0,
         priority_weight: 1.0,
         idempotency,
         deduplication_scope: scope,
-        deduplication_window: 2.0,
+        deduplication_window_s: 2.0,
         ..Class::default()
     };
     let plan =
@@ -23,7 +23,7 @@
     Settings {
         instance_count: 2,
         zone: "east".into(),
-        tick_interval: 0.002,
+        tick_interval_s: 0.002,
         classes: vec![
             class("read", Idempotency::Idempotent, DeduplicationScope::All),
             class("keyed-all", Idempotency::IdempotencyKey, DeduplicationScope::All),
@@ -44,28 +44,28 @@
         ],
         max_request_units: 4.0,
         has_counter: true,
-        counter_timeout: 0.05,
+        counter_timeout_s: 0.05,
         slow_start_capacity: 0.2,
-        slow_start_duration: 20.0,
+        slow_start_duration_s: 20.0,
         overload_multiple: 3.0,
-        overload_window: 2.0,
+        overload_window_s: 2.0,
         max_attempts: 4,
         may_cancel: true,
         may_send_retry_after: true,
-        max_retry_after: 2.0,
+        max_retry_after_s: 2.0,
         ..Settings::default()
     }
 }
 
-pub fn endpoint(id: &str, zone: &str, state: EndpointState, started: Option<f64>) -> EndpointEntry {
+pub fn endpoint(id: &str, zone: &str, state: EndpointState, started_at: Option<f64>) -> EndpointEntry {
     EndpointEntry {
         id: id.into(),
         zone: zone.into(),
-        kind: "std".into(),
+        machine_type: "std".into(),
         cell: if zone == "east" { 1 } else { 2 },
         state,
         weight: 1.0,
-        started,
+        started_at,
     }
 }
 
@@ -134,7 +134,7 @@
             attempt,
             request_finished: outcome == Outcome::Ok,
             outcome,
-            elapsed: 0.05,
+            elapsed_s: 0.05,
             units,
             report: LoadReport::default(),
         })
@@ -160,7 +160,7 @@
         let calls = std::mem::take(&mut self.calls);
         for (key, increment) in &calls {
             let (outcome, total) = answer(*increment);
-            self.event(Event::CounterReply { key: key.clone(), outcome, total, elapsed: 0.001 });
+            self.event(Event::CounterReply { key: key.clone(), outcome, total, elapsed_s: 0.001 });
         }
         calls.len()
     }
@@ -213,7 +213,7 @@
             total_accepted += own_accepted + others_accepted;
             total_rejected += own_rejected + own * (demand_ratio - 1.0) - others_accepted;
             let total = total_rejected.round() * REJECTED_UNIT + total_accepted.round();
-            host.event(Event::CounterReply { key, outcome: Outcome::Ok, total, elapsed: 0.001 });
+            host.event(Event::CounterReply { key, outcome: Outcome::Ok, total, elapsed_s: 0.001 });
         }
     }
     total_rejected.round() * REJECTED_UNIT + total_accepted.round()
@@ -229,7 +229,7 @@
 /// Time and token of a request's timer of a kind: 1 deadline, 2 slow attempt.
 pub fn find_timer(actions: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
     actions.iter().find_map(|action| match action {
-        Action::SetTimer { at, token } if *token == id * 4 + kind => Some((*at, *token)),
+        Action::SetTimer { expires_at, token } if *token == id * 4 + kind => Some((*expires_at, *token)),
         _ => None,
     })
 }
--- a/crates/inventory/tests/routing.rs
+++ b/crates/inventory/tests/routing.rs
@@ -7,8 +7,8 @@
 fn settings() -> Settings {
     let class = liftrouter_decision::Class {
         name: "quote".into(),
-        latency_objective: 0.5,
-        deadline: 2.0,
+        latency_objective_s: 0.5,
+        deadline_s: 2.0,
         priority_weight: 1.0,
         ..Default::default()
     };
@@ -22,16 +22,16 @@
     Settings {
         instance_count: 2,
         zone: "room-a".into(),
-        tick_interval: 0.002,
+        tick_interval_s: 0.002,
         classes: vec![class],
         plans: vec![plan],
         max_request_units: 4.0,
         max_attempts: 5,
         may_cancel: true,
         slow_start_capacity: 0.2,
-        slow_start_duration: 18.0,
+        slow_start_duration_s: 18.0,
         overload_multiple: 3.0,
-        overload_window: 2.0,
+        overload_window_s: 2.0,
         ..Settings::default()
     }
 }
@@ -40,11 +40,11 @@
     let entry = |n: &liftrouter_inventory::Node| EndpointEntry {
         id: n.id.as_str().into(),
         zone: n.zone.as_str().into(),
-        kind: n.kind.as_str().into(),
+        machine_type: n.kind.as_str().into(),
         cell: n.cell.unwrap_or(0),
         state: if n.state == State::InService { EndpointState::InService } else { EndpointState::Draining },
         weight: n.weight,
-        started: n.started_ms.map(|at| at as f64 / 1e3),
+        started_at: n.started_ms.map(|at| at as f64 / 1e3),
     };
     inventory.nodes.iter().map(entry).collect()
 }
@@ -81,7 +81,7 @@
                 attempt,
                 request_finished: !breaks,
                 outcome,
-                elapsed: took,
+                elapsed_s: took,
                 units: None,
                 report,
             };
--- a/crates/model/src/limiters/actions.rs
+++ b/crates/model/src/limiters/actions.rs
@@ -21,9 +21,11 @@
     /// Carries out an action; events that follow at once are added to those that the module is told of.
     pub(super) fn carry_out(&mut self, l: u16, action: Action, events: &mut VecDeque<Event>) {
         match action {
-            Action::Send { id, endpoint: server, timeout, .. } => self.send(l, id, &server, timeout, events),
+            Action::Send { id, endpoint: server, timeout_s, .. } => {
+                self.send(l, id, &server, timeout_s, events)
+            }
             Action::Authorize { id } => self.answer(l, id, 200, 0.0),
-            Action::Reject { id, retry_after } => self.answer(l, id, 429, retry_after),
+            Action::Reject { id, retry_after_s } => self.answer(l, id, 429, retry_after_s),
             Action::Fail { id } => self.answer(l, id, 502, 0.0),
             Action::Cancel { id, attempt } => {
                 let running = self.gate(l).running(id);
@@ -31,14 +33,14 @@
                     self.attempt_ended(l, key, AttemptEnd::failed(Outcome::Cancelled), events);
                 }
             }
-            Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
+            Action::IncrementCounter { key: name, increment: add, ttl_s: lives } => {
                 if let Err(outcome) = self.call(l, &name, add, lives) {
-                    events.push_back(Event::CounterReply { key: name, outcome, total: 0.0, elapsed: 0.0 });
+                    events.push_back(Event::CounterReply { key: name, outcome, total: 0.0, elapsed_s: 0.0 });
                 }
             }
-            Action::SetTimer { at, token } => {
+            Action::SetTimer { expires_at, token } => {
                 let gate = &self.gates[usize::from(l)];
-                let at = micros(at - EPOCH - gate.skew);
+                let at = micros(expires_at - EPOCH - gate.skew);
                 self.queue.at(at, What::News(l, gate.life(), In::Timer(token)));
             }
             Action::CheckHealth { endpoint: server } => self.probe(l, &server),
@@ -63,16 +65,16 @@
     }
 
     /// Begins an attempt, or tells the module that it was never sent.
-    fn send(&mut self, l: u16, id: RequestId, server: &str, timeout: f64, events: &mut VecDeque<Event>) {
+    fn send(&mut self, l: u16, id: RequestId, server: &str, timeout_s: f64, events: &mut VecDeque<Event>) {
         let (now, key) = (self.now(), self.attempts.len());
         let gate = &mut self.gates[usize::from(l)];
         let Some(asked) = gate.requests.get_mut(id) else { return };
-        let (n, may) = (asked.attempts, asked.may_send(timeout));
+        let (n, may) = (asked.attempts, asked.may_send(timeout_s));
         asked.attempts += 1;
         let Some(node) = node_of(server).filter(|_| may) else {
             return events.push_back(Event::attempt_not_sent(id, n));
         };
-        let limit = if timeout > 0.0 { asked.due.min(now + micros(timeout.min(1e6))) } else { asked.due };
+        let limit = if timeout_s > 0.0 { asked.due.min(now + micros(timeout_s.min(1e6))) } else { asked.due };
         asked.running = Some(key);
         let (tried, life) = (asked.id, gate.life());
         let server_life = gate.servers.in_service(node);
--- a/crates/model/src/limiters/attempts.rs
+++ b/crates/model/src/limiters/attempts.rs
@@ -111,7 +111,7 @@
             attempt: n,
             request_finished: finished,
             outcome: end.outcome,
-            elapsed: took,
+            elapsed_s: took,
             units: end.units.map(f64::from),
             report: report(end.busy),
         });
--- a/crates/model/src/limiters/events.rs
+++ b/crates/model/src/limiters/events.rs
@@ -90,7 +90,7 @@
 
     fn counted(&mut self, l: u16, call: usize, outcome: Outcome, total: f64) {
         if let Some((name, took)) = self.call_over(call, outcome) {
-            self.feed(l, Event::CounterReply { key: name, outcome, total, elapsed: took });
+            self.feed(l, Event::CounterReply { key: name, outcome, total, elapsed_s: took });
         }
     }
 
--- a/crates/model/src/limiters/requests.rs
+++ b/crates/model/src/limiters/requests.rs
@@ -23,9 +23,9 @@
 
 impl Asked {
     /// Whether another attempt may be sent: as the host guards the rules, even against the module.
-    pub fn may_send(&self, timeout: f64) -> bool {
+    pub fn may_send(&self, timeout_s: f64) -> bool {
         let free = self.owed && self.running.is_none();
-        !self.permission && free && self.attempts < MOST_ATTEMPTS && timeout >= 0.0
+        !self.permission && free && self.attempts < MOST_ATTEMPTS && timeout_s >= 0.0
     }
 }
 
--- a/crates/model/src/list.rs
+++ b/crates/model/src/list.rs
@@ -28,11 +28,11 @@
         EndpointEntry {
             id,
             zone: rooms[index % rooms.len()].as_str().into(),
-            kind: "std".into(),
+            machine_type: "std".into(),
             cell: cell(index, rooms.len()),
             state: self.server_state(),
             weight: 1.0,
-            started: self.started,
+            started_at: self.started,
         }
     }
 
--- a/crates/scale/src/run/hollow/list_keeper.rs
+++ b/crates/scale/src/run/hollow/list_keeper.rs
@@ -177,7 +177,7 @@
             HostEvent::EndpointListConfirmed => self.observed.list_confirmed(),
             HostEvent::CounterReply { key: name, outcome, total, elapsed: took } => {
                 self.observed.counted(outcome);
-                self.feed(Event::CounterReply { key: name, outcome, total, elapsed: took.as_secs_f64() });
+                self.feed(Event::CounterReply { key: name, outcome, total, elapsed_s: took.as_secs_f64() });
             }
             // There are no requests, attempts or probes.
             _ => {}
@@ -219,8 +219,10 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::SetTimer { at, token } => self.timers.push(Reverse((self.instant(at), token))),
-            Action::IncrementCounter { key: name, increment: add, ttl: lives } => {
+            Action::SetTimer { expires_at, token } => {
+                self.timers.push(Reverse((self.instant(expires_at), token)))
+            }
+            Action::IncrementCounter { key: name, increment: add, ttl_s: lives } => {
                 if let Err(outcome) = self.keepers.call(&self.events, name.clone(), add, lives) {
                     let took = Duration::ZERO;
                     self.events.push(HostEvent::CounterReply {
@@ -252,6 +254,6 @@
 fn changed_at_ms(listed: &ListedEndpoint) -> u64 {
     match listed.entry.state {
         EndpointState::Removed => 0,
-        _ => listed.entry.started.map_or(0, |seconds| (seconds * 1_000.0).round() as u64),
+        _ => listed.entry.started_at.map_or(0, |seconds| (seconds * 1_000.0).round() as u64),
     }
 }
--- a/crates/scale/src/slopes/workload.rs
+++ b/crates/scale/src/slopes/workload.rs
@@ -26,30 +26,30 @@
 pub fn settings(limiters: u32) -> Settings {
     let class = Class {
         name: "read".into(),
-        latency_objective: 1.0,
-        deadline: 4.0,
+        latency_objective_s: 1.0,
+        deadline_s: 4.0,
         priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
         deduplication_scope: DeduplicationScope::All,
-        deduplication_window: 2.0,
+        deduplication_window_s: 2.0,
         ..Class::default()
     };
     Settings {
         instance_count: limiters,
         zone: ZONES[0].into(),
-        tick_interval: 0.002,
+        tick_interval_s: 0.002,
         classes: vec![class],
         plans: vec![Plan { name: "open".into(), weight_multiplier: 1.0, ..Plan::default() }],
         max_request_units: 4.0,
-        counter_timeout: 0.05,
+        counter_timeout_s: 0.05,
         slow_start_capacity: 0.2,
-        slow_start_duration: 20.0,
+        slow_start_duration_s: 20.0,
         overload_multiple: 3.0,
-        overload_window: 2.0,
+        overload_window_s: 2.0,
         max_attempts: 4,
         may_cancel: true,
         may_send_retry_after: true,
-        max_retry_after: 2.0,
+        max_retry_after_s: 2.0,
         ..Settings::default()
     }
 }
@@ -68,11 +68,11 @@
     let entry = |index| EndpointEntry {
         id: server_name(index).into(),
         zone: zones[rng.usize(..zones.len())].clone(),
-        kind: kind.clone(),
+        machine_type: kind.clone(),
         cell: rng.usize(..CELLS) as i64,
         state: EndpointState::InService,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
     (0..count).map(entry).collect()
 }
@@ -192,7 +192,7 @@
             attempt: 0,
             request_finished: true,
             outcome: Outcome::Ok,
-            elapsed: SERVICE_TIME,
+            elapsed_s: SERVICE_TIME,
             units: None,
             report: LoadReport::default(),
         });
@@ -200,7 +200,7 @@
 
     /// The counter's answer to a call.
     pub fn counted(&mut self, name: String, total: f64) {
-        self.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed: COUNTER_TIME });
+        self.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed_s: COUNTER_TIME });
     }
 
     /// Lets the time to the next request at the mean rate pass.
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -55,11 +55,11 @@
         self.entries.push(EndpointEntry {
             id: line.part(1, "server")?.into(),
             zone: line.part(2, "region-part")?.into(),
-            kind: line.part(3, "flavor")?.into(),
+            machine_type: line.part(3, "flavor")?.into(),
             cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
             state,
             weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
-            started: line.optional_number(7, "start-time-s")?.filter(|started| *started != 0.0),
+            started_at: line.optional_number(7, "start-time-s")?.filter(|started| *started != 0.0),
         });
         self.left -= 1;
         Ok(())
@@ -173,7 +173,7 @@
         id: line.integer(2, "handle")?,
         attempt: line.integer(3, "n")?,
         request_finished: line.flag(5, "final")?,
-        elapsed: line.number(7, "time-taken-s")?,
+        elapsed_s: line.number(7, "time-taken-s")?,
         outcome: outcome(line, 8)?,
         units: line.optional_number(9, "actual")?.filter(|units| *units > 0.0),
         report: report(line, 10)?,
@@ -184,7 +184,7 @@
     Ok(Event::CounterReply {
         outcome: outcome(line, 3)?,
         total: line.optional_number(2, "level")?.unwrap_or(0.0),
-        elapsed: line.optional_number(4, "time-taken-s")?.unwrap_or(0.0),
+        elapsed_s: line.optional_number(4, "time-taken-s")?.unwrap_or(0.0),
         key: line.part(5, "counter")?.into(),
     })
 }
@@ -218,18 +218,18 @@
 pub fn write(output: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
     match action {
         // The wire has no field for the send deadline.
-        Action::Send { id, endpoint, timeout, .. } => {
-            writeln!(output, "ASSIGN {instance} {id} {timeout} {endpoint}")
+        Action::Send { id, endpoint, timeout_s, .. } => {
+            writeln!(output, "ASSIGN {instance} {id} {timeout_s} {endpoint}")
         }
         // The simulator asks for no authorizations, and its protocol has none.
         Action::Authorize { .. } => Ok(()),
-        Action::Reject { id, retry_after } => writeln!(output, "SAY_NO {instance} {id} {retry_after}"),
+        Action::Reject { id, retry_after_s } => writeln!(output, "SAY_NO {instance} {id} {retry_after_s}"),
         Action::Fail { id } => writeln!(output, "END_FAILED {instance} {id}"),
         Action::Cancel { id, attempt } => writeln!(output, "STOP_ATTEMPT {instance} {id} {attempt}"),
-        Action::IncrementCounter { key, increment, ttl } => {
-            writeln!(output, "INCR {instance} {key} {increment} {ttl}")
+        Action::IncrementCounter { key, increment, ttl_s } => {
+            writeln!(output, "INCR {instance} {key} {increment} {ttl_s}")
         }
-        Action::SetTimer { at, token } => writeln!(output, "DEFER {instance} {at} {token}"),
+        Action::SetTimer { expires_at, token } => writeln!(output, "DEFER {instance} {expires_at} {token}"),
         Action::CheckHealth { endpoint } => writeln!(output, "TEST {instance} {endpoint}"),
         Action::WatchEndpoints => writeln!(output, "FOLLOW {instance} 1"),
     }
