--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -6,21 +6,21 @@
 use crate::timer::Timer;
 
 /// Seconds between two ticks.
-const TICK_SECONDS: f64 = 0.05;
+const TICK_INTERVAL_SECONDS: f64 = 0.05;
 /// Seconds between two ticks from which on the limiter itself was paused.
-const PAUSE_SECONDS: f64 = 0.25;
-/// Seconds between two searches for idle customers.
-const IDLE_CUSTOMER_SEARCH_SECONDS: f64 = 60.0;
+const PAUSE_THRESHOLD_SECONDS: f64 = 0.25;
+/// Seconds between two sweeps for idle customers.
+const IDLE_CUSTOMER_SWEEP_SECONDS: f64 = 60.0;
 
 /// One limiter's decisions.
 pub struct Limiter {
     settings: Settings,
-    ticking: bool,
+    tick_timer_started: bool,
     last_tick: f64,
     /// End of the latest pause of this process: what is late by then is no endpoint's fault.
     last_pause: f64,
     requests: Requests,
-    watch_due: bool,
+    watch_pending: bool,
     watch_failed: bool,
 }
 
@@ -28,11 +28,11 @@
     /// A limiter without any state. The seed determines its random draws.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         Limiter {
-            ticking: false,
+            tick_timer_started: false,
             last_tick: now,
             last_pause: now,
             requests: Requests::new(&settings, seed, now),
-            watch_due: settings.polls_discovery,
+            watch_pending: settings.polls_discovery,
             watch_failed: false,
             settings,
         }
@@ -41,10 +41,10 @@
     /// Handles one event and appends what the host is to do, in order.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         // By a flag, not the time: a real clock has moved on since `new` when the first event comes.
-        if !std::mem::replace(&mut self.ticking, true) {
+        if !std::mem::replace(&mut self.tick_timer_started, true) {
             set_tick_timer(now, actions);
         }
-        if std::mem::take(&mut self.watch_due) {
+        if std::mem::take(&mut self.watch_pending) {
             actions.push(Action::WatchEndpoints);
         }
         let Limiter { settings, requests, .. } = self;
@@ -85,21 +85,21 @@
 
     fn on_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         let context = Context { settings: &self.settings, now };
-        if now - self.last_tick > PAUSE_SECONDS {
+        if now - self.last_tick > PAUSE_THRESHOLD_SECONDS {
             self.last_pause = now;
         }
-        let searches = |time: f64| (time / IDLE_CUSTOMER_SEARCH_SECONDS).floor();
-        if searches(now) > searches(self.last_tick) {
-            self.requests.quota.forget_idle_customers(context);
+        let sweep_index = |time: f64| (time / IDLE_CUSTOMER_SWEEP_SECONDS).floor();
+        if sweep_index(now) > sweep_index(self.last_tick) {
+            self.requests.quota.evict_idle_customers(context);
         }
         self.last_tick = now;
         self.requests.endpoints.refresh(context);
         // A watch that ended is begun anew with the next event, once a tick at most.
-        self.watch_due |= std::mem::take(&mut self.watch_failed);
+        self.watch_pending |= std::mem::take(&mut self.watch_failed);
         set_tick_timer(now, actions);
     }
 }
 
 fn set_tick_timer(now: f64, actions: &mut Vec<Action>) {
-    actions.push(Action::SetTimer { expires_at: now + TICK_SECONDS, token: Timer::Tick.token() });
+    actions.push(Action::SetTimer { expires_at: now + TICK_INTERVAL_SECONDS, token: Timer::Tick.token() });
 }
--- a/crates/decision/src/quota/concurrency_limit.rs
+++ b/crates/decision/src/quota/concurrency_limit.rs
@@ -13,7 +13,7 @@
     /// Whether a customer has its share of the plan's attempts in flight from here.
     pub fn is_at_concurrency_limit(&self, settings: &Settings, id: &Arc<str>) -> bool {
         let Some(customer) = self.customers.get(id) else { return true };
-        let limit = settings.plans[customer.plan].concurrency_limit;
+        let limit = settings.plans[customer.plan_index].concurrency_limit;
         let even_share = 1.0 / customer.reachable_instances;
         let demand_share = customer
             .known_totals()
--- a/crates/decision/src/quota/counter_encoding.rs
+++ b/crates/decision/src/quota/counter_encoding.rs
@@ -1,6 +1,6 @@
 //! Accepted and rejected units packed into the one total that the counter keeps for a key.
 //!
-//! The counter is exact to seven digits. Steps below [`REJECTED_UNIT`] are units accepted, multiples of it
+//! The counter is exact to seven digits. Steps below [`REJECTED_STEP_VALUE`] are units accepted, multiples of it
 //! units rejected; a step stands for as many units as the plan's use in an epoch needs. What it can get
 //! wrong: accepted units that run over into the rejected ones. Therefore a call adds at most its part of half
 //! the steps that were free at the last reply. Held by `tests/decision/counter.rs`,
@@ -10,13 +10,13 @@
 use crate::interface::Plan;
 
 /// Value of one rejected step; accepted steps stay below it.
-const REJECTED_UNIT: f64 = 2_000.0;
+const REJECTED_STEP_VALUE: f64 = 2_000.0;
 /// Most accepted steps in an epoch.
-const MAX_ACCEPTED_STEPS: f64 = REJECTED_UNIT - 1.0;
+const MAX_ACCEPTED_STEPS: f64 = REJECTED_STEP_VALUE - 1.0;
 /// Most rejected steps in an epoch.
 const MAX_REJECTED_STEPS: f64 = 4_999.0;
 /// Multiple of the quota's use in an epoch that the accepted steps have room for.
-const QUOTA_MULTIPLE: f64 = 3.0;
+const QUOTA_HEADROOM_FACTOR: f64 = 3.0;
 
 /// Accepted and rejected demand, in units or in steps.
 #[derive(Clone, Copy, Default)]
@@ -28,14 +28,14 @@
 impl Usage {
     /// The counter's number for these steps.
     pub fn pack(self) -> f64 {
-        self.accepted + self.rejected * REJECTED_UNIT
+        self.accepted + self.rejected * REJECTED_STEP_VALUE
     }
 
     /// The steps of a counter's number.
     pub fn unpack(total: f64) -> Self {
         Usage {
-            accepted: (total % REJECTED_UNIT).max(0.0),
-            rejected: (total / REJECTED_UNIT).floor().max(0.0),
+            accepted: (total % REJECTED_STEP_VALUE).max(0.0),
+            rejected: (total / REJECTED_STEP_VALUE).floor().max(0.0),
         }
     }
 }
@@ -65,16 +65,16 @@
 
 /// Units that one step of a plan stands for.
 pub fn units_per_step(plan: &Plan) -> f64 {
-    ((EPOCH_SECONDS * plan.rate * QUOTA_MULTIPLE + plan.burst) / REJECTED_UNIT).max(1.0)
+    ((EPOCH_SECONDS * plan.rate * QUOTA_HEADROOM_FACTOR + plan.burst) / REJECTED_STEP_VALUE).max(1.0)
 }
 
 /// The steps of a call that reports these units, with `callers` limiters that call for the same key. A part
-/// of a step is rounded at random (`draw`, from 0 to 1), so that the mean is right.
-pub fn report_steps(units: Usage, units_per_step: f64, baseline: Usage, callers: f64, draw: f64) -> Usage {
-    let steps = |units: f64, read: f64, capacity: f64| {
-        let min_steps = if read > capacity / 2.0 { 0.0 } else { 1.0 };
-        let max_steps = ((capacity - read) / 2.0 / callers).floor().max(min_steps);
-        let rounding = if units % units_per_step == 0.0 { 0.0 } else { draw };
+/// of a step is rounded at random (`random`, from 0 to 1), so that the mean is right.
+pub fn report_steps(units: Usage, units_per_step: f64, baseline: Usage, callers: f64, random: f64) -> Usage {
+    let steps = |units: f64, counted: f64, capacity: f64| {
+        let min_steps = if counted > capacity / 2.0 { 0.0 } else { 1.0 };
+        let max_steps = ((capacity - counted) / 2.0 / callers).floor().max(min_steps);
+        let rounding = if units % units_per_step == 0.0 { 0.0 } else { random };
         (units / units_per_step + rounding).floor().clamp(0.0, max_steps)
     };
     Usage {
--- a/crates/decision/src/quota/counter_epoch.rs
+++ b/crates/decision/src/quota/counter_epoch.rs
@@ -28,6 +28,6 @@
 }
 
 /// Seconds after which the counter may forget a key.
-pub fn counter_ttl() -> f64 {
+pub fn counter_ttl_s() -> f64 {
     (EPOCH_SECONDS * 2.0).min(MAX_TTL_SECONDS)
 }
--- a/crates/decision/src/quota/counter_health.rs
+++ b/crates/decision/src/quota/counter_health.rs
@@ -9,7 +9,7 @@
 use crate::interface::Outcome;
 
 /// Unanswered calls in a row after which the counter is taken to be down.
-const DOWN_AFTER_MISSES: u32 = 3;
+const FAILURE_THRESHOLD: u32 = 3;
 /// Share of the requests that call the counter: at first and at least.
 const INITIAL_CALL_PROBABILITY: f64 = 0.5;
 const MIN_CALL_PROBABILITY: f64 = 0.03;
@@ -17,11 +17,11 @@
 const CALL_PROBABILITY_INCREASE: f64 = 0.02;
 const CALL_PROBABILITY_DECREASE_FACTOR: f64 = 0.85;
 /// Share of the call's time-out within which an answer is quick.
-const QUICK_TIMEOUT_RATIO: f64 = 0.2;
+const FAST_REPLY_TIMEOUT_RATIO: f64 = 0.2;
 
 /// What the replies of the counter service show of it.
 pub struct CounterHealth {
-    misses: u32,
+    consecutive_failures: u32,
     next_probe_at: f64,
     call_probability: f64,
 }
@@ -29,16 +29,20 @@
 impl CounterHealth {
     /// A counter that was not called yet.
     pub fn new(now: f64) -> Self {
-        CounterHealth { misses: 0, next_probe_at: now, call_probability: INITIAL_CALL_PROBABILITY }
+        CounterHealth {
+            consecutive_failures: 0,
+            next_probe_at: now,
+            call_probability: INITIAL_CALL_PROBABILITY,
+        }
     }
 
     /// Whether it left so many calls in a row unanswered that it counts as down.
     pub fn is_down(&self) -> bool {
-        self.misses >= DOWN_AFTER_MISSES
+        self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
     /// Whether a call has to wait because the counter is down and was probed just now.
-    pub fn must_wait(&self, now: f64) -> bool {
+    pub fn is_backing_off(&self, now: f64) -> bool {
         self.is_down() && now < self.next_probe_at
     }
 
@@ -60,7 +64,7 @@
     /// Takes in a reply, or that there was none, `elapsed_s` seconds after the call.
     pub fn on_reply(&mut self, outcome: Outcome, elapsed_s: f64, timeout_s: f64) {
         let answered = outcome == Outcome::Ok;
-        let probability = if answered && elapsed_s <= QUICK_TIMEOUT_RATIO * timeout_s {
+        let probability = if answered && elapsed_s <= FAST_REPLY_TIMEOUT_RATIO * timeout_s {
             self.call_probability + CALL_PROBABILITY_INCREASE
         } else {
             self.call_probability * CALL_PROBABILITY_DECREASE_FACTOR
@@ -68,7 +72,8 @@
         self.call_probability = probability.clamp(MIN_CALL_PROBABILITY, 1.0);
         // A counter that rejects a call as overloaded is up.
         if outcome != Outcome::Overloaded {
-            self.misses = if answered { 0 } else { self.misses.saturating_add(1) };
+            self.consecutive_failures =
+                if answered { 0 } else { self.consecutive_failures.saturating_add(1) };
         }
     }
 }
--- a/crates/decision/src/quota/counter_reply.rs
+++ b/crates/decision/src/quota/counter_reply.rs
@@ -33,36 +33,36 @@
         elapsed_s: f64,
     ) {
         self.counter_health.on_reply(outcome, elapsed_s, settings.counter_timeout_s);
-        let Some(call) = self.calls.remove(key) else { return };
+        let Some(call) = self.pending_calls.remove(key) else { return };
         let Some(customer) = self.customers.get_mut(&call.customer) else { return };
         customer.call_in_flight = false;
-        let plan = &settings.plans[customer.plan];
+        let plan = &settings.plans[customer.plan_index];
         if outcome != Outcome::Ok {
             if outcome != Outcome::Timeout {
-                customer.report_again(&call, plan);
+                customer.restore_unreported(&call, plan);
             }
             return;
         }
-        if !customer.learn_totals(&call, plan, total, self.usable_quota_ratio, now) {
+        if !customer.update_totals(&call, plan, total, self.usable_quota_ratio, now) {
             return;
         }
         let Some(totals) = customer.totals else { return };
         let probability =
             admission_probability(plan, self.usable_quota_ratio, &customer.shared_bucket, totals);
-        self.plan_admissions.resize(settings.plans.len(), PlanAdmission::UNREAD);
-        self.plan_admissions[customer.plan].update(probability);
+        self.plan_admissions.resize(settings.plans.len(), PlanAdmission::INITIAL);
+        self.plan_admissions[customer.plan_index].update(probability);
     }
 }
 
 impl Customer {
-    fn report_again(&mut self, call: &CounterCall, plan: &Plan) {
+    fn restore_unreported(&mut self, call: &CounterCall, plan: &Plan) {
         let step = units_per_step(plan);
         self.unreported.accepted += call.steps.accepted * step;
         self.unreported.rejected += call.steps.rejected * step;
     }
 
     /// Takes in the total after a call; false if it shows that the counter lost its counts.
-    fn learn_totals(
+    fn update_totals(
         &mut self,
         call: &CounterCall,
         plan: &Plan,
@@ -76,10 +76,10 @@
         // What a counter that lost its counts has now was added since the last reply, not since the epoch
         // began.
         let counted_from = if self.baseline.epoch == call.epoch { self.last_reply_at } else { epoch_start };
-        let span = (now - counted_from).max(MIN_SPAN_SECONDS);
+        let span_s = (now - counted_from).max(MIN_SPAN_SECONDS);
         // Own demand spreads over all the time since the reply before, of which a part lies in the last
         // epoch: otherwise a rare request would look like a large share just after the epoch began.
-        let own_span = (now - self.last_reply_at).max(MIN_SPAN_SECONDS);
+        let own_span_s = (now - self.last_reply_at).max(MIN_SPAN_SECONDS);
         let previous_reply = std::mem::replace(&mut self.last_reply_at, now);
         self.baseline = Baseline { epoch: call.epoch, steps: read };
         let accepted = read.accepted - baseline.accepted;
@@ -92,15 +92,15 @@
         let step = units_per_step(plan);
         let times = ReadingTimes { previous_reply, epoch_start, now };
         self.shared_bucket.update(plan, plan.rate * usable_quota_ratio, accepted * step, self.totals, &times);
-        self.reply_interval = ewma(self.reply_interval, own_span, REPLY_INTERVAL_GAIN);
+        self.reply_interval_s = ewma(self.reply_interval_s, own_span_s, REPLY_INTERVAL_GAIN);
         let reading = UsageReading {
             own_demand: (call.steps.accepted + call.steps.rejected) * step,
-            own_span,
+            own_span_s,
             demand: (accepted + rejected) * step,
             accepted: accepted * step,
-            span,
+            span_s,
         };
-        self.totals = Some(self.totals.unwrap_or_default().updated(&reading, self.reply_interval, now));
+        self.totals = Some(self.totals.unwrap_or_default().updated(&reading, self.reply_interval_s, now));
         true
     }
 }
--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -13,14 +13,14 @@
 use crate::interface::Plan;
 
 /// Seconds without a request after which an account may be forgotten.
-const IDLE_SECONDS: f64 = 60.0;
+const IDLE_TIMEOUT_SECONDS: f64 = 60.0;
 /// Epochs after which totals count as missing although the counter answers.
 const STALE_TOTALS_EPOCHS: f64 = 2.0;
 
 /// One customer, as this limiter knows it.
 pub struct Customer {
     /// Index of its plan.
-    pub plan: usize,
+    pub plan_index: usize,
     /// Limiters that its requests reach.
     pub reachable_instances: f64,
     pub bucket: TokenBucket,
@@ -35,7 +35,7 @@
     pub next_call_at: f64,
     pub last_reply_at: f64,
     /// Mean seconds between replies.
-    pub reply_interval: f64,
+    pub reply_interval_s: f64,
     pub baseline: Baseline,
     pub totals: Option<UsageTotals>,
     /// The counter lost its counts and no difference was read since: totals are missing.
@@ -53,7 +53,7 @@
         now: f64,
     ) -> Self {
         Customer {
-            plan: plan_index,
+            plan_index,
             reachable_instances,
             bucket: TokenBucket::new((plan.burst / reachable_instances).max(request_units), now),
             hard_limit: HardLimit::new(plan, reachable_instances, now - limiter_started_at),
@@ -63,7 +63,7 @@
             call_in_flight: false,
             next_call_at: now,
             last_reply_at: limiter_started_at,
-            reply_interval: CALL_PERIOD_SECONDS,
+            reply_interval_s: CALL_PERIOD_SECONDS,
             baseline: Baseline::none(),
             totals: None,
             totals_lost: false,
@@ -96,15 +96,15 @@
     }
 
     /// Whether the account is idle and a new one would hold no more than it.
-    pub fn is_forgettable(&self, plan: &Plan, max_request_units: f64, now: f64) -> bool {
-        let idle_seconds = now - self.bucket.refilled_at();
-        let missing = (plan.burst / self.reachable_instances).max(max_request_units) - self.bucket.tokens();
-        let is_full = idle_seconds * plan.rate / self.reachable_instances >= missing
-            && idle_seconds * plan.hard_limit_rate >= plan.hard_limit_burst;
+    pub fn is_evictable(&self, plan: &Plan, max_request_units: f64, now: f64) -> bool {
+        let idle_s = now - self.bucket.refilled_at();
+        let shortfall = (plan.burst / self.reachable_instances).max(max_request_units) - self.bucket.tokens();
+        let is_full = idle_s * plan.rate / self.reachable_instances >= shortfall
+            && idle_s * plan.hard_limit_rate >= plan.hard_limit_burst;
         let is_limited = plan.rate.max(plan.hard_limit_rate) > 0.0;
         !(self.call_in_flight
             || self.in_flight > 0
-            || idle_seconds < IDLE_SECONDS
+            || idle_s < IDLE_TIMEOUT_SECONDS
             || (is_limited && !is_full))
     }
 }
--- a/crates/decision/src/quota/hard_limit.rs
+++ b/crates/decision/src/quota/hard_limit.rs
@@ -12,9 +12,10 @@
 }
 
 impl HardLimit {
-    /// The share of a limiter that started `limiter_age` seconds ago.
-    pub fn new(plan: &Plan, instances: f64, limiter_age: f64) -> Self {
-        let tokens = (plan.hard_limit_rate / instances * limiter_age).min(plan.hard_limit_burst / instances);
+    /// The share of a limiter that started `limiter_age_s` seconds ago.
+    pub fn new(plan: &Plan, instances: f64, limiter_age_s: f64) -> Self {
+        let tokens =
+            (plan.hard_limit_rate / instances * limiter_age_s).min(plan.hard_limit_burst / instances);
         HardLimit { tokens }
     }
 
@@ -30,7 +31,7 @@
     }
 
     /// The seconds until a request of so many units fits, if it does not now.
-    pub fn wait(&self, plan: &Plan, instances: f64, units: f64) -> Option<f64> {
+    pub fn retry_after_s(&self, plan: &Plan, instances: f64, units: f64) -> Option<f64> {
         let exceeded = plan.hard_limit_rate > 0.0 && self.tokens < units;
         exceeded.then(|| (units - self.tokens) / (plan.hard_limit_rate / instances))
     }
--- a/crates/decision/src/quota/mod.rs
+++ b/crates/decision/src/quota/mod.rs
@@ -37,7 +37,7 @@
     started_at: f64,
     customers: BTreeMap<Arc<str>, Customer>,
     /// Counter calls without a reply, by the counter's key.
-    calls: BTreeMap<String, CounterCall>,
+    pending_calls: BTreeMap<String, CounterCall>,
     /// Ratio of each quota that totals may divide; 0 where they are not used.
     usable_quota_ratio: f64,
     counter_health: CounterHealth,
@@ -51,7 +51,7 @@
         Quota {
             started_at: now,
             customers: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             usable_quota_ratio: 1.0,
             counter_health: CounterHealth::new(now),
             plan_admissions: Vec::new(),
@@ -68,14 +68,21 @@
         &mut self,
         Context { settings, now }: Context,
         id: &Arc<str>,
-        plan: usize,
+        plan_index: usize,
         reachable_instances: u32,
         request_units: f64,
     ) {
         let started_at = self.started_at;
         let reachable_instances = f64::from(reachable_instances.clamp(1, settings.instance_count.max(1)));
         let customer = self.customers.entry(id.clone()).or_insert_with(|| {
-            Customer::new(plan, &settings.plans[plan], reachable_instances, request_units, started_at, now)
+            Customer::new(
+                plan_index,
+                &settings.plans[plan_index],
+                reachable_instances,
+                request_units,
+                started_at,
+                now,
+            )
         });
         customer.reachable_instances = reachable_instances;
     }
@@ -107,9 +114,9 @@
 
     /// Removes the accounts of customers that are idle and whose new account would hold no more than the old
     /// one.
-    pub fn forget_idle_customers(&mut self, Context { settings, now }: Context) {
+    pub fn evict_idle_customers(&mut self, Context { settings, now }: Context) {
         self.customers.retain(|_, customer| {
-            !customer.is_forgettable(&settings.plans[customer.plan], settings.max_request_units, now)
+            !customer.is_evictable(&settings.plans[customer.plan_index], settings.max_request_units, now)
         });
     }
 }
--- a/crates/decision/src/quota/probabilistic_admission.rs
+++ b/crates/decision/src/quota/probabilistic_admission.rs
@@ -17,7 +17,7 @@
 /// before the next reply.
 const CORRECTION_SECONDS: f64 = 1.0;
 /// Readings over which a plan's mean is taken.
-const PLAN_MEAN_READINGS: f64 = 30.0;
+const MAX_MEAN_SAMPLES: f64 = 30.0;
 
 /// The share of requests to admit; beyond 0 to 1 where all or none should be.
 pub fn admission_probability(
@@ -34,12 +34,12 @@
 #[derive(Clone, Copy)]
 pub struct PlanAdmission {
     mean_probability: f64,
-    readings: f64,
+    sample_count: f64,
 }
 
 impl PlanAdmission {
     /// Before any reading all requests are admitted, as by a fallback.
-    pub const UNREAD: PlanAdmission = PlanAdmission { mean_probability: 1.0, readings: 0.0 };
+    pub const INITIAL: PlanAdmission = PlanAdmission { mean_probability: 1.0, sample_count: 0.0 };
 
     /// The mean probability of the plan's customers, from 0 to 1.
     pub fn mean_probability(&self) -> f64 {
@@ -48,7 +48,8 @@
 
     /// Takes in the probability of a customer that was read.
     pub fn update(&mut self, probability: f64) {
-        self.readings = (self.readings + 1.0).min(PLAN_MEAN_READINGS);
-        self.mean_probability = ewma(self.mean_probability, probability.clamp(0.0, 1.0), 1.0 / self.readings);
+        self.sample_count = (self.sample_count + 1.0).min(MAX_MEAN_SAMPLES);
+        self.mean_probability =
+            ewma(self.mean_probability, probability.clamp(0.0, 1.0), 1.0 / self.sample_count);
     }
 }
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -26,7 +26,7 @@
 }
 
 /// What the bucket can offer a request.
-struct Refilled {
+struct RefillResult {
     /// Refill rate in units a second.
     rate: f64,
     /// Units that may be borrowed.
@@ -50,14 +50,14 @@
         let Some(customer) = self.customers.get_mut(id) else {
             return Err(QuotaExceeded { retry_after_s: 0.0 });
         };
-        let plan = &settings.plans[customer.plan];
+        let plan = &settings.plans[customer.plan_index];
         let totals = customer.usable_totals(usable_ratio, now);
         let refilled = customer.refill(plan, units, usable_ratio, totals, now);
         let is_below_one_token = plan.rate > 0.0 && customer.is_below_one_token(plan);
         // One request from each limiter would be several bursts. Where nothing is known of this customer, its
         // plan's mean probability decides; a rejection asks the counter for its totals.
         if is_below_one_token && usable_ratio > 0.0 && customer.totals.is_none() {
-            let admission = self.plan_admissions.get(customer.plan);
+            let admission = self.plan_admissions.get(customer.plan_index);
             if admission.is_some_and(|admission| rng.f64() >= admission.mean_probability()) {
                 return Err(QuotaExceeded { retry_after_s: CALL_PERIOD_SECONDS });
             }
@@ -65,17 +65,17 @@
         if let Some(totals) = totals.filter(|_| is_below_one_token) {
             let probability = admission_probability(plan, usable_ratio, &customer.shared_bucket, totals);
             if rng.f64() >= probability {
-                let missing = units + plan.burst - customer.shared_bucket.level();
-                let retry_after_s = (missing / (plan.rate * usable_ratio)).max(CALL_PERIOD_SECONDS);
+                let shortfall = units + plan.burst - customer.shared_bucket.level();
+                let retry_after_s = (shortfall / (plan.rate * usable_ratio)).max(CALL_PERIOD_SECONDS);
                 return Err(QuotaExceeded { retry_after_s });
             }
             // The shared bucket covers it: the local one, which serves while totals are missing, owes
             // nothing.
-            customer.bucket.raise_to(units);
+            customer.bucket.ensure_at_least(units);
         } else if plan.rate > 0.0 {
             customer.check_bucket(units, &refilled, now)?;
         }
-        match customer.hard_limit.wait(plan, customer.reachable_instances, units) {
+        match customer.hard_limit.retry_after_s(plan, customer.reachable_instances, units) {
             Some(retry_after_s) => Err(QuotaExceeded { retry_after_s }),
             None => Ok(()),
         }
@@ -91,15 +91,15 @@
         usable_ratio: f64,
         totals: Option<UsageTotals>,
         now: f64,
-    ) -> Refilled {
+    ) -> RefillResult {
         let rate = demand_share::limit(plan.rate, usable_ratio, self.reachable_instances, units, totals);
         let burst = rate * plan.burst / plan.rate.max(1e-9);
         let elapsed_s = self.bucket.refill(rate, burst.max(units), now);
         self.hard_limit.refill(plan, self.reachable_instances, elapsed_s);
-        Refilled { rate, borrowable: borrowable_units(plan, burst, units, usable_ratio, totals) }
+        RefillResult { rate, borrowable: borrowable_units(plan, burst, units, usable_ratio, totals) }
     }
 
-    fn check_bucket(&self, units: f64, refilled: &Refilled, now: f64) -> Result<(), QuotaExceeded> {
+    fn check_bucket(&self, units: f64, refilled: &RefillResult, now: f64) -> Result<(), QuotaExceeded> {
         let is_short = self.bucket.tokens() + refilled.borrowable < units;
         if !is_short {
             return Ok(());
@@ -107,11 +107,11 @@
         if self.known_totals().is_none() {
             return Err(QuotaExceeded { retry_after_s: 0.0 });
         }
-        let refill_wait =
+        let refill_wait_s =
             (units - self.bucket.tokens() - refilled.borrowable) / refilled.rate.max(MIN_REFILL_RATE);
         // Where the quota is idle, the next totals are worth more than the wait for tokens.
-        let max_wait =
-            if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait };
-        Err(QuotaExceeded { retry_after_s: refill_wait.min(max_wait) })
+        let max_wait_s =
+            if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait_s };
+        Err(QuotaExceeded { retry_after_s: refill_wait_s.min(max_wait_s) })
     }
 }
--- a/crates/decision/src/quota/shared_bucket.rs
+++ b/crates/decision/src/quota/shared_bucket.rs
@@ -45,8 +45,8 @@
         let &ReadingTimes { previous_reply, epoch_start, now } = times;
         // What was drawn in the last epoch after its last reply is unknown: it is taken to be as before.
         let accepted = totals.map_or(refill_rate, |totals| totals.accepted / totals.coverage.max(1e-6));
-        let unread = (refill_rate - accepted) * (epoch_start - previous_reply).max(0.0);
-        let left = (self.level + unread).min(plan.burst)
+        let unobserved = (refill_rate - accepted) * (epoch_start - previous_reply).max(0.0);
+        let left = (self.level + unobserved).min(plan.burst)
             + refill_rate * (now - previous_reply.max(epoch_start))
             - drawn;
         self.level = left.clamp(-plan.burst, plan.burst);
--- a/crates/decision/src/quota/token_bucket.rs
+++ b/crates/decision/src/quota/token_bucket.rs
@@ -43,7 +43,7 @@
     }
 
     /// Makes sure that it holds so many units.
-    pub fn raise_to(&mut self, units: f64) {
+    pub fn ensure_at_least(&mut self, units: f64) {
         self.tokens = self.tokens.max(units);
     }
 }
--- a/crates/decision/src/quota/usage_report.rs
+++ b/crates/decision/src/quota/usage_report.rs
@@ -6,7 +6,7 @@
 //! `tests/decision/counter.rs`, `requests_of_customers_seen_once_are_reported_for_all_that_do_not_call`.
 
 use super::counter_encoding::{report_steps, units_per_step, Usage};
-use super::counter_epoch::{counter_key, counter_ttl, epoch_at};
+use super::counter_epoch::{counter_key, counter_ttl_s, epoch_at};
 use super::Quota;
 use crate::context::Context;
 use crate::interface::Action;
@@ -44,14 +44,14 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(customer) = self.customers.get_mut(demand.customer) else { return };
-        let plan = &settings.plans[customer.plan];
+        let plan = &settings.plans[customer.plan_index];
         if !settings.has_counter || plan.rate <= 0.0 {
             return;
         }
         let probability = self.counter_health.call_probability(demand.admitted);
-        let waits =
-            customer.call_in_flight || now < customer.next_call_at || self.counter_health.must_wait(now);
-        if !waits && rng.f64() >= probability {
+        let is_deferred =
+            customer.call_in_flight || now < customer.next_call_at || self.counter_health.is_backing_off(now);
+        if !is_deferred && rng.f64() >= probability {
             return;
         }
         let unreported = if demand.admitted {
@@ -59,21 +59,22 @@
         } else {
             &mut customer.unreported.rejected
         };
-        *unreported += if waits { demand.units } else { demand.units / probability };
-        if waits {
+        *unreported += if is_deferred { demand.units } else { demand.units / probability };
+        if is_deferred {
             return;
         }
         self.counter_health.on_call(now);
-        let (epoch, draw) = (epoch_at(now), rng.f64());
+        let (epoch, random) = (epoch_at(now), rng.f64());
         let baseline = customer.baseline.in_epoch(epoch);
         let callers = customer.reachable_instances * probability;
-        let steps = report_steps(customer.unreported, units_per_step(plan), baseline, callers, draw);
+        let steps = report_steps(customer.unreported, units_per_step(plan), baseline, callers, random);
         customer.unreported = Usage::default();
         customer.call_in_flight = true;
         customer.next_call_at =
-            now + CALL_PERIOD_SECONDS * (CALL_PERIOD_MIN_RATIO + CALL_PERIOD_SPREAD * draw);
+            now + CALL_PERIOD_SECONDS * (CALL_PERIOD_MIN_RATIO + CALL_PERIOD_SPREAD * random);
         let key = counter_key(demand.customer, epoch);
-        self.calls.insert(key.clone(), CounterCall { customer: demand.customer.clone(), epoch, steps });
-        actions.push(Action::IncrementCounter { key, increment: steps.pack(), ttl_s: counter_ttl() });
+        self.pending_calls
+            .insert(key.clone(), CounterCall { customer: demand.customer.clone(), epoch, steps });
+        actions.push(Action::IncrementCounter { key, increment: steps.pack(), ttl_s: counter_ttl_s() });
     }
 }
--- a/crates/decision/src/quota/usage_totals.rs
+++ b/crates/decision/src/quota/usage_totals.rs
@@ -29,29 +29,29 @@
 
 /// What one reply adds.
 pub struct UsageReading {
-    /// Units demanded at this limiter within `own_span` seconds.
+    /// Units demanded at this limiter within `own_span_s` seconds.
     pub own_demand: f64,
-    pub own_span: f64,
-    /// Units demanded and accepted at all limiters within `span` seconds.
+    pub own_span_s: f64,
+    /// Units demanded and accepted at all limiters within `span_s` seconds.
     pub demand: f64,
     pub accepted: f64,
-    pub span: f64,
+    pub span_s: f64,
 }
 
 impl UsageTotals {
     /// The totals after one more reading.
-    pub fn updated(self, reading: &UsageReading, reply_interval: f64, now: f64) -> Self {
-        let memory = (MEMORY_REPLIES * reply_interval)
+    pub fn updated(self, reading: &UsageReading, reply_interval_s: f64, now: f64) -> Self {
+        let memory = (MEMORY_REPLIES * reply_interval_s)
             .clamp(MEMORY_REPLIES * CALL_PERIOD_SECONDS, MEMORY_MAX_EPOCHS * EPOCH_SECONDS);
-        let gain = |span: f64| 1.0 - (-span / memory).exp();
-        let rate = |mean, units, span| ewma(mean, units / span, gain(span));
+        let gain = |span_s: f64| 1.0 - (-span_s / memory).exp();
+        let rate = |mean, units, span_s| ewma(mean, units / span_s, gain(span_s));
         UsageTotals {
-            own_demand: rate(self.own_demand, reading.own_demand, reading.own_span),
-            demand: rate(self.demand, reading.demand, reading.span),
-            accepted: rate(self.accepted, reading.accepted, reading.span),
+            own_demand: rate(self.own_demand, reading.own_demand, reading.own_span_s),
+            demand: rate(self.demand, reading.demand, reading.span_s),
+            accepted: rate(self.accepted, reading.accepted, reading.span_s),
             read_at: now,
             memory,
-            coverage: ewma(self.coverage, 1.0, gain(reading.span)),
+            coverage: ewma(self.coverage, 1.0, gain(reading.span_s)),
         }
     }
 }
--- a/crates/decision/src/timer.rs
+++ b/crates/decision/src/timer.rs
@@ -5,8 +5,8 @@
 
 use crate::interface::RequestId;
 
-/// Kinds of timers; a token is `request * KINDS + kind`.
-const KINDS: u64 = 4;
+/// Kinds of timers; a token is `request * KIND_COUNT + kind`.
+const KIND_COUNT: u64 = 4;
 const TICK: u64 = 0;
 const REQUEST_DEADLINE: u64 = 1;
 const SLOW_ATTEMPT: u64 = 2;
@@ -30,16 +30,16 @@
     pub fn token(self) -> u64 {
         match self {
             Timer::Tick => TICK,
-            Timer::RequestDeadline(id) => id * KINDS + REQUEST_DEADLINE,
-            Timer::SlowAttempt(id) => id * KINDS + SLOW_ATTEMPT,
-            Timer::AuthorizationExpiry(id) => id * KINDS + AUTHORIZATION_EXPIRY,
+            Timer::RequestDeadline(id) => id * KIND_COUNT + REQUEST_DEADLINE,
+            Timer::SlowAttempt(id) => id * KIND_COUNT + SLOW_ATTEMPT,
+            Timer::AuthorizationExpiry(id) => id * KIND_COUNT + AUTHORIZATION_EXPIRY,
         }
     }
 
     /// The timer of a token.
     pub fn from_token(token: u64) -> Self {
-        let id = token / KINDS;
-        match token % KINDS {
+        let id = token / KIND_COUNT;
+        match token % KIND_COUNT {
             TICK => Timer::Tick,
             REQUEST_DEADLINE => Timer::RequestDeadline(id),
             AUTHORIZATION_EXPIRY => Timer::AuthorizationExpiry(id),
