--- a/crates/decision/src/context.rs
+++ b/crates/decision/src/context.rs
@@ -1,8 +1,8 @@
-//! The decision context: what each decision may depend on besides the state.
+//! The inputs of every decision besides the limiter's state.
 
 use crate::interface::Settings;
 
-/// The settings and the time of the event that is handled.
+/// The settings and the time of the event that is being handled.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
     pub settings: &'a Settings,
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -1,8 +1,8 @@
-//! What a limiter asks its host to do.
+//! Actions: the operations that a limiter asks its host to carry out.
 
 use super::{EndpointId, RequestId};
 
-/// What the host is to do.
+/// An operation for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt of a request; attempts are numbered from 0 in this order.
@@ -13,11 +13,11 @@
         endpoint: EndpointId,
         /// Give up after this many seconds; 0: at the client's deadline.
         timeout_s: f64,
-        /// Time by which the request must be written completely, since its idempotency key may be forgotten
-        /// after that. Infinite where there is no such time.
+        /// Time by which the request must be written completely: after it the endpoints may have dropped its
+        /// idempotency key from the deduplication window. Infinite if there is no such bound.
         send_deadline: f64,
     },
-    /// Final answer to an authorization: the client may call.
+    /// Final answer to an authorization: the client may call the endpoints.
     Authorize {
         /// The authorization.
         id: RequestId,
@@ -34,7 +34,7 @@
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: its response is no longer needed.
     Cancel {
         /// The request.
         id: RequestId,
@@ -54,7 +54,7 @@
     SetTimer {
         /// The time at which it expires.
         expires_at: f64,
-        /// Comes back in [`Event::Timer`](super::Event::Timer).
+        /// Returned in [`Event::Timer`](super::Event::Timer).
         token: u64,
     },
     /// Check the health of an endpoint.
@@ -62,6 +62,6 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Watch the endpoint list.
+    /// Start or restart the watch of the endpoint list.
     WatchEndpoints,
 }
--- a/crates/decision/src/interface/endpoint.rs
+++ b/crates/decision/src/interface/endpoint.rs
@@ -10,9 +10,9 @@
 pub enum EndpointState {
     /// Takes requests.
     InService,
-    /// Finishes the requests that it has; no new one may be sent.
+    /// Completes its requests in flight; must not be sent new ones.
     Draining,
-    /// Withdrawn.
+    /// Removed from service; must not be sent requests.
     #[default]
     Removed,
 }
@@ -20,18 +20,18 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Address.
+    /// Address; identifies the endpoint.
     pub id: EndpointId,
-    /// Zone.
+    /// Zone in which the endpoint runs.
     pub zone: Arc<str>,
-    /// Machine type.
+    /// Type of machine on which it runs.
     pub machine_type: Arc<str>,
     /// Cell within the zone.
     pub cell: i64,
-    /// State.
+    /// Whether the endpoint takes requests.
     pub state: EndpointState,
     /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Time of its latest start; `None` if that is too long ago to matter.
+    /// Time of its latest start; `None` if unknown or too long ago to matter.
     pub started_at: Option<f64>,
 }
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What the host tells a limiter.
+//! Events: the input that the host passes to a limiter.
 
 use super::{EndpointEntry, EndpointId, LoadReport};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     Ok,
     /// Error response; may have run.
     Error,
-    /// Rejected as overloaded; did not run.
+    /// Rejected because of overload; did not run.
     Overloaded,
     /// No response in time; may have run.
     Timeout,
@@ -30,28 +30,28 @@
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number.
+    /// Number of the request.
     pub id: RequestId,
-    /// The customer that it counts for.
+    /// The customer whose quota it counts against.
     pub customer: Arc<str>,
     /// Name of the customer's plan.
     pub plan: Arc<str>,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: Arc<str>,
-    /// Its units; an estimate where they are settled with the response.
+    /// Units that it costs; an estimate if they are settled with the response.
     pub units: f64,
     /// Number of limiters that the customer's requests can reach.
     pub reachable_instances: u32,
-    /// Marked by the client as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// Time at which the client gives up.
     pub deadline: f64,
 }
 
-/// What happened.
+/// An input to [`Limiter::handle`](crate::Limiter::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete endpoint list; what it does not name is removed.
+    /// The complete endpoint list; endpoints that are not in it are removed.
     EndpointList(Vec<EndpointEntry>),
     /// Changed entries of the endpoint list.
     EndpointChanges(Vec<EndpointEntry>),
@@ -59,8 +59,8 @@
     DiscoveryFailed,
     /// A client's request.
     Request(Request),
-    /// A client asks whether it may call the endpoints by itself, until the request's `deadline`. It draws
-    /// the units that the request would draw and is answered at once, by
+    /// A client asks whether it may call the endpoints itself, until the request's `deadline`. An
+    /// authorization draws the same units as the request would and is answered immediately, by
     /// [`Action::Authorize`](super::Action::Authorize) or [`Action::Reject`](super::Action::Reject).
     Authorization(Request),
     /// A streamed response has started.
@@ -74,24 +74,24 @@
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// The request has its final response.
+        /// Whether the request has its final response.
         request_finished: bool,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Seconds since it was sent.
+        /// Seconds since the attempt was sent.
         elapsed_s: f64,
-        /// The true units, given once, where they are settled with the response.
+        /// The true units of the request if they are settled with the response; given once per request.
         units: Option<f64>,
         /// The endpoint's load report.
         report: LoadReport,
     },
-    /// The client disconnected; no response is due. For an authorization: the client never got it and will
-    /// not call.
+    /// The client disconnected and needs no response. For an authorization: the client did not receive it and
+    /// will not call the endpoints.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// The answer to one [`Action::IncrementCounter`](super::Action::IncrementCounter).
+    /// The outcome of an [`Action::IncrementCounter`](super::Action::IncrementCounter).
     CounterReply {
         /// The counter's key.
         key: String,
@@ -102,13 +102,14 @@
         /// Seconds since the call.
         elapsed_s: f64,
     },
-    /// How far the counter's totals can be used from now on; before the first of these events, fully.
+    /// What fraction of the quotas may be divided by the counter's totals from now on. Before the first of
+    /// these events it is 1.
     CounterValidity {
-        /// Ratio of each quota that the limiters with this view of the counts may divide by their demand,
-        /// from 0 (totals are not used, each limiter keeps its fallback) to 1.
+        /// Fraction of each quota that the limiters with this view of the counts may divide by demand, from 0
+        /// (totals are not used, each limiter keeps its fallback) to 1.
         usable_quota_ratio: f64,
     },
-    /// The answer to one [`Action::CheckHealth`](super::Action::CheckHealth).
+    /// The outcome of an [`Action::CheckHealth`](super::Action::CheckHealth).
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
@@ -119,13 +120,13 @@
     },
     /// A timer expired.
     Timer {
-        /// The token that [`Action::SetTimer`](super::Action::SetTimer) gave it.
+        /// The token given in [`Action::SetTimer`](super::Action::SetTimer).
         token: u64,
     },
 }
 
 impl Event {
-    /// The end of an attempt that the host did not start because a rule forbids it: it never ran.
+    /// The end of an attempt that the host did not send because a rule forbids it: it never ran.
     pub fn attempt_not_sent(id: RequestId, attempt: u32) -> Event {
         Event::AttemptEnded {
             id,
--- a/crates/decision/src/interface/load_report.rs
+++ b/crates/decision/src/interface/load_report.rs
@@ -1,13 +1,13 @@
-//! Load that an endpoint reports about itself.
+//! Load reports of endpoints.
 
-/// An endpoint's report of its load; values that it did not give are `None`.
+/// Load that an endpoint reports about itself; values missing from the report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight at the endpoint.
     pub in_flight: Option<f64>,
-    /// Requests queued there.
+    /// Requests queued at the endpoint.
     pub queued: Option<f64>,
-    /// Share of its cores in use, from 0 to 1.
+    /// Fraction of its CPU cores in use, from 0 to 1.
     pub utilization: Option<f64>,
     /// Recent service time in seconds.
     pub latency_s: Option<f64>,
@@ -18,7 +18,7 @@
 }
 
 impl LoadReport {
-    /// Sets one value by its name in the settings or in the endpoints' responses; other names are skipped.
+    /// Sets one value by its name in the settings or in the endpoints' responses; unknown names are ignored.
     pub fn set(&mut self, name: &str, value: f64) {
         let value = Some(value);
         match name {
--- a/crates/decision/src/interface/mod.rs
+++ b/crates/decision/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the decision module: settings, events and actions. No decisions here.
+//! The interface of the decision module: settings and events in, actions out. No decisions are made here.
 //!
 //! Times are seconds on the host's clock; durations are seconds.
 
--- a/crates/decision/src/interface/settings/wire.rs
+++ b/crates/decision/src/interface/settings/wire.rs
@@ -1,7 +1,7 @@
-//! The names of the settings on the wire, mapped to the fields of [`Settings`].
+//! Maps the keys of serialized settings to the fields of [`Settings`].
 //!
-//! A key that is not listed here is skipped; a missing one takes the zero of its type. The names are fixed by
-//! the deployments that write them; `tests/decision/settings.rs` compares each with its field.
+//! Unknown keys are ignored; a missing key takes the zero value of its type. Existing deployments write these
+//! keys, so they must not change; `tests/decision/settings.rs` checks that each key reaches its field.
 
 use super::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 use serde::{Deserialize, Deserializer};
@@ -77,7 +77,7 @@
     excess_penalty_ratio: f64,
 }
 
-/// How units are accounted for.
+/// Settings of the counter and of how units are accounted for.
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "kebab-case", expecting = "the family-info object")]
 struct WireAccounting {
@@ -90,7 +90,7 @@
     units_are_estimates: bool,
 }
 
-/// What the endpoints and their list require of a limiter.
+/// Properties of the endpoints and of the endpoint list that a limiter must respect.
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "kebab-case", expecting = "the invariants object")]
 struct WireRules {
@@ -106,7 +106,7 @@
     overload_window_s: f64,
 }
 
-/// What a limiter may do with a request.
+/// Limits on attempts, connections and retry advice.
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "kebab-case", expecting = "the limits object")]
 #[allow(clippy::struct_excessive_bools, reason = "independent switches of a deployment")]
@@ -138,7 +138,8 @@
             deadline_s: wire.deadline_s,
             priority_weight: wire.priority_weight,
             late_weight_ratio: wire.late_weight_ratio,
-            // A value of a later version is read as the strictest: never repeated, or only within one cell.
+            // Unknown values, such as those of a later version, are read as the strictest one: never retried,
+            // or only within one cell.
             idempotency: match wire.idempotency.as_str() {
                 "read_like" => Idempotency::Idempotent,
                 "idempotency_key" => Idempotency::IdempotencyKey,
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,13 +1,13 @@
 //! The decisions of a quota-keeping rate limiter in front of a shared API.
 //!
 //! A [`Limiter`] is the decision code of one limiter. It is pure: no I/O, no clock, no globals. The host
-//! tells it what happened ([`Event`]) and at what time, and carries out what it asks for ([`Action`]).
-//! Several limiters in front of the same endpoints keep each customer's quota together through a counter
-//! service; each decides every request from what it has itself seen.
+//! passes it events ([`Event`]) with their time and carries out the actions that it asks for ([`Action`]).
+//! Several limiters in front of the same endpoints enforce each customer's quota together through a counter
+//! service; each decides on requests from its local state, without waiting for the others.
 //!
-//! `quota` decides whether a customer may, `endpoints` which endpoint takes a request, `requests` what
-//! becomes of it in between. Each file there holds one decision with its constants, and says what the
-//! decision can get wrong and which test holds it.
+//! `quota` decides whether a customer's quota allows a request, `endpoints` selects the endpoint, and
+//! `requests` manages each request from admission to its final response. Each file there holds one decision
+//! with its constants, and states what the decision can get wrong and which test covers it.
 //!
 //! ```
 //! use liftrouter_decision::{Action, Event, Limiter, Settings};
--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -1,4 +1,4 @@
-//! One limiter: hands each event to the part that decides it.
+//! One limiter: dispatches each event to the module that handles it.
 
 use crate::context::Context;
 use crate::interface::{Action, Event, Settings};
@@ -7,17 +7,18 @@
 
 /// Seconds between two ticks.
 const TICK_INTERVAL_SECONDS: f64 = 0.05;
-/// Seconds between two ticks from which on the limiter itself was paused.
+/// If more seconds than this pass between two ticks, the process itself was paused.
 const PAUSE_THRESHOLD_SECONDS: f64 = 0.25;
 /// Seconds between two sweeps for idle customers.
 const IDLE_CUSTOMER_SWEEP_SECONDS: f64 = 60.0;
 
-/// One limiter's decisions.
+/// The decision code and state of one limiter. The host passes events to [`Limiter::handle`] and carries out
+/// the actions that it appends.
 pub struct Limiter {
     settings: Settings,
     tick_timer_started: bool,
     last_tick: f64,
-    /// End of the latest pause of this process: what is late by then is no endpoint's fault.
+    /// End of the latest pause of this process. Endpoints are not blamed for attempts delayed by it.
     last_pause: f64,
     requests: Requests,
     watch_pending: bool,
@@ -25,7 +26,7 @@
 }
 
 impl Limiter {
-    /// A limiter without any state. The seed determines its random draws.
+    /// A limiter that has seen no event yet. The seed determines its random draws.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         Limiter {
             tick_timer_started: false,
@@ -38,9 +39,9 @@
         }
     }
 
-    /// Handles one event and appends what the host is to do, in order.
+    /// Handles one event and appends the actions that the host has to carry out, in order.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
-        // By a flag, not the time: a real clock has moved on since `new` when the first event comes.
+        // A flag, since the time cannot show it: a real clock has advanced since `new` by the first event.
         if !std::mem::replace(&mut self.tick_timer_started, true) {
             set_tick_timer(now, actions);
         }
@@ -67,7 +68,7 @@
             Event::CounterValidity { usable_quota_ratio } => {
                 requests.quota.set_usable_quota_ratio(usable_quota_ratio);
             }
-            // Requests show how endpoints do: this module asks for no health checks.
+            // Endpoint health is inferred from requests: this module asks for no health checks.
             Event::HealthChecked { .. } => {}
             Event::Timer { token } => self.on_timer(now, Timer::from_token(token), actions),
         }
@@ -94,7 +95,7 @@
         }
         self.last_tick = now;
         self.requests.endpoints.refresh(context);
-        // A watch that ended is begun anew with the next event, once a tick at most.
+        // A watch that ended is restarted with the next event, at most once a tick.
         self.watch_pending |= std::mem::take(&mut self.watch_failed);
         set_tick_timer(now, actions);
     }
--- a/crates/decision/src/quota/concurrency_limit.rs
+++ b/crates/decision/src/quota/concurrency_limit.rs
@@ -1,8 +1,9 @@
-//! A plan's limit of attempts in flight: this limiter holds its share of it, one attempt at least.
+//! A plan's limit on attempts in flight. Each limiter enforces its share of it, at least one attempt.
 //!
-//! The share follows the demand but is not below the even share. Own demand is known from this limiter's
-//! start and all demand from the epoch's, so that the ratio can exceed 1 and is cut there: otherwise a
-//! limiter that starts late in an epoch would hold many times the whole limit. Held by
+//! The share follows this limiter's share of the demand but is never below the even share. At first, own
+//! demand is measured from the start of the limiter and total demand from the start of the epoch, so their
+//! ratio can exceed 1 and is capped there: otherwise a limiter that starts late in an epoch would allow many
+//! times the whole limit. Held by
 //! `tests/decision/quota_accounts.rs`, `a_limiter_that_starts_late_in_an_epoch_keeps_the_concurrency_limit`.
 
 use super::Quota;
@@ -10,7 +11,8 @@
 use std::sync::Arc;
 
 impl Quota {
-    /// Whether a customer has its share of the plan's attempts in flight from here.
+    /// Whether a customer's attempts in flight have reached this limiter's share of the plan's limit. An
+    /// unknown customer counts as at its limit.
     pub fn is_at_concurrency_limit(&self, settings: &Settings, id: &Arc<str>) -> bool {
         let Some(customer) = self.customers.get(id) else { return true };
         let limit = settings.plans[customer.plan_index].concurrency_limit;
--- a/crates/decision/src/quota/counter_encoding.rs
+++ b/crates/decision/src/quota/counter_encoding.rs
@@ -1,21 +1,22 @@
-//! Accepted and rejected units packed into the one total that the counter keeps for a key.
+//! Packs accepted and rejected units into the single total that the counter keeps for a key.
 //!
-//! The counter is exact to seven digits. Steps below [`REJECTED_STEP_VALUE`] are units accepted, multiples of it
-//! units rejected; a step stands for as many units as the plan's use in an epoch needs. What it can get
-//! wrong: accepted units that run over into the rejected ones. Therefore a call adds at most its part of half
-//! the steps that were free at the last reply. Held by `tests/decision/counter.rs`,
+//! The counter is exact to seven digits. Units are counted in steps: accepted steps are the part of the total
+//! below [`REJECTED_STEP_VALUE`], rejected steps its multiples. The units per step grow with the plan's
+//! quota, so that the usage of an epoch fits. What it can get wrong: accepted steps can overflow into the
+//! rejected ones. Therefore a call adds at most its part of half the steps that were free at the last reply,
+//! but may always add one while at most half are used. Held by `tests/decision/counter.rs`,
 //! `no_demand_runs_over_from_one_packed_number_into_the_other`.
 
 use super::counter_epoch::EPOCH_SECONDS;
 use crate::interface::Plan;
 
-/// Value of one rejected step; accepted steps stay below it.
+/// What one rejected step adds to the total; accepted steps stay below it.
 const REJECTED_STEP_VALUE: f64 = 2_000.0;
-/// Most accepted steps in an epoch.
+/// Largest number of accepted steps in an epoch.
 const MAX_ACCEPTED_STEPS: f64 = REJECTED_STEP_VALUE - 1.0;
-/// Most rejected steps in an epoch.
+/// Largest number of rejected steps in an epoch; with it the total stays within seven digits.
 const MAX_REJECTED_STEPS: f64 = 4_999.0;
-/// Multiple of the quota's use in an epoch that the accepted steps have room for.
+/// The accepted steps of an epoch can hold this multiple of the quota, plus the burst.
 const QUOTA_HEADROOM_FACTOR: f64 = 3.0;
 
 /// Accepted and rejected demand, in units or in steps.
@@ -26,12 +27,12 @@
 }
 
 impl Usage {
-    /// The counter's number for these steps.
+    /// Encodes steps as a counter total.
     pub fn pack(self) -> f64 {
         self.accepted + self.rejected * REJECTED_STEP_VALUE
     }
 
-    /// The steps of a counter's number.
+    /// Decodes the steps of a counter total.
     pub fn unpack(total: f64) -> Self {
         Usage {
             accepted: (total % REJECTED_STEP_VALUE).max(0.0),
@@ -40,7 +41,7 @@
     }
 }
 
-/// The steps that the counter had at the last reply.
+/// The steps in the counter at the last reply, with which the next reply is compared.
 #[derive(Clone, Copy)]
 pub struct Baseline {
     pub epoch: i64,
@@ -48,12 +49,12 @@
 }
 
 impl Baseline {
-    /// Before the first reply.
+    /// The baseline before the first reply; it belongs to no epoch.
     pub fn none() -> Self {
         Baseline { epoch: i64::MIN, steps: Usage::default() }
     }
 
-    /// The steps in an epoch: none if the last reply was for another.
+    /// The steps of an epoch: zero if the last reply was for another one.
     pub fn in_epoch(&self, epoch: i64) -> Usage {
         if self.epoch == epoch {
             self.steps
@@ -63,13 +64,13 @@
     }
 }
 
-/// Units that one step of a plan stands for.
+/// Number of units that one step stands for on a plan.
 pub fn units_per_step(plan: &Plan) -> f64 {
     ((EPOCH_SECONDS * plan.rate * QUOTA_HEADROOM_FACTOR + plan.burst) / REJECTED_STEP_VALUE).max(1.0)
 }
 
-/// The steps of a call that reports these units, with `callers` limiters that call for the same key. A part
-/// of a step is rounded at random (`random`, from 0 to 1), so that the mean is right.
+/// The steps by which a call reports these units, where `callers` limiters report to the same key. Fractions
+/// of a step are rounded up or down by `random` (uniform in 0 to 1), so that the mean is exact.
 pub fn report_steps(units: Usage, units_per_step: f64, baseline: Usage, callers: f64, random: f64) -> Usage {
     let steps = |units: f64, counted: f64, capacity: f64| {
         let min_steps = if counted > capacity / 2.0 { 0.0 } else { 1.0 };
--- a/crates/decision/src/quota/counter_health.rs
+++ b/crates/decision/src/quota/counter_health.rs
@@ -1,25 +1,25 @@
-//! How the counter service answers: whether it is down, and for how many requests it is called.
+//! Health of the counter service: whether it is down, and what fraction of the requests may call it.
 //!
-//! Hundreds of limiters with many rare customers could crowd the counter: a slow answer lowers the share of
-//! requests that call it, a quick one raises it. A counter that left several calls in a row unanswered is
-//! called once a period. Held by `tests/decision/counter.rs`, the two tests of a silent and of a slow
-//! counter.
+//! Hundreds of limiters with many rare customers could overload the counter. Therefore the fraction of
+//! requests that call it decreases with each slow or failed call and increases with each fast reply. After
+//! several failed calls in a row the counter is called only once per period. Held by
+//! `tests/decision/counter.rs`, the tests of an unresponsive and of a slow counter.
 
 use super::usage_report::CALL_PERIOD_SECONDS;
 use crate::interface::Outcome;
 
-/// Unanswered calls in a row after which the counter is taken to be down.
+/// Failed calls in a row after which the counter is considered down.
 const FAILURE_THRESHOLD: u32 = 3;
-/// Share of the requests that call the counter: at first and at least.
+/// Fraction of the requests that call the counter: the initial value and the minimum.
 const INITIAL_CALL_PROBABILITY: f64 = 0.5;
 const MIN_CALL_PROBABILITY: f64 = 0.03;
-/// Added to the share by a quick answer, and kept of it after any other.
+/// A fast reply adds the first to the call probability; any other outcome multiplies it by the second.
 const CALL_PROBABILITY_INCREASE: f64 = 0.02;
 const CALL_PROBABILITY_DECREASE_FACTOR: f64 = 0.85;
-/// Share of the call's time-out within which an answer is quick.
+/// A reply within this fraction of the call's timeout is fast.
 const FAST_REPLY_TIMEOUT_RATIO: f64 = 0.2;
 
-/// What the replies of the counter service show of it.
+/// State of the counter service, inferred from its replies.
 pub struct CounterHealth {
     consecutive_failures: u32,
     next_probe_at: f64,
@@ -27,7 +27,7 @@
 }
 
 impl CounterHealth {
-    /// A counter that was not called yet.
+    /// The state before the first call: up, with the initial call probability.
     pub fn new(now: f64) -> Self {
         CounterHealth {
             consecutive_failures: 0,
@@ -36,18 +36,18 @@
         }
     }
 
-    /// Whether it left so many calls in a row unanswered that it counts as down.
+    /// Whether the number of consecutive failures has reached [`FAILURE_THRESHOLD`].
     pub fn is_down(&self) -> bool {
         self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
-    /// Whether a call has to wait because the counter is down and was probed just now.
+    /// Whether the counter is down and the period since the last call has not passed.
     pub fn is_backing_off(&self, now: f64) -> bool {
         self.is_down() && now < self.next_probe_at
     }
 
-    /// The probability with which an admitted request calls the counter. Rejected ones call more often: what
-    /// their call brings decides the client's next request.
+    /// The probability with which a request calls the counter. Rejected requests call more often, because the
+    /// totals in the reply decide whether the client's next request is admitted.
     pub fn call_probability(&self, admitted: bool) -> f64 {
         if admitted {
             self.call_probability
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Notes a call, after which a counter that is down is left alone for a period.
+    /// Records a call. If the counter is down, the next call is made one period later at the earliest.
     pub fn on_call(&mut self, now: f64) {
         self.next_probe_at = now + CALL_PERIOD_SECONDS;
     }
 
-    /// Takes in a reply, or that there was none, `elapsed_s` seconds after the call.
+    /// Updates the state from the outcome of a call that ended after `elapsed_s` seconds.
     pub fn on_reply(&mut self, outcome: Outcome, elapsed_s: f64, timeout_s: f64) {
         let answered = outcome == Outcome::Ok;
         let probability = if answered && elapsed_s <= FAST_REPLY_TIMEOUT_RATIO * timeout_s {
--- a/crates/decision/src/quota/counter_reply.rs
+++ b/crates/decision/src/quota/counter_reply.rs
@@ -1,9 +1,10 @@
-//! What a reply of the counter tells of a customer's demand at all limiters.
+//! Derives a customer's demand at all limiters from the counter's replies.
 //!
-//! A reply is compared with the one before in the same epoch. A call that was not added is reported again
-//! with the next; one that timed out is not, since it may have been added. A total that did not grow by at
-//! least the own increment shows that the counter lost its counts: totals are missing until the next
-//! difference. Held by `tests/decision/counter.rs` and `tests/decision/quota_share.rs`.
+//! Each reply is compared with the previous one of the same epoch. An increment that was not added is
+//! reported again with the next call; one that timed out is not, since it may have been added. A total that
+//! grew by less than this limiter's own increment shows that the counter lost its counts: totals then count
+//! as missing until a reply is consistent with the previous one. Held by `tests/decision/counter.rs` and
+//! `tests/decision/quota_share.rs`.
 
 use super::counter_encoding::{units_per_step, Baseline, Usage};
 use super::counter_epoch::epoch_start;
@@ -17,13 +18,13 @@
 use crate::ewma::ewma;
 use crate::interface::{Outcome, Plan};
 
-/// Weight of one interval in the mean between replies.
+/// Weight of the latest interval in the mean interval between replies.
 const REPLY_INTERVAL_GAIN: f64 = 0.3;
-/// Shortest time, in seconds, that a reading is spread over.
+/// Shortest time, in seconds, by which a reading is divided to get a rate.
 const MIN_SPAN_SECONDS: f64 = CALL_PERIOD_SECONDS / 4.0;
 
 impl Quota {
-    /// Handles the reply to a counter call, which took `elapsed_s` seconds.
+    /// Handles the outcome of a counter call, which took `elapsed_s` seconds.
     pub fn on_counter_reply(
         &mut self,
         Context { settings, now }: Context,
@@ -55,13 +56,15 @@
 }
 
 impl Customer {
+    /// Queues the units of a call that the counter did not add for the next report.
     fn restore_unreported(&mut self, call: &CounterCall, plan: &Plan) {
         let step = units_per_step(plan);
         self.unreported.accepted += call.steps.accepted * step;
         self.unreported.rejected += call.steps.rejected * step;
     }
 
-    /// Takes in the total after a call; false if it shows that the counter lost its counts.
+    /// Updates the totals from the counter's total after a call. Returns false if it shows that the counter
+    /// lost its counts.
     fn update_totals(
         &mut self,
         call: &CounterCall,
@@ -73,12 +76,12 @@
         let read = Usage::unpack(total);
         let baseline = self.baseline.in_epoch(call.epoch);
         let epoch_start = epoch_start(call.epoch);
-        // What a counter that lost its counts has now was added since the last reply, not since the epoch
-        // began.
+        // Within an epoch, all that the reading covers was added since the last reply, even if the counter
+        // lost its counts in between.
         let counted_from = if self.baseline.epoch == call.epoch { self.last_reply_at } else { epoch_start };
         let span_s = (now - counted_from).max(MIN_SPAN_SECONDS);
-        // Own demand spreads over all the time since the reply before, of which a part lies in the last
-        // epoch: otherwise a rare request would look like a large share just after the epoch began.
+        // Own demand is divided by the whole time since the previous reply, part of which may lie in the last
+        // epoch: otherwise a rare request would look like a large share just after the start of an epoch.
         let own_span_s = (now - self.last_reply_at).max(MIN_SPAN_SECONDS);
         let previous_reply = std::mem::replace(&mut self.last_reply_at, now);
         self.baseline = Baseline { epoch: call.epoch, steps: read };
@@ -86,7 +89,7 @@
         let rejected = read.rejected - baseline.rejected;
         self.totals_lost = total < 0.0 || accepted < call.steps.accepted || rejected < call.steps.rejected;
         if self.totals_lost {
-            // Averages are kept: what the counter forgot has not changed the demand.
+            // The averages stay valid: the loss of counts does not change the demand.
             return false;
         }
         let step = units_per_step(plan);
--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -1,7 +1,7 @@
 //! A customer's account at this limiter.
 //!
-//! An account is forgotten only when a new one would hold no more: otherwise an idle customer would get its
-//! burst twice. Held by `tests/decision/quota_accounts.rs`.
+//! An account is evicted only when a new one would hold no more units: otherwise an idle customer would get
+//! its burst twice. Held by `tests/decision/quota_accounts.rs`.
 
 use super::counter_encoding::{Baseline, Usage};
 use super::counter_epoch::EPOCH_SECONDS;
@@ -12,25 +12,25 @@
 use super::usage_totals::UsageTotals;
 use crate::interface::Plan;
 
-/// Seconds without a request after which an account may be forgotten.
+/// Seconds without a request after which an account may be evicted.
 const IDLE_TIMEOUT_SECONDS: f64 = 60.0;
-/// Epochs after which totals count as missing although the counter answers.
+/// Age in epochs beyond which totals are not used, even if the counter is up.
 const STALE_TOTALS_EPOCHS: f64 = 2.0;
 
-/// One customer, as this limiter knows it.
+/// The state of one customer at this limiter.
 pub struct Customer {
-    /// Index of its plan.
+    /// Index of the customer's plan in the settings.
     pub plan_index: usize,
-    /// Limiters that its requests reach.
+    /// Number of limiters that the customer's requests can reach.
     pub reachable_instances: f64,
     pub bucket: TokenBucket,
     pub hard_limit: HardLimit,
-    /// Its attempts in flight from here.
+    /// The customer's attempts in flight from this limiter.
     pub in_flight: u32,
     pub shared_bucket: SharedBucket,
-    /// Units that the counter was not told of yet.
+    /// Units not yet reported to the counter.
     pub unreported: Usage,
-    /// A counter call has no reply yet.
+    /// A counter call for the customer has no reply yet.
     pub call_in_flight: bool,
     pub next_call_at: f64,
     pub last_reply_at: f64,
@@ -38,12 +38,12 @@
     pub reply_interval_s: f64,
     pub baseline: Baseline,
     pub totals: Option<UsageTotals>,
-    /// The counter lost its counts and no difference was read since: totals are missing.
+    /// The latest reply showed that the counter lost its counts: `totals` are not to be used.
     pub totals_lost: bool,
 }
 
 impl Customer {
-    /// The account of a customer that has not been seen, or was forgotten.
+    /// The account of a customer that is new to this limiter or was evicted.
     pub fn new(
         plan_index: usize,
         plan: &Plan,
@@ -70,12 +70,12 @@
         }
     }
 
-    /// The totals, unless they are missing.
+    /// The totals, unless none were read yet or the counter lost its counts.
     pub fn known_totals(&self) -> Option<UsageTotals> {
         self.totals.filter(|_| !self.totals_lost)
     }
 
-    /// The totals by which a share of the quota may be computed: recent, and of a counter that can be used.
+    /// The totals from which a share of the quota may be computed: recent, and read from a usable counter.
     pub fn usable_totals(&self, usable_quota_ratio: f64, now: f64) -> Option<UsageTotals> {
         self.known_totals().filter(|totals| {
             usable_quota_ratio > 0.0 && now - totals.read_at <= STALE_TOTALS_EPOCHS * EPOCH_SECONDS
@@ -87,15 +87,16 @@
         plan.burst < self.reachable_instances
     }
 
-    /// Settles units that were estimated too low (or too high, if negative). The counter is told of them only
-    /// while reports are saved up: at other times a call would stand for many requests.
+    /// Settles units that were estimated too low (or too high, if negative). The correction is reported to
+    /// the counter only while units are accumulated for the next call: at other times a call represents many
+    /// requests.
     pub fn settle(&mut self, correction: f64, now: f64) {
         self.bucket.draw(correction);
         let reported = if now < self.next_call_at { correction } else { 0.0 };
         self.unreported.accepted = (self.unreported.accepted + reported).max(0.0);
     }
 
-    /// Whether the account is idle and a new one would hold no more than it.
+    /// Whether the account is idle and a new one would hold no more units than it.
     pub fn is_evictable(&self, plan: &Plan, max_request_units: f64, now: f64) -> bool {
         let idle_s = now - self.bucket.refilled_at();
         let shortfall = (plan.burst / self.reachable_instances).max(max_request_units) - self.bucket.tokens();
--- a/crates/decision/src/quota/idle_quota_borrowing.rs
+++ b/crates/decision/src/quota/idle_quota_borrowing.rs
@@ -1,19 +1,21 @@
-//! What a bucket may borrow while the customer's quota is idle.
+//! How many units a bucket may borrow while part of the customer's quota is idle.
 //!
-//! A bucket of less than one request rejects most however idle the quota is, and any other lags behind demand
-//! that moves here, a restart or lost counter calls. What it can get wrong: many limiters that lend the same
-//! idle units within one counter period go beyond the quota together. Held by
-//! `tests/decision/quota_share.rs`, `an_idle_quota_lends_to_a_bucket_of_under_one_request`.
+//! A bucket that holds less than one request would reject most requests even if the quota is idle. Any other
+//! bucket lags when demand moves to this limiter, after a restart and after lost counter calls. What it can
+//! get wrong: several limiters may borrow the same idle units within one counter period, so that together
+//! they exceed the quota. Held by `tests/decision/quota_share.rs`,
+//! `an_idle_quota_lends_to_a_bucket_below_one_request`.
 
 use super::usage_totals::UsageTotals;
 use crate::interface::Plan;
 
-/// Share of the plan's burst that a bucket of less than one request may borrow from a quota that is all idle.
+/// Fraction of the plan's burst that a bucket of less than one request may borrow from a fully idle quota.
 const SMALL_BUCKET_BORROW_RATIO: f64 = 0.7;
-/// Share of its own burst that any other bucket may borrow then.
+/// Fraction of its own burst that any other bucket may borrow from a fully idle quota.
 const BORROW_RATIO: f64 = 0.3;
 
-/// Units that a bucket with this burst may borrow for a request.
+/// Units that a bucket may borrow for a request, in proportion to the idle fraction of the quota. `burst` is
+/// the bucket's own.
 pub fn borrowable_units(
     plan: &Plan,
     burst: f64,
--- a/crates/decision/src/quota/mod.rs
+++ b/crates/decision/src/quota/mod.rs
@@ -1,9 +1,9 @@
 //! Whether a customer's quota allows a request.
 //!
-//! Each limiter holds a token bucket for each customer and refills it by its own share of the quota. The
-//! shares follow from usage totals that the limiters keep together on the counter service: [`demand_share`]
-//! is the rule, [`usage_report`] and [`counter_reply`] are the exchange with the counter. Where each
-//! limiter's share is less than one request, [`probabilistic_admission`] takes the place of the bucket.
+//! Each limiter has a token bucket per customer and refills it at its own share of the quota. The shares are
+//! computed from usage totals that all limiters add up on the counter service: [`demand_share`] is the rule,
+//! [`usage_report`] and [`counter_reply`] are the exchange with the counter. Where each limiter's share is
+//! less than one request, [`probabilistic_admission`] replaces the bucket.
 
 mod concurrency_limit;
 mod counter_encoding;
@@ -32,21 +32,21 @@
 use std::sync::Arc;
 use usage_report::CounterCall;
 
-/// The accounts of all customers, and what they learn from the counter service.
+/// The accounts of all customers and the state of the exchange with the counter service.
 pub struct Quota {
     started_at: f64,
     customers: BTreeMap<Arc<str>, Customer>,
     /// Counter calls without a reply, by the counter's key.
     pending_calls: BTreeMap<String, CounterCall>,
-    /// Ratio of each quota that totals may divide; 0 where they are not used.
+    /// Fraction of each quota that is divided by totals; 0 if they are not used.
     usable_quota_ratio: f64,
     counter_health: CounterHealth,
-    /// Per plan: what was learned from its customers, for those that were not read yet.
+    /// Mean admission probability by plan index, for customers whose totals were not read yet.
     plan_admissions: Vec<PlanAdmission>,
 }
 
 impl Quota {
-    /// A limiter that starts now and knows no customer.
+    /// The state of a limiter that starts now, without customers.
     pub fn new(now: f64) -> Self {
         Quota {
             started_at: now,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Sets the ratio of each quota that the limiters with this view of the counter may divide.
+    /// Sets the fraction of each quota that the limiters with this view of the counts may divide by demand.
     pub fn set_usable_quota_ratio(&mut self, ratio: f64) {
         self.usable_quota_ratio = ratio.clamp(0.0, 1.0);
     }
 
-    /// Creates a customer's account if it has none, and notes how many limiters the customer reaches.
+    /// Creates the customer's account if there is none, and updates the number of limiters that it can reach.
     pub fn ensure_customer(
         &mut self,
         Context { settings, now }: Context,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Counts an attempt as ended. `correction` is by how many units the request was estimated too low.
+    /// Counts an attempt as ended. `correction` is the true units of the request less the estimated ones.
     pub fn on_attempt_ended(&mut self, Context { now, .. }: Context, id: &Arc<str>, correction: f64) {
         if let Some(customer) = self.customers.get_mut(id) {
             customer.in_flight = customer.in_flight.saturating_sub(1);
@@ -112,8 +112,7 @@
         }
     }
 
-    /// Removes the accounts of customers that are idle and whose new account would hold no more than the old
-    /// one.
+    /// Removes the accounts of idle customers for which a new account would hold no more units.
     pub fn evict_idle_customers(&mut self, Context { settings, now }: Context) {
         self.customers.retain(|_, customer| {
             !customer.is_evictable(&settings.plans[customer.plan_index], settings.max_request_units, now)
--- a/crates/decision/src/quota/probabilistic_admission.rs
+++ b/crates/decision/src/quota/probabilistic_admission.rs
@@ -1,25 +1,24 @@
-//! The probability with which a request is admitted where each limiter's share of the burst is below one
-//! token.
+//! Admits requests with a probability where each limiter's share of the burst is below one token.
 //!
-//! A bucket of one request loses what it cannot hold and passes on what others have used up. Instead each
-//! limiter admits the same share of its requests: the quota divided by all demand, corrected by how far the
-//! shared bucket is from full. On average that is the limit of [`super::demand_share`]. A customer that was
-//! not read yet gets the mean probability of its plan's customers. What it can get wrong: a customer unlike
-//! its plan gets too much or too little until its first reply. Held by
-//! `tests/decision/quota_shared_bucket.rs`.
+//! A local bucket that holds one request wastes the tokens beyond it and admits requests although other
+//! limiters have used up the quota. Instead each limiter admits the same fraction of its requests: the quota
+//! divided by the total demand, corrected by how far the shared bucket is from full. On average that is the
+//! limit of [`super::demand_share`]. A customer whose totals were not read yet gets the mean probability of
+//! its plan's customers. What it can get wrong: a customer whose demand differs from that of its plan gets
+//! too much or too little until the first reply. Held by `tests/decision/quota_shared_bucket.rs`.
 
 use super::shared_bucket::SharedBucket;
 use super::usage_totals::UsageTotals;
 use crate::ewma::ewma;
 use crate::interface::Plan;
 
-/// Seconds within which the shared bucket is steered back to full. A full bucket covers what is admitted
-/// before the next reply.
+/// Time, in seconds, within which the correction refills the shared bucket. It aims at a full bucket, which
+/// covers the requests admitted before the next reply.
 const CORRECTION_SECONDS: f64 = 1.0;
-/// Readings over which a plan's mean is taken.
+/// Number of samples after which a plan's mean becomes a moving average.
 const MAX_MEAN_SAMPLES: f64 = 30.0;
 
-/// The share of requests to admit; beyond 0 to 1 where all or none should be.
+/// The fraction of requests to admit. May be below 0 (admit none) or above 1 (admit all).
 pub fn admission_probability(
     plan: &Plan,
     usable_ratio: f64,
@@ -30,7 +29,7 @@
     (plan.rate * usable_ratio + correction) * totals.coverage / totals.demand.max(1e-6)
 }
 
-/// The mean admission probability of a plan's customers that were read here.
+/// The mean admission probability of a plan's customers whose totals this limiter has read.
 #[derive(Clone, Copy)]
 pub struct PlanAdmission {
     mean_probability: f64,
@@ -38,7 +37,7 @@
 }
 
 impl PlanAdmission {
-    /// Before any reading all requests are admitted, as by a fallback.
+    /// The state before the first reading: all requests are admitted.
     pub const INITIAL: PlanAdmission = PlanAdmission { mean_probability: 1.0, sample_count: 0.0 };
 
     /// The mean probability of the plan's customers, from 0 to 1.
@@ -46,7 +45,7 @@
         self.mean_probability
     }
 
-    /// Takes in the probability of a customer that was read.
+    /// Adds the probability of a customer whose totals were read.
     pub fn update(&mut self, probability: f64) {
         self.sample_count = (self.sample_count + 1.0).min(MAX_MEAN_SAMPLES);
         self.mean_probability =
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -1,8 +1,9 @@
-//! Whether a customer's quota and hard limit allow a request now, and if not, when a retry is worth it.
+//! Whether a customer's quota and hard limit allow a request now, and if not, when the client should retry.
 //!
 //! The order is: probabilistic admission where each limiter's share is below one token, otherwise the token
-//! bucket with what it may borrow, then the hard limit. Nothing is drawn here: a request that no endpoint can
-//! take costs no units. Held by `tests/decision/quota_share.rs` and `tests/decision/quota_shared_bucket.rs`.
+//! bucket with what it may borrow, then the hard limit. No units are drawn here, so that a request that no
+//! endpoint can take costs none. Held by `tests/decision/quota_share.rs` and
+//! `tests/decision/quota_shared_bucket.rs`.
 
 use super::customer::Customer;
 use super::demand_share;
@@ -15,17 +16,17 @@
 use crate::interface::Plan;
 use std::sync::Arc;
 
-/// Least refill rate, in units a second, by which a wait is computed.
+/// Lower bound of the refill rate, in units a second, when a wait is computed.
 const MIN_REFILL_RATE: f64 = 1e-3;
 
-/// The quota does not allow a request now.
+/// A request is rejected because of its customer's quota or hard limit.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaExceeded {
-    /// Seconds after which a retry is worth it; 0: unknown.
+    /// Seconds after which a retry may be admitted; 0: unknown.
     pub retry_after_s: f64,
 }
 
-/// What the bucket can offer a request.
+/// Outcome of refilling a customer's bucket.
 struct RefillResult {
     /// Refill rate in units a second.
     rate: f64,
@@ -34,7 +35,7 @@
 }
 
 impl Quota {
-    /// Checks a request of so many units.
+    /// Checks a request of `units`.
     ///
     /// # Errors
     ///
@@ -54,8 +55,9 @@
         let totals = customer.usable_totals(usable_ratio, now);
         let refilled = customer.refill(plan, units, usable_ratio, totals, now);
         let is_below_one_token = plan.rate > 0.0 && customer.is_below_one_token(plan);
-        // One request from each limiter would be several bursts. Where nothing is known of this customer, its
-        // plan's mean probability decides; a rejection asks the counter for its totals.
+        // If each limiter admitted a first request, they would exceed the burst several times. Without totals
+        // for this customer the mean probability of its plan decides; a rejected request is reported to the
+        // counter too, whose reply brings the totals.
         if is_below_one_token && usable_ratio > 0.0 && customer.totals.is_none() {
             let admission = self.plan_admissions.get(customer.plan_index);
             if admission.is_some_and(|admission| rng.f64() >= admission.mean_probability()) {
@@ -69,8 +71,8 @@
                 let retry_after_s = (shortfall / (plan.rate * usable_ratio)).max(CALL_PERIOD_SECONDS);
                 return Err(QuotaExceeded { retry_after_s });
             }
-            // The shared bucket covers it: the local one, which serves while totals are missing, owes
-            // nothing.
+            // The request is covered by the shared bucket. The local bucket, which is used while totals are
+            // missing, must not go into debt for it.
             customer.bucket.ensure_at_least(units);
         } else if plan.rate > 0.0 {
             customer.check_bucket(units, &refilled, now)?;
@@ -83,7 +85,7 @@
 }
 
 impl Customer {
-    /// Refills the bucket and the hard limit up to now.
+    /// Refills the bucket and the hard limit up to `now`.
     fn refill(
         &mut self,
         plan: &Plan,
@@ -99,6 +101,7 @@
         RefillResult { rate, borrowable: borrowable_units(plan, burst, units, usable_ratio, totals) }
     }
 
+    /// Checks whether the bucket and the units that it may borrow cover a request.
     fn check_bucket(&self, units: f64, refilled: &RefillResult, now: f64) -> Result<(), QuotaExceeded> {
         let is_short = self.bucket.tokens() + refilled.borrowable < units;
         if !is_short {
@@ -109,7 +112,7 @@
         }
         let refill_wait_s =
             (units - self.bucket.tokens() - refilled.borrowable) / refilled.rate.max(MIN_REFILL_RATE);
-        // Where the quota is idle, the next totals are worth more than the wait for tokens.
+        // While part of the quota is idle, the next totals may allow the request: no need to wait longer.
         let max_wait_s =
             if refilled.borrowable > 0.0 { (self.next_call_at - now).max(0.0) } else { refill_wait_s };
         Err(QuotaExceeded { retry_after_s: refill_wait_s.min(max_wait_s) })
--- a/crates/decision/src/quota/shared_bucket.rs
+++ b/crates/decision/src/quota/shared_bucket.rs
@@ -1,20 +1,20 @@
-//! The level of the one token bucket that all limiters of a customer draw from together, as the counter tells
-//! it.
+//! Model of a single token bucket per customer from which all limiters draw; its level is computed from the
+//! counter's replies.
 //!
-//! It matters where one request from each limiter is already more than the burst: local buckets cannot hold
+//! It is needed where one request from each limiter already exceeds the burst: local buckets cannot enforce
 //! such a quota. What it can get wrong: between readings the level is as old as the last reply. Held by
 //! `tests/decision/quota_shared_bucket.rs`.
 
 use super::usage_totals::UsageTotals;
 use crate::interface::Plan;
 
-/// The bucket of one customer.
+/// The shared bucket of one customer.
 pub struct SharedBucket {
-    /// Units left at the last reading; overdrawn by one burst at most.
+    /// Units left at the last reading, from minus one burst to one burst.
     level: f64,
 }
 
-/// When what a reply tells of was drawn.
+/// The times that delimit the period of a reading.
 pub struct ReadingTimes {
     pub previous_reply: f64,
     pub epoch_start: f64,
@@ -22,7 +22,7 @@
 }
 
 impl SharedBucket {
-    /// A bucket that nothing was drawn from.
+    /// A bucket that holds the plan's burst.
     pub fn full(plan: &Plan) -> Self {
         SharedBucket { level: plan.burst }
     }
@@ -32,8 +32,8 @@
         self.level
     }
 
-    /// Takes in what all limiters drew since the reply before, or since the epoch began if that is later. The
-    /// draws are taken to be even over that time.
+    /// Updates the level by the units that all limiters drew since the previous reply, or since the start of
+    /// the epoch if that is later. The draws are assumed to be spread evenly over that time.
     pub fn update(
         &mut self,
         plan: &Plan,
@@ -43,7 +43,8 @@
         times: &ReadingTimes,
     ) {
         let &ReadingTimes { previous_reply, epoch_start, now } = times;
-        // What was drawn in the last epoch after its last reply is unknown: it is taken to be as before.
+        // Draws between the last reply of the previous epoch and its end are unknown: they are assumed to
+        // have continued at the mean rate.
         let accepted = totals.map_or(refill_rate, |totals| totals.accepted / totals.coverage.max(1e-6));
         let unobserved = (refill_rate - accepted) * (epoch_start - previous_reply).max(0.0);
         let left = (self.level + unobserved).min(plan.burst)
--- a/crates/decision/src/quota/usage_report.rs
+++ b/crates/decision/src/quota/usage_report.rs
@@ -1,8 +1,9 @@
-//! Reports of a customer's demand to the counter, off the request path.
+//! Reports a customer's demand to the counter, off the request path.
 //!
-//! A share of the requests calls the counter and stands for all, so that hundreds of limiters stay within its
-//! capacity; for a period after a call, and while one is in flight, units are saved up for the next. What it
-//! can get wrong: rare customers are reported with chance, right only on average. Held by
+//! Only a random sample of the requests calls the counter, so that hundreds of limiters stay within its
+//! capacity; the units of a sampled request are scaled up to represent the others. While a call is in flight
+//! and for a period after it, units are accumulated for the next call. What it can get wrong: reports of rare
+//! customers are random and right only on average. Held by
 //! `tests/decision/counter.rs`, `requests_of_customers_seen_once_are_reported_for_all_that_do_not_call`.
 
 use super::counter_encoding::{report_steps, units_per_step, Usage};
@@ -12,30 +13,31 @@
 use crate::interface::Action;
 use std::sync::Arc;
 
-/// Least seconds between two counter calls for a customer, on average.
+/// Mean of the minimum time, in seconds, between two counter calls for a customer.
 pub const CALL_PERIOD_SECONDS: f64 = 0.5;
-/// The period is drawn from this share of it upwards, by as much as the spread, so that limiters do not call
-/// in step.
+/// Each period is drawn between this multiple of the mean and this multiple plus the spread, so that limiters
+/// do not call in lockstep.
 const CALL_PERIOD_MIN_RATIO: f64 = 0.9;
 const CALL_PERIOD_SPREAD: f64 = 0.2;
 
-/// A request's demand, to be reported.
+/// The demand of one request, to be reported to the counter.
 pub struct Demand<'a> {
     pub customer: &'a Arc<str>,
     pub units: f64,
     pub admitted: bool,
 }
 
-/// A counter call without a reply.
+/// A counter call that waits for its reply.
 pub struct CounterCall {
     pub customer: Arc<str>,
     pub epoch: i64,
-    /// What it adds.
+    /// The steps that it adds.
     pub steps: Usage,
 }
 
 impl Quota {
-    /// Notes a request's demand for the counter and calls it if a call is due.
+    /// Accumulates a request's demand while no call may be made; otherwise calls the counter if the request
+    /// is sampled.
     pub fn report_demand(
         &mut self,
         Context { settings, now }: Context,
--- a/crates/decision/src/quota/usage_totals.rs
+++ b/crates/decision/src/quota/usage_totals.rs
@@ -4,13 +4,13 @@
 use super::usage_report::CALL_PERIOD_SECONDS;
 use crate::ewma::ewma;
 
-/// Averages reach over this many mean intervals between replies ...
+/// Time constant of the averages, in mean intervals between replies.
 const MEMORY_REPLIES: f64 = 4.0;
-/// ... and over this share of an epoch at most.
+/// Upper bound of the time constant, in epochs.
 const MEMORY_MAX_EPOCHS: f64 = 0.5;
 
-/// What the latest replies of the counter tell of a customer. A value includes the zeros that its average
-/// began with: divided by `coverage` it is what was read.
+/// A customer's usage according to the counter's latest replies. The averages start at zero, so that the
+/// first values are too low: divided by `coverage` they are the mean of what was read.
 #[derive(Clone, Copy, Default)]
 pub struct UsageTotals {
     /// Demand at this limiter.
@@ -21,13 +21,13 @@
     pub accepted: f64,
     /// Time of the latest reply.
     pub read_at: f64,
-    /// Seconds over which the values are averaged.
+    /// Time constant of the averages, in seconds.
     pub memory: f64,
-    /// Share of the averages that was read; the rest is the zero that they began with.
+    /// Weight of the readings in the averages; the rest is the weight of the initial zero.
     pub coverage: f64,
 }
 
-/// What one reply adds.
+/// The usage between two replies.
 pub struct UsageReading {
     /// Units demanded at this limiter within `own_span_s` seconds.
     pub own_demand: f64,
--- a/crates/decision/src/timer.rs
+++ b/crates/decision/src/timer.rs
@@ -1,11 +1,10 @@
-//! The timers of a limiter and their encoding in the one number that the host carries.
+//! The timers of a limiter and their encoding as the token that the host returns when one expires.
 //!
-//! A host may keep a token over a change of the limiter's state: a timer for a request that is gone has no
-//! effect.
+//! Timers are never cancelled: one for a request that has ended has no effect.
 
 use crate::interface::RequestId;
 
-/// Kinds of timers; a token is `request * KIND_COUNT + kind`.
+/// Number of timer kinds; a token is `request * KIND_COUNT + kind`.
 const KIND_COUNT: u64 = 4;
 const TICK: u64 = 0;
 const REQUEST_DEADLINE: u64 = 1;
@@ -19,14 +18,14 @@
     Tick,
     /// A request without a response is about to reach its deadline.
     RequestDeadline(RequestId),
-    /// An attempt of a request takes long.
+    /// An attempt of a request is slow.
     SlowAttempt(RequestId),
-    /// The deadline of an authorized call has passed.
+    /// The deadline of an authorization has passed.
     AuthorizationExpiry(RequestId),
 }
 
 impl Timer {
-    /// The number by which the host returns this timer.
+    /// Encodes this timer as a token.
     pub fn token(self) -> u64 {
         match self {
             Timer::Tick => TICK,
@@ -36,7 +35,7 @@
         }
     }
 
-    /// The timer of a token.
+    /// Decodes a token.
     pub fn from_token(token: u64) -> Self {
         let id = token / KIND_COUNT;
         match token % KIND_COUNT {
