--- a/crates/counter/src/assessment.rs
+++ b/crates/counter/src/assessment.rs
@@ -1,21 +1,21 @@
-//! What one instance makes of all its counters: the active one, and how far its totals may be relied on.
+//! The result of monitoring all counters of one instance: the active counter and its validity.
 
 use crate::{ActiveCounter, ErrorBound, Fault, Quota, Switch, Timing, ValidationSettings, Validity, Verdict};
 use std::fmt;
 
-/// Census periods within which a fault that an instance cannot see by itself is detected.
+/// Census periods until a fault is detected that only the census shows, such as a split counter.
 const DETECTION_PERIODS: f64 = 2.0;
 
 /// The active counter and its validity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assessment {
-    /// The counter that customers are counted at.
+    /// The counter that receives the calls for customers' quotas.
     pub active: ActiveCounter,
-    /// How many counters there are.
+    /// Number of configured counters.
     pub counter_count: usize,
     /// How far the active counter's totals may be relied on.
     pub validity: Validity,
-    /// The switch that led to this assessment, if it was one.
+    /// The switch of the active counter that caused this assessment, if any.
     pub switch: Option<Switch>,
 }
 
@@ -30,32 +30,32 @@
 }
 
 impl Assessment {
-    /// The fault that an instance has to assume. Its duration is how long it lasts where it is detected, and how long
-    /// its detection takes where it is not.
+    /// The fault to assume for the error bound. Its duration is that of the detected fault, or the detection time if the
+    /// fault is one that is only detected with a delay.
     pub fn assumed_fault(&self, settings: &ValidationSettings) -> Fault {
-        let detection = DETECTION_PERIODS * settings.census_period;
+        let detection = DETECTION_PERIODS * settings.census_period_s;
         let Validity { usable_quota_ratio, verdict, instances_seen } = self.validity;
         match verdict {
-            // Valid, but before the first census: the fallback share.
-            Verdict::Valid if usable_quota_ratio == 0.0 => Fault::Unavailable { seconds: detection },
+            // Valid, but before the first complete census: each instance uses its fallback share.
+            Verdict::Valid if usable_quota_ratio == 0.0 => Fault::Unavailable { duration_s: detection },
             Verdict::Valid if instances_seen < settings.instance_count => {
                 let partitions = settings.instance_count.div_ceil(instances_seen.max(1));
-                Fault::SplitBrain { partitions, seconds: detection }
+                Fault::SplitBrain { partitions, duration_s: detection }
             }
             Verdict::Valid => Fault::None,
             Verdict::Unknown | Verdict::UnknownAfterPause | Verdict::Unavailable => {
-                Fault::Unavailable { seconds: detection }
+                Fault::Unavailable { duration_s: detection }
             }
             Verdict::CountsLost => Fault::CountsLost,
             Verdict::RolledBack | Verdict::Stale => {
-                let seconds = f64::from(settings.required_valid_answers) * settings.call_interval;
-                Fault::Stale { seconds }
+                let duration_s = f64::from(settings.required_valid_answers) * settings.call_interval_s;
+                Fault::Stale { duration_s }
             }
-            Verdict::DoubleCounted => Fault::DoubleCounted { seconds: detection },
+            Verdict::DoubleCounted => Fault::DoubleCounted { duration_s: detection },
         }
     }
 
-    /// How far a customer's use may leave its quota under the assumed fault.
+    /// Bound on the deviation of a customer's use from its quota under the assumed fault.
     pub fn error_bound(&self, quota: &Quota, timing: &Timing, settings: &ValidationSettings) -> ErrorBound {
         ErrorBound::under(quota, timing, self.assumed_fault(settings))
     }
--- a/crates/counter/src/census.rs
+++ b/crates/counter/src/census.rs
@@ -1,16 +1,16 @@
-//! The instance census: one count for each period, which every instance increments once and reads once.
+//! The instance census: one count per period, which every instance increments once and reads once.
 //!
-//! An instance that reads fewer than there are instances shares its counter with that many only, so the counter is
-//! split or some instances cannot reach it.
+//! A total below the configured number of instances means that the counter is split, or that some instances cannot
+//! reach it.
 
-/// Position in the period, from 0 to 1, up to which an instance registers.
+/// End of the registration window, as a fraction of the period.
 const REGISTRATION_END: f64 = 0.4;
-/// Position in the period, from 0 to 1, from which the census is read.
+/// Start of the reading window, as a fraction of the period.
 const READING_START: f64 = 0.6;
-/// Periods after which the latest reading is too old to be used after a process pause.
+/// Age in periods above which the latest reading is discarded after a process pause.
 const MAX_AGE_PERIODS: i64 = 2;
 
-/// The highest total that was seen of one period's census.
+/// The highest total seen in the census of one period.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     period: i64,
@@ -22,7 +22,7 @@
 pub(crate) struct Census {
     /// Latest period in which this instance registered.
     registered_in: Option<i64>,
-    /// Latest period whose census was read to its end.
+    /// Latest period whose census was read in its reading window.
     completed: Option<i64>,
     latest: Option<Reading>,
     /// Result of the latest complete census.
@@ -30,12 +30,12 @@
 }
 
 impl Census {
-    /// Name of a period's count on the counter service. All versions that share a counter have to agree on it.
+    /// Key of a period's count on the counter service. All versions that share a counter must use the same key.
     pub(crate) fn key(period: i64) -> String {
         format!("roll.{period}")
     }
 
-    /// The increment of the call that is due at a position of a period, from 0 to 1: 1 registers, 0 reads.
+    /// The increment of the call that is due at `position`, a fraction of the period: 1 registers, 0 reads.
     pub(crate) fn due_increment(&mut self, period: i64, position: f64) -> Option<f64> {
         if position < REGISTRATION_END && self.registered_in != Some(period) {
             self.registered_in = Some(period);
@@ -46,14 +46,14 @@
         readable.then_some(0.0)
     }
 
-    /// Registers once more in this period, because the registration was certainly not applied.
+    /// Makes the registration of this period due again, because the call was definitely not applied.
     pub(crate) fn cancel_registration(&mut self, period: i64) {
         if self.registered_in == Some(period) {
             self.registered_in = None;
         }
     }
 
-    /// Takes in the total that answered a call, of `instance_count` instances in all.
+    /// Records the total returned by a call. `instance_count` is the configured number of instances.
     pub(crate) fn record_total(&mut self, period: i64, increment: f64, total: f64, instance_count: u32) {
         let seen = total.clamp(0.0, f64::from(instance_count)) as u32;
         let before = self.latest.filter(|reading| reading.period == period);
@@ -63,7 +63,7 @@
         if reads {
             self.completed = Some(period);
         }
-        // The answer to a registration shows who registered earlier; only if that is everybody is it a result.
+        // The answer to a registration counts only earlier registrations, so it is a result only if it is complete.
         if reads || seen >= instance_count {
             self.instances = Some(instances);
         }
@@ -74,12 +74,12 @@
         self.instances
     }
 
-    /// Forgets the results, but not in which periods this instance registered.
+    /// Discards the results. Registrations are kept, so that this instance is not counted twice in a period.
     pub(crate) fn forget_results(&mut self) {
         (self.instances, self.latest) = (None, None);
     }
 
-    /// Forgets the result if it is old at `period`.
+    /// Discards the result if it is more than [`MAX_AGE_PERIODS`] old at `period`.
     pub(crate) fn expire(&mut self, period: i64) {
         if self.latest.is_none_or(|reading| period - reading.period > MAX_AGE_PERIODS) {
             self.instances = None;
--- a/crates/counter/src/failover.rs
+++ b/crates/counter/src/failover.rs
@@ -1,75 +1,75 @@
 //! Selects the active counter: the first valid one of an ordered list, with failover and failback.
 //!
-//! Each instance decides for itself, from the same list and with the same policy. Instances stay together because all of
-//! them see the same counter fail, and because a failback begins with a census, which starts at one moment for all.
+//! Each instance decides independently, with the same list and the same policy. Instances agree because all of them
+//! observe the same failures, and because a failback is aligned to the start of a census, which is the same for all.
 
 use crate::Verdict;
 use std::fmt;
 
-/// When the active counter is given up, and when an earlier one is used again.
+/// Policy for leaving the active counter and for returning to an earlier one in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverPolicy {
-    /// Seconds for which a counter may show a fault other than unavailability before it is given up. Unavailability
-    /// takes several calls in a row to establish and needs no further delay.
-    pub fault_tolerance: f64,
-    /// Seconds for which an earlier counter has to be valid before a failback to it. Each failover from it doubles this
-    /// time, up to [`FailoverPolicy::max_recovery_period`].
-    pub recovery_period: f64,
+    /// Seconds for which a counter may show a fault other than unavailability before a failover. Unavailability needs no
+    /// further delay, because it is only established after several consecutive failed calls.
+    pub fault_tolerance_s: f64,
+    /// Seconds for which an earlier counter must be valid before a failback to it. Each failover from it doubles this
+    /// time, up to [`FailoverPolicy::max_recovery_period_s`].
+    pub recovery_period_s: f64,
     /// Upper limit of the recovery period, in seconds.
-    pub max_recovery_period: f64,
-    /// Seconds over which instances spread their failover.
-    pub jitter: f64,
-    /// Seconds of a census: a failback begins with one.
-    pub census_period: f64,
+    pub max_recovery_period_s: f64,
+    /// Seconds over which the instances' failovers are spread.
+    pub jitter_s: f64,
+    /// Length of a census period in seconds; failbacks are aligned to its start.
+    pub census_period_s: f64,
 }
 
 impl Default for FailoverPolicy {
-    /// Half a minute before a failback, ten minutes at most.
+    /// A recovery period of 30 seconds, at most ten minutes.
     fn default() -> Self {
         FailoverPolicy {
-            fault_tolerance: 5.0,
-            recovery_period: 30.0,
-            max_recovery_period: 600.0,
-            jitter: 0.5,
-            census_period: 5.0,
+            fault_tolerance_s: 5.0,
+            recovery_period_s: 30.0,
+            max_recovery_period_s: 600.0,
+            jitter_s: 0.5,
+            census_period_s: 5.0,
         }
     }
 }
 
-/// Share of a census period, from its start, over which failbacks are spread. It ends before registrations do.
+/// Fraction of a census period, from its start, over which failbacks are spread. It ends before the registration window.
 const FAILBACK_SPREAD: f64 = 0.2;
 /// Factor by which each failover from a counter lengthens its recovery period.
 const RECOVERY_BACKOFF: f64 = 2.0;
-/// Least census period that divides time, in seconds.
-const MIN_CENSUS_PERIOD: f64 = 1e-3;
+/// Lower limit of the census period in seconds, which avoids a division by zero.
+const MIN_CENSUS_PERIOD_S: f64 = 1e-3;
 
-/// The counter that is called now. Calls carry it, because an answer to a call of an earlier generation does not belong
-/// to this counter.
+/// The active counter. Calls carry it, because an answer to a call of an earlier generation may come from another
+/// counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ActiveCounter {
-    /// Its index in the list.
+    /// Index in the list of counters.
     pub index: usize,
-    /// Increases with each switch, and when the counter gets another address.
+    /// Increases with each switch, and when the address of the active counter changes.
     pub generation: u64,
 }
 
 /// Why the active counter was switched.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SwitchReason {
-    /// The one before showed this fault.
+    /// The previous counter showed this fault.
     Failover(Verdict),
-    /// An earlier one has been valid for its recovery period.
+    /// An earlier counter in the list has been valid for its recovery period.
     Failback,
 }
 
 /// A switch of the active counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Switch {
-    /// Index of the counter before.
+    /// Index of the previous counter.
     pub from: usize,
-    /// Index of the counter from now on.
+    /// Index of the new counter.
     pub to: usize,
-    /// Why.
+    /// Reason for the switch.
     pub reason: SwitchReason,
 }
 
@@ -84,24 +84,25 @@
     }
 }
 
-/// What is known of one counter.
+/// The observed status of one counter.
 #[derive(Clone, Copy, Debug)]
 struct CounterStatus {
     verdict: Verdict,
     /// Whether the latest call was answered.
     is_answering: bool,
-    /// When the verdict changed last.
+    /// When the verdict last changed.
     since: f64,
-    recovery_period: f64,
+    recovery_period_s: f64,
 }
 
 impl CounterStatus {
     fn unknown(policy: &FailoverPolicy, now: f64) -> Self {
-        let recovery_period = policy.recovery_period;
-        CounterStatus { verdict: Verdict::Unknown, is_answering: true, since: now, recovery_period }
+        let recovery_period_s = policy.recovery_period_s;
+        CounterStatus { verdict: Verdict::Unknown, is_answering: true, since: now, recovery_period_s }
     }
 
-    /// A valid counter whose latest call failed is no target: where several fail at once, it may be the next.
+    /// Whether a failover may select this counter. One whose latest call failed is excluded even if its verdict is still
+    /// valid, because several counters may be failing at once.
     fn is_usable(&self) -> bool {
         self.verdict == Verdict::Valid && self.is_answering
     }
@@ -114,12 +115,12 @@
     counters: Vec<CounterStatus>,
     active: ActiveCounter,
     active_since: f64,
-    /// Position of this instance in every spread, from 0 to 1.
+    /// Position of this instance within the spread of failovers and failbacks, from 0 to 1.
     phase: f64,
 }
 
 impl Failover {
-    /// Begins with the first of `counter_count` counters. `phase`, from 0 to 1, is drawn by each instance.
+    /// Starts with the first of `counter_count` counters active. Each instance draws its own `phase` from 0 to 1.
     pub fn new(policy: FailoverPolicy, counter_count: usize, phase: f64, now: f64) -> Self {
         Failover {
             policy,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The counter to call now.
+    /// The active counter.
     pub fn active(&self) -> ActiveCounter {
         self.active
     }
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A counter has another address: nothing is known of what answers there.
+    /// Resets the status of a counter whose address changed.
     pub fn address_changed(&mut self, counter: usize, now: f64) {
         if let Some(status) = self.counters.get_mut(counter) {
             *status = CounterStatus::unknown(&self.policy, now);
@@ -154,26 +155,26 @@
         }
     }
 
-    /// When the active counter is to be given up, if it shows a fault.
+    /// When a failover from the active counter is due, if it shows a fault.
     fn failover_at(&self) -> Option<f64> {
         let status = self.counters[self.active.index];
         let tolerance = match status.verdict {
             Verdict::Unknown | Verdict::UnknownAfterPause | Verdict::Valid => return None,
             Verdict::Unavailable => 0.0,
-            _ => self.policy.fault_tolerance,
+            _ => self.policy.fault_tolerance_s,
         };
-        Some(status.since + tolerance + self.phase * self.policy.jitter)
+        Some(status.since + tolerance + self.phase * self.policy.jitter_s)
     }
 
-    /// When a usable counter can be used again: with the first census that begins after its recovery period.
+    /// When a failback to a usable counter is due: at the first census that starts after its recovery period.
     fn failback_at(&self, counter: usize) -> f64 {
         let status = self.counters[counter];
-        let census_period = self.policy.census_period.max(MIN_CENSUS_PERIOD);
-        let periods = ((status.since + status.recovery_period) / census_period).ceil();
-        census_period * (periods + FAILBACK_SPREAD * self.phase)
+        let census_period_s = self.policy.census_period_s.max(MIN_CENSUS_PERIOD_S);
+        let periods = ((status.since + status.recovery_period_s) / census_period_s).ceil();
+        census_period_s * (periods + FAILBACK_SPREAD * self.phase)
     }
 
-    /// Switches the active counter, if that is due.
+    /// Switches the active counter if a failover or failback is due.
     pub fn switch_if_due(&mut self, now: f64) -> Option<Switch> {
         if self.failover_at().is_some_and(|at| now >= at) {
             return self.fail_over(now);
@@ -181,16 +182,19 @@
         self.fail_back(now)
     }
 
-    /// With no usable counter a switch would gain nothing and lose increments, so there is none.
+    /// Fails over to the first usable counter. Without one there is no switch, which would only lose increments.
     fn fail_over(&mut self, now: f64) -> Option<Switch> {
         let to = self.counters.iter().position(CounterStatus::is_usable)?;
         let failed = &mut self.counters[self.active.index];
         let verdict = failed.verdict;
-        let was_stable = now - self.active_since >= self.policy.max_recovery_period;
-        let recovery_period =
-            if was_stable { self.policy.recovery_period } else { RECOVERY_BACKOFF * failed.recovery_period };
-        let longest = self.policy.max_recovery_period.max(self.policy.recovery_period);
-        failed.recovery_period = recovery_period.min(longest);
+        let was_stable = now - self.active_since >= self.policy.max_recovery_period_s;
+        let recovery_period_s = if was_stable {
+            self.policy.recovery_period_s
+        } else {
+            RECOVERY_BACKOFF * failed.recovery_period_s
+        };
+        let longest = self.policy.max_recovery_period_s.max(self.policy.recovery_period_s);
+        failed.recovery_period_s = recovery_period_s.min(longest);
         Some(self.switch(to, SwitchReason::Failover(verdict), now))
     }
 
--- a/crates/counter/src/failover/tests.rs
+++ b/crates/counter/src/failover/tests.rs
@@ -1,13 +1,13 @@
-//! Failover and failback.
+//! Tests of failover and failback.
 
 use super::*;
 
 const POLICY: FailoverPolicy = FailoverPolicy {
-    fault_tolerance: 4.0,
-    recovery_period: 10.0,
-    max_recovery_period: 80.0,
-    jitter: 1.0,
-    census_period: 5.0,
+    fault_tolerance_s: 4.0,
+    recovery_period_s: 10.0,
+    max_recovery_period_s: 80.0,
+    jitter_s: 1.0,
+    census_period_s: 5.0,
 };
 
 fn all_valid(counters: usize, phase: f64) -> Failover {
@@ -21,14 +21,14 @@
     let mut failover = all_valid(3, 0.5);
     failover.observe(1, Verdict::CountsLost, true, 1.0);
     failover.observe(0, Verdict::Unavailable, false, 2.0);
-    assert_eq!(failover.switch_if_due(2.4), None, "its position in the spread has not come");
+    assert_eq!(failover.switch_if_due(2.4), None, "the failover is delayed by the jitter");
     let switch = failover.switch_if_due(2.6).expect("a failover");
     assert_eq!(
         (switch.to, switch.reason, failover.active().generation),
         (2, SwitchReason::Failover(Verdict::Unavailable), 1)
     );
     assert_eq!(switch.to_string(), "in place of keeper 1, which gives no answers");
-    // A second failover within a period.
+    // A second failover shortly after the first.
     failover.observe(1, Verdict::Valid, true, 2.7);
     failover.observe(2, Verdict::Unavailable, false, 2.8);
     assert_eq!(failover.switch_if_due(3.4).map(|switch| switch.to), Some(1));
@@ -40,7 +40,7 @@
     failover.observe(0, Verdict::Stale, true, 10.0);
     assert_eq!(failover.switch_if_due(13.9), None);
     failover.observe(1, Verdict::Valid, false, 12.0);
-    assert_eq!(failover.switch_if_due(15.0), None, "the other one has left a call unanswered");
+    assert_eq!(failover.switch_if_due(15.0), None, "the latest call to the other counter was not answered");
     failover.observe(1, Verdict::Valid, true, 16.0);
     assert_eq!(failover.switch_if_due(16.0).map(|switch| switch.to), Some(1));
 }
@@ -84,11 +84,11 @@
     let mut failover = all_valid(2, 0.0);
     let mut now = 0.0;
     for _ in 0..20 {
-        // It fails within moments of each failback.
+        // The counter fails immediately after each failback.
         failover.observe(0, Verdict::Unavailable, false, now);
         assert!(failover.switch_if_due(now).is_some_and(|switch| switch.to == 1));
         failover.observe(0, Verdict::Valid, true, now);
-        now += POLICY.max_recovery_period + POLICY.census_period * 1.3;
+        now += POLICY.max_recovery_period_s + POLICY.census_period_s * 1.3;
         assert!(
             failover.switch_if_due(now).is_some_and(|switch| switch.to == 0),
             "80 s, and the next census"
@@ -127,7 +127,7 @@
             );
             generation += 1;
             if switch.reason == SwitchReason::Failback {
-                assert!(switch.to < switch.from && now >= known[switch.to].1 + POLICY.recovery_period);
+                assert!(switch.to < switch.from && now >= known[switch.to].1 + POLICY.recovery_period_s);
             } else {
                 assert_ne!(known[switch.from].0, Verdict::Valid);
             }
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,10 +1,10 @@
-//! The client side of the counter service, without I/O: which counter is used, how far its totals may be relied on, and
-//! how large the error of a quota is while a counter fails.
+//! The client side of the counter service, without I/O: selection of the active counter, validation of its totals, and
+//! bounds on the error of a quota while a counter fails.
 //!
-//! [`CounterValidator`] validates one counter by calls of its own: a sentinel counter and an instance census.
+//! [`CounterValidator`] validates one counter with dedicated calls to a sentinel counter and an instance census.
 //! [`CounterMonitor`] validates all counters of an instance and follows their [`Failover`]. [`Pacer`] limits the rate of
-//! calls, and [`PauseDetector`] detects pauses of the process. [`ErrorBound`] states how far a customer's use over all
-//! instances together may leave its quota while the counter is unavailable, has lost counts, answers with old totals, or
+//! calls, and [`PauseDetector`] detects pauses of the process. [`ErrorBound`] bounds how far a customer's use over all
+//! instances may deviate from its quota while the counter is unavailable, has lost counts, answers with old totals, or
 //! is split. `docs/design/keeper.md` derives the bounds; `tests/bounds.rs` checks the decision module against them with
 //! simulated instances and counters.
 //!
@@ -16,8 +16,8 @@
 //! let quota =
 //!     Quota { rate: 6.5, burst: 30.0, max_request_units: 4.0, instance_count: 3, hard_limit_factor: 2.0 };
 //! let timing = Timing::default();
-//! let unavailable = ErrorBound::under(&quota, &timing, Fault::Unavailable { seconds: 60.0 });
-//! let arbitrary = ErrorBound::under(&quota, &timing, Fault::Arbitrary { seconds: 60.0 });
+//! let unavailable = ErrorBound::under(&quota, &timing, Fault::Unavailable { duration_s: 60.0 });
+//! let arbitrary = ErrorBound::under(&quota, &timing, Fault::Arbitrary { duration_s: 60.0 });
 //! assert!(unavailable.overshoot < arbitrary.overshoot);
 //! ```
 
--- a/crates/counter/src/monitor.rs
+++ b/crates/counter/src/monitor.rs
@@ -1,4 +1,4 @@
-//! Monitors all counters of one instance: a validator for each, and the failover between them.
+//! Monitors all counters of one instance, with a validator for each and failover between them.
 
 use crate::{
     Assessment, CallResult, CounterValidator, Failover, FailoverPolicy, Switch, ValidationCall,
@@ -13,8 +13,8 @@
 }
 
 impl CounterMonitor {
-    /// A monitor of `counter_count` counters, of which the first is active. `phase`, from 0 to 1, is drawn by each
-    /// instance and spreads failovers.
+    /// A monitor of `counter_count` counters, of which the first is active. Each instance draws its own `phase` from 0 to
+    /// 1, which spreads failovers.
     pub fn new(
         settings: &ValidationSettings,
         policy: FailoverPolicy,
@@ -23,7 +23,7 @@
         now: f64,
     ) -> Self {
         let counter_count = counter_count.max(1);
-        let policy = FailoverPolicy { census_period: settings.census_period, ..policy };
+        let policy = FailoverPolicy { census_period_s: settings.census_period_s, ..policy };
         let mut validators: Vec<_> =
             (0..counter_count).map(|_| CounterValidator::new(settings.clone(), now)).collect();
         for standby in &mut validators[1..] {
@@ -32,7 +32,7 @@
         CounterMonitor { validators, failover: Failover::new(policy, counter_count, phase, now) }
     }
 
-    /// The present assessment.
+    /// The current assessment.
     pub fn assessment(&self) -> Assessment {
         let active = self.failover.active();
         let validity = self.validators[active.index].validity();
@@ -44,7 +44,7 @@
         self.validators[counter].next_call_at()
     }
 
-    /// The call to a counter that is due, if any. Its result has to be recorded before the next one to the same counter.
+    /// The call to a counter that is due, if any. Its result must be recorded before the next call to that counter.
     pub fn due_call(&mut self, counter: usize, now: f64) -> Option<ValidationCall> {
         self.validators[counter].due_call(now)
     }
@@ -68,7 +68,7 @@
         self.changed_since(before, switch)
     }
 
-    /// A counter has another address. Returns the assessment if it changed.
+    /// Resets the validation of a counter whose address changed. Returns the assessment if it changed.
     pub fn address_changed(&mut self, counter: usize, now: f64) -> Option<Assessment> {
         let before = self.assessment();
         self.validators[counter].address_changed(now);
@@ -76,7 +76,7 @@
         self.changed_since(before, None)
     }
 
-    /// The process was paused. Returns the assessment if it changed.
+    /// Marks all counters as unconfirmed after a pause of the process. Returns the assessment if it changed.
     pub fn process_resumed(&mut self, now: f64) -> Option<Assessment> {
         let before = self.assessment();
         for counter in 0..self.validators.len() {
@@ -86,7 +86,7 @@
         self.changed_since(before, None)
     }
 
-    /// Passes a counter's verdict on to the failover.
+    /// Reports a counter's verdict to the failover.
     fn observe(&mut self, counter: usize, now: f64) {
         let validator = &self.validators[counter];
         self.failover.observe(counter, validator.validity().verdict, validator.is_answering(), now);
--- a/crates/counter/src/sentinel.rs
+++ b/crates/counter/src/sentinel.rs
@@ -1,8 +1,8 @@
-//! Sentinel counters: counts that a single instance increments, so that it knows what their totals have to be.
+//! Sentinel counters: counts that only one instance increments, so that it knows the correct totals.
 
 use crate::Verdict;
 
-/// Increment that creates a sentinel. Later increments are 1, so a total of 1 shows a counter that started again and
+/// Increment that creates a sentinel. Later increments are 1, so a total of 1 means a counter that restarted from zero,
 /// never one that did not change.
 const FIRST_INCREMENT: f64 = 2.0;
 /// Increment of an existing sentinel.
@@ -11,7 +11,7 @@
 /// The sentinel of one period of one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Sentinel {
-    /// Number of the period that it belongs to.
+    /// Number of the census period that the sentinel belongs to.
     pub(crate) period: i64,
     /// Sum of the increments that are known to have been applied.
     confirmed: f64,
@@ -25,14 +25,15 @@
         Sentinel { period, ..Sentinel::default() }
     }
 
-    /// Name of the count on the counter service. All versions that share a counter have to agree on it.
+    /// Key of the count on the counter service. All versions that share a counter must use the same key.
     pub(crate) fn key(&self, instance_index: u32, incarnation: u64) -> String {
         format!("canary.{instance_index}.{incarnation:016x}.{}", self.period)
     }
 
-    /// Starts the next call during `period`: its increment, and the least total that a valid answer has.
+    /// Starts the next call during `period`. Returns its increment and the lowest valid total.
     ///
-    /// The sentinel of the previous period is only read, once, so that no loss falls between two sentinels.
+    /// The sentinel of the previous period is read once more without an increment, so that a loss between two sentinels
+    /// is detected.
     pub(crate) fn start_call(&mut self, period: i64) -> (f64, f64) {
         let increment = match (self.period == period, self.possible > 0.0) {
             (false, _) => 0.0,
@@ -44,12 +45,12 @@
         (increment, min_total)
     }
 
-    /// Takes back an increment that was certainly not applied.
+    /// Subtracts an increment that was definitely not applied.
     pub(crate) fn cancel_increment(&mut self, increment: f64) {
         self.possible -= increment;
     }
 
-    /// Checks the total that answered a call.
+    /// Checks the total returned by a call.
     #[allow(clippy::float_cmp, reason = "totals are sums of small whole numbers, which f64 holds exactly")]
     pub(crate) fn check(&mut self, total: f64, min_total: f64, increment: f64) -> Verdict {
         let verdict = if total > self.possible {
@@ -57,7 +58,7 @@
         } else if total >= min_total {
             Verdict::Valid
         } else if increment > 0.0 && (total < increment || total == self.confirmed) {
-            // The increment of this very call is missing.
+            // The increment of this call is missing.
             Verdict::Stale
         } else if total <= increment {
             Verdict::CountsLost
@@ -65,7 +66,7 @@
             Verdict::RolledBack
         };
         match verdict {
-            // A stale answer does not show what the counter holds: later answers are compared with the same sums.
+            // A stale answer does not show the current count, so later answers are compared with the same sums.
             Verdict::Stale => {}
             Verdict::Valid => self.confirmed = total,
             _ => (self.confirmed, self.possible) = (total, total),
--- a/crates/counter/src/settings.rs
+++ b/crates/counter/src/settings.rs
@@ -1,34 +1,35 @@
 //! Settings of the validation.
 
-/// Which instance validates, and how often it calls.
+/// Identity of the validating instance, and the timing and thresholds of the validation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationSettings {
     /// Index of this instance, from 0.
     pub instance_index: u32,
-    /// Instances that share the counter when nothing fails.
+    /// Configured number of instances that share the counter.
     pub instance_count: u32,
-    /// Differs from start to start, so that a sentinel counter belongs to one process.
+    /// Differs for each start of the process, so that no two processes share a sentinel counter.
     pub incarnation: u64,
-    /// Seconds between two calls.
-    pub call_interval: f64,
-    /// Seconds that one census and one sentinel counter are for. Clocks have to agree to a tenth of it.
-    pub census_period: f64,
-    /// Consecutive calls without an answer after which the counter is unavailable.
-    pub max_misses: u32,
-    /// Consecutive valid answers after which a counter that failed is valid again.
+    /// Seconds between two validation calls.
+    pub call_interval_s: f64,
+    /// Seconds for which one census and one sentinel counter are used. The instances' clocks must agree to within a tenth
+    /// of it.
+    pub census_period_s: f64,
+    /// Consecutive failed calls after which the counter is unavailable.
+    pub failure_threshold: u32,
+    /// Consecutive valid answers after which a failed counter is valid again.
     pub required_valid_answers: u32,
 }
 
 impl Default for ValidationSettings {
-    /// A single instance, one call a second and a census every five.
+    /// A single instance, one call per second and a census every five seconds.
     fn default() -> Self {
         ValidationSettings {
             instance_index: 0,
             instance_count: 1,
             incarnation: 0,
-            call_interval: 1.0,
-            census_period: 5.0,
-            max_misses: 3,
+            call_interval_s: 1.0,
+            census_period_s: 5.0,
+            failure_threshold: 3,
             required_valid_answers: 2,
         }
     }
--- a/crates/counter/src/token_bucket.rs
+++ b/crates/counter/src/token_bucket.rs
@@ -1,8 +1,8 @@
-//! The token bucket that defines a quota, as one instance that saw every request would keep it.
+//! The token bucket that defines a quota, as a single instance that handles every request would apply it.
 
 /// A token bucket that may be overdrawn: it starts full, refills at its rate and holds at most its burst.
 ///
-/// The deepest overdraft is the amount by which the requests exceeded the quota.
+/// The lowest level shows by how much the requests exceeded the quota.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket at `now` (seconds), with `rate` in units a second and `burst` in units.
+    /// A full bucket at `now` (seconds), with `rate` in units per second and `burst` in units.
     pub fn new(rate: f64, burst: f64, now: f64) -> Self {
         TokenBucket { rate, burst, level: burst, updated_at: now, lowest_level: burst }
     }
@@ -23,7 +23,7 @@
         (self.level + self.rate * (now - self.updated_at).max(0.0)).min(self.burst)
     }
 
-    /// Takes units out, whether they are available or not.
+    /// Takes units even if they are not available.
     pub fn take(&mut self, units: f64, now: f64) {
         self.level = self.level(now) - units;
         self.updated_at = self.updated_at.max(now);
--- a/crates/counter/src/validator.rs
+++ b/crates/counter/src/validator.rs
@@ -1,36 +1,36 @@
-//! Validates one counter with nothing but the protocol's single call: add to a count and get its total.
+//! Validates one counter with the protocol's only call, which adds to a count and returns its total.
 //!
-//! Customers' totals do not show whether they are right, so the validator makes calls of its own: to a
-//! [`Sentinel`], which shows lost, old and doubled counts, and to the [`Census`], which shows how many instances see
-//! the same counter. `docs/design/keeper.md` lists what neither can show.
+//! Customers' totals do not show whether they are correct, so the validator makes additional calls: to a [`Sentinel`],
+//! which reveals lost, stale and doubled counts, and to the [`Census`], which reveals how many instances use the same
+//! counter. `docs/design/keeper.md` lists the faults that neither reveals.
 
 use crate::census::Census;
 use crate::sentinel::Sentinel;
 use crate::{ValidationSettings, Validity, Verdict};
 
-/// Longest time for which the platform's counter keeps a count, in seconds.
-const MAX_TTL: f64 = 60.0;
-/// A sentinel or census count outlives its period by this factor.
+/// Maximum lifetime of a count on the platform's counter, in seconds.
+const MAX_TTL_S: f64 = 60.0;
+/// Lifetime of a sentinel or census count, in census periods.
 const TTL_PERIODS: f64 = 4.0;
-/// The first calls of instances that start together are spread over one interval, in this many steps.
+/// Number of steps over which the first calls of instances are spread within one call interval.
 const START_PHASES: u32 = 16;
 
-/// A call that the validator needs. How it ended goes to [`CounterValidator::record_result`].
+/// A validation call. Its result must be passed to [`CounterValidator::record_result`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationCall {
-    /// Name of the count.
+    /// Key of the count.
     pub key: String,
-    /// What to add; 0 only reads.
+    /// Amount to add; 0 only reads the total.
     pub increment: f64,
-    /// Seconds for which the counter has to keep the count.
-    pub ttl: f64,
+    /// Lifetime of the count in seconds.
+    pub ttl_s: f64,
     target: Target,
 }
 
-/// What a call is for.
+/// The count that a call is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Target {
-    /// The sentinel of a period, and the least total that a valid answer has.
+    /// The sentinel of a period, with the lowest valid total.
     Sentinel { period: i64, min_total: f64 },
     /// The census of a period.
     Census { period: i64 },
@@ -43,7 +43,7 @@
     Total(f64),
     /// No answer: the increment may have been applied, or may still be.
     Unanswered,
-    /// Rejected or never sent: the increment was not applied.
+    /// Rejected or not sent: the increment was not applied.
     NotApplied,
 }
 
@@ -56,33 +56,33 @@
     census: Census,
     verdict: Verdict,
     consecutive_valid: u32,
-    consecutive_misses: u32,
-    /// Whether customers are counted at this counter: instances that do not use it do not register in its census.
+    consecutive_failures: u32,
+    /// Whether this is the active counter. Instances register only in the census of their active counter.
     active: bool,
     validity: Validity,
 }
 
 impl CounterValidator {
-    /// A validator of an active counter without an answer yet; until there is one, the totals are not used.
+    /// A validator of an active counter. Until the first valid answer and census, totals are not used.
     pub fn new(settings: ValidationSettings, now: f64) -> Self {
-        // Instances that start together do not call together.
+        // Spreads the calls of instances that start together.
         let phase = f64::from(settings.instance_index % START_PHASES) / f64::from(START_PHASES);
         let validity = Validity { usable_quota_ratio: 0.0, verdict: Verdict::Unknown, instances_seen: 0 };
         CounterValidator {
-            next_call_at: now + settings.call_interval * phase,
+            next_call_at: now + settings.call_interval_s * phase,
             settings,
             sentinel: None,
             census: Census::default(),
             verdict: Verdict::Unknown,
             consecutive_valid: 0,
-            consecutive_misses: 0,
+            consecutive_failures: 0,
             active: true,
             validity,
         }
     }
 
-    /// Sets whether customers are counted at this counter. A standby is watched by its sentinel alone; once it is
-    /// active, its totals are used after the first complete census. Returns the validity if it changed.
+    /// Sets whether this is the active counter. A standby is checked with its sentinel only; once it is active, its totals
+    /// are used after the first complete census. Returns the validity if it changed.
     pub fn set_active(&mut self, active: bool) -> Option<Validity> {
         if active != self.active {
             self.active = active;
@@ -91,16 +91,16 @@
         self.update_validity()
     }
 
-    /// The counter has another address: nothing is known of it. Returns the validity if it changed.
+    /// Restarts the validation because the counter's address changed. Returns the validity if it changed.
     pub fn address_changed(&mut self, now: f64) -> Option<Validity> {
         let (active, validity) = (self.active, self.validity);
         *self = CounterValidator { active, validity, ..CounterValidator::new(self.settings.clone(), now) };
         self.update_validity()
     }
 
-    /// This process was paused, so what it knew is old. Totals are not used before the counter has given
-    /// [`ValidationSettings::required_valid_answers`], in which time customers with traffic have called too.
-    /// Returns the validity if it changed.
+    /// Marks the counter as unconfirmed after a pause of this process. Totals are not used until the counter has given
+    /// [`ValidationSettings::required_valid_answers`] valid answers; by then the calls for customers with traffic have also
+    /// been repeated. Returns the validity if it changed.
     pub fn process_resumed(&mut self, now: f64) -> Option<Validity> {
         (self.verdict, self.consecutive_valid) = (Verdict::UnknownAfterPause, 0);
         self.census.expire(self.period(now));
@@ -108,14 +108,14 @@
         self.update_validity()
     }
 
-    /// How far the totals may be relied on.
+    /// The current validity of the counter's totals.
     pub fn validity(&self) -> Validity {
         self.validity
     }
 
     /// Whether the latest call was answered.
     pub fn is_answering(&self) -> bool {
-        self.consecutive_misses == 0
+        self.consecutive_failures == 0
     }
 
     /// Time at which the next call is due, in seconds.
@@ -123,12 +123,12 @@
         self.next_call_at
     }
 
-    /// The call that is due, if any. Its result has to be recorded before the next one.
+    /// The call that is due, if any. Its result must be recorded before the next call.
     pub fn due_call(&mut self, now: f64) -> Option<ValidationCall> {
         if now < self.next_call_at {
             return None;
         }
-        self.next_call_at = now + self.settings.call_interval;
+        self.next_call_at = now + self.settings.call_interval_s;
         Some(self.census_call(now).unwrap_or_else(|| self.sentinel_call(now)))
     }
 
@@ -137,10 +137,10 @@
             return None;
         }
         let period = self.period(now);
-        let position = (now / self.settings.census_period).fract();
+        let position = (now / self.settings.census_period_s).fract();
         let increment = self.census.due_increment(period, position)?;
         let target = Target::Census { period };
-        Some(ValidationCall { key: Census::key(period), increment, ttl: self.ttl(), target })
+        Some(ValidationCall { key: Census::key(period), increment, ttl_s: self.ttl_s(), target })
     }
 
     fn sentinel_call(&mut self, now: f64) -> ValidationCall {
@@ -149,28 +149,28 @@
         let (increment, min_total) = sentinel.start_call(period);
         let key = sentinel.key(self.settings.instance_index, self.settings.incarnation);
         let target = Target::Sentinel { period: sentinel.period, min_total };
-        ValidationCall { key, increment, ttl: self.ttl(), target }
+        ValidationCall { key, increment, ttl_s: self.ttl_s(), target }
     }
 
     fn period(&self, now: f64) -> i64 {
-        (now / self.settings.census_period).floor() as i64
+        (now / self.settings.census_period_s).floor() as i64
     }
 
-    fn ttl(&self) -> f64 {
-        (TTL_PERIODS * self.settings.census_period).min(MAX_TTL)
+    fn ttl_s(&self) -> f64 {
+        (TTL_PERIODS * self.settings.census_period_s).min(MAX_TTL_S)
     }
 
     /// Records how a call ended. Returns the validity if it changed.
     pub fn record_result(&mut self, call: &ValidationCall, result: CallResult, now: f64) -> Option<Validity> {
         match result {
             CallResult::Total(total) => {
-                self.consecutive_misses = 0;
+                self.consecutive_failures = 0;
                 self.record_total(call, total, now);
             }
-            CallResult::Unanswered => self.record_miss(),
+            CallResult::Unanswered => self.record_failure(),
             CallResult::NotApplied => {
                 self.cancel(call);
-                self.record_miss();
+                self.record_failure();
             }
         }
         self.update_validity()
@@ -189,14 +189,14 @@
         }
     }
 
-    fn record_miss(&mut self) {
-        self.consecutive_misses = self.consecutive_misses.saturating_add(1);
-        if self.consecutive_misses >= self.settings.max_misses {
+    fn record_failure(&mut self) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures >= self.settings.failure_threshold {
             (self.verdict, self.consecutive_valid) = (Verdict::Unavailable, 0);
         }
     }
 
-    /// Takes back a call that was certainly not applied.
+    /// Reverts the bookkeeping of a call that was definitely not applied.
     fn cancel(&mut self, call: &ValidationCall) {
         match (call.target, &mut self.sentinel) {
             (Target::Sentinel { period, .. }, Some(sentinel)) if sentinel.period == period => {
@@ -215,7 +215,7 @@
         } else {
             (self.verdict, self.consecutive_valid) = (verdict, 0);
         }
-        // This was the last reading of an earlier period: the next call begins the sentinel of the present one.
+        // This was the final read of an earlier period's sentinel: the next call starts that of the current period.
         if period != self.period(now) {
             self.sentinel = None;
         }
--- a/crates/counter/src/verdict.rs
+++ b/crates/counter/src/verdict.rs
@@ -1,29 +1,29 @@
-//! The result of validating a counter: a verdict on its totals, and the share of each quota that they may divide.
+//! The result of validating a counter: a verdict on its totals, and the ratio of each quota that may be divided by them.
 
 use std::fmt;
 
-/// What the latest validation calls showed of a counter.
+/// The state of a counter according to the latest validation calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// No answer yet.
     Unknown,
     /// No answer since this process was paused.
     UnknownAfterPause,
-    /// Totals are what they have to be.
+    /// Totals are correct.
     Valid,
-    /// Several calls in a row got no answer.
+    /// [`ValidationSettings::failure_threshold`](crate::ValidationSettings::failure_threshold) consecutive calls failed.
     Unavailable,
-    /// The sentinel counter started again from zero: counts were lost.
+    /// The sentinel counter restarted from zero: counts were lost.
     CountsLost,
-    /// The sentinel counter lacks increments that it had: the counter was restored from an older copy.
+    /// The sentinel counter lacks confirmed increments: the counter was restored from an older copy.
     RolledBack,
-    /// The sentinel counter is incremented and does not change.
+    /// The sentinel counter does not change although it is incremented.
     Stale,
-    /// The sentinel counter exceeds everything that was ever added to it.
+    /// The sentinel counter exceeds the sum of all increments made to it.
     DoubleCounted,
 }
 
-/// The text is part of the log line that states each change.
+/// The text is part of the log line that reports each change.
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -39,15 +39,15 @@
     }
 }
 
-/// How far an instance may rely on a counter's totals.
+/// Whether and to what extent an instance may use a counter's totals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Validity {
-    /// Share of each quota, from 0 to 1, that the instances which see the same totals may divide by demand. With 0 the
-    /// totals are not used, and each instance has its even fallback share.
+    /// Ratio of each quota, from 0 to 1, that the instances with the same totals may divide by demand. With 0 the totals
+    /// are not used, and each instance has its even fallback share.
     pub usable_quota_ratio: f64,
-    /// The verdict behind it.
+    /// The verdict on the counter.
     pub verdict: Verdict,
-    /// Instances in the latest census, this one among them; 0 if there was none.
+    /// Number of instances in the latest complete census, including this one; 0 without a census.
     pub instances_seen: u32,
 }
 
--- a/crates/counter/tests/common/faults.rs
+++ b/crates/counter/tests/common/faults.rs
@@ -1,13 +1,13 @@
-//! Faults take effect, and decide how a call to a counter ends.
+//! Injects faults, and determines the results of calls to a counter under them.
 
 use super::counter_service::CounterService;
 use super::scenario::Injection;
-use super::{World, CALL_SECONDS, MAX_GAP, TIMEOUT};
+use super::{Simulation, CALL_SECONDS, MAX_GAP, TIMEOUT};
 use liftrouter_counter::{CallResult, PauseDetector};
 
-impl World {
-    /// A call of a limiter reaches a counter.
-    pub(super) fn reach(
+impl Simulation {
+    /// Makes a limiter's call to a counter. Returns its result and its duration in seconds.
+    pub(super) fn call_counter(
         &mut self,
         n: usize,
         counter: usize,
@@ -17,59 +17,62 @@
     ) -> (CallResult, f64) {
         let instance = &self.instances[n];
         let first = counter == 0;
-        if first && instance.cut {
+        if first && instance.isolated {
             return (CallResult::Unanswered, TIMEOUT);
         }
-        let second = first && instance.side && self.counters[0].other.is_some();
+        let second = first && instance.on_second_part && self.counters[0].second_part.is_some();
         let counter = match &mut self.counters[counter] {
-            CounterService { other: Some(other), .. } if second => other,
+            CounterService { second_part: Some(part), .. } if second => part,
             counter => counter,
         };
-        if counter.silent {
+        if counter.unavailable {
             return (CallResult::Unanswered, TIMEOUT);
         }
         let total = counter.add(self.now, name, add, ttl);
-        let elapsed = CALL_SECONDS + counter.slow;
-        // An answer that comes after the call was given up finds nobody; it was added all the same.
-        if elapsed > TIMEOUT || counter.mute {
+        let elapsed = CALL_SECONDS + counter.delay_s;
+        // A call whose answer comes after the timeout or is lost has still been applied.
+        if elapsed > TIMEOUT || counter.drops_answers {
             (CallResult::Unanswered, TIMEOUT)
         } else {
             (CallResult::Total(total), elapsed)
         }
     }
 
-    /// Both views of the first counter.
-    pub(super) fn both(&mut self, mut change: impl FnMut(&mut CounterService)) {
+    /// Changes both parts of the first counter, or the whole if it is not split.
+    pub(super) fn for_each_part(&mut self, mut change: impl FnMut(&mut CounterService)) {
         change(&mut self.counters[0]);
-        if let Some(other) = &mut self.counters[0].other {
-            change(other);
+        if let Some(part) = &mut self.counters[0].second_part {
+            change(part);
         }
     }
 
-    pub(super) fn change(&mut self, change: Injection) {
+    pub(super) fn inject(&mut self, injection: Injection) {
         let rng = &mut self.rng;
-        match change {
-            Injection::Silent(counter, on) => self.counters[counter].silent = on,
-            Injection::Cut(from) => {
+        match injection {
+            Injection::Unavailable(counter, on) => self.counters[counter].unavailable = on,
+            Injection::Isolate(from) => {
                 for (n, instance) in self.instances.iter_mut().enumerate() {
-                    instance.cut = from.is_some_and(|from| n >= from);
+                    instance.isolated = from.is_some_and(|from| n >= from);
                 }
             }
-            Injection::Mute(on) => self.both(|k| k.mute = on),
-            Injection::Slow(by) => self.both(|k| k.slow = by),
-            Injection::Stale(on) => self.both(|k| k.stale = on.then(|| k.counts.clone())),
-            Injection::Doubled(on) => self.both(|k| k.doubled = on),
-            Injection::Lose(share) => self.counters[0] = self.counters[0].part(1.0 - share, rng),
+            Injection::DropAnswers(on) => self.for_each_part(|k| k.drops_answers = on),
+            Injection::Delay(by) => self.for_each_part(|k| k.delay_s = by),
+            Injection::Stale(on) => self.for_each_part(|k| k.stale = on.then(|| k.counts.clone())),
+            Injection::DoubleIncrements(on) => self.for_each_part(|k| k.doubles_increments = on),
+            Injection::LoseCounts(share) => {
+                self.counters[0] = self.counters[0].partial_copy(1.0 - share, rng);
+            }
             Injection::Split { from, kept } => {
-                let second = self.counters[0].part(kept, rng);
-                self.counters[0].other = Some(Box::new(second));
-                self.instances.iter_mut().skip(from).for_each(|instance| instance.side = true);
+                let second = self.counters[0].partial_copy(kept, rng);
+                self.counters[0].second_part = Some(Box::new(second));
+                self.instances.iter_mut().skip(from).for_each(|instance| instance.on_second_part = true);
             }
-            Injection::Heal { both } => {
-                self.instances.iter_mut().for_each(|instance| instance.side = false);
-                for (name, (total, until)) in self.counters[0].other.take().into_iter().flat_map(|k| k.counts)
+            Injection::Heal { merge } => {
+                self.instances.iter_mut().for_each(|instance| instance.on_second_part = false);
+                for (name, (total, until)) in
+                    self.counters[0].second_part.take().into_iter().flat_map(|k| k.counts)
                 {
-                    if both {
+                    if merge {
                         self.counters[0].counts.entry(name).or_insert((0.0, until)).0 += total;
                     }
                 }
@@ -79,12 +82,12 @@
                 self.instances[n].limiter = self.new_limiter(n, self.instances[n].incarnation);
                 self.instances[n].pause_detector = PauseDetector::new(MAX_GAP, self.now);
                 self.start_pacer(n);
-                self.start(n);
+                self.send_endpoint_list(n);
                 if self.instances[n].monitor.is_some() {
-                    self.validate(n);
+                    self.start_validation(n);
                 }
             }
-            Injection::Pause(n, seconds) => self.instances[n].paused = self.now + seconds,
+            Injection::Pause(n, seconds) => self.instances[n].paused_until = self.now + seconds,
         }
     }
 }
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Limiters and counters in one process and in simulated time: the decision module as it is, a counter that can fail,
-//! and a customer whose use is held against the token bucket that its plan defines.
-#![allow(dead_code, reason = "each test program uses a part")]
+//! A simulation of limiters and counters in simulated time: the real decision module, counters with injected faults, and a
+//! customer whose use is compared with the token bucket that its plan defines.
+#![allow(dead_code, reason = "each test program uses only some of it")]
 
 mod counter_service;
 mod faults;
@@ -8,7 +8,7 @@
 mod schedule;
 mod validation;
 
-pub use scenario::{Demand, Injection, Result};
+pub use scenario::{Demand, Injection, RunResult};
 
 use counter_service::CounterService;
 use fastrand::Rng;
@@ -20,61 +20,63 @@
 pub const CUSTOMER: &str = "00000000000000a1";
 /// Longest time between two checks of the clock that is not a pause, in seconds.
 const MAX_GAP: f64 = 1.0;
-/// Seconds that an attempt takes, and a call to a counter that is well, there and back.
+/// Duration of an attempt, in seconds.
 const ATTEMPT_SECONDS: f64 = 0.004;
+/// Round trip of a call to a counter without a fault, in seconds.
 const CALL_SECONDS: f64 = 0.002;
 const TIMEOUT: f64 = 0.05;
 
 struct Instance {
     limiter: Limiter,
     incarnation: u32,
-    paused: f64,
+    paused_until: f64,
     skew: f64,
-    /// It reaches the second view of the first counter, or none.
-    side: bool,
-    cut: bool,
+    /// Whether it calls the second part of a split first counter.
+    on_second_part: bool,
+    /// Whether it cannot reach the first counter.
+    isolated: bool,
     monitor: Option<CounterMonitor>,
     pacer: Option<Pacer>,
     pause_detector: PauseDetector,
 }
 
-pub struct World {
+pub struct Simulation {
     now: f64,
     seq: u64,
     next_id: u64,
-    due: BinaryHeap<Scheduled>,
+    queue: BinaryHeap<Scheduled>,
     settings: Settings,
     seed: u64,
     rng: Rng,
     instances: Vec<Instance>,
     counters: Vec<CounterService>,
     demand: Demand,
-    until: f64,
+    end_at: f64,
     quota_bucket: TokenBucket,
     hard_limit_bucket: TokenBucket,
-    /// What the customer has asked, as its quota would have it.
+    /// The requests made so far, which a demand within the quota must not overdraw.
     demand_bucket: TokenBucket,
     in_flight: i64,
-    answer: f64,
+    attempt_duration_s: f64,
     pacing: Option<PacingSettings>,
-    result: Result,
+    result: RunResult,
 }
 
-/// A plan with a quota and, where `hard` is above 1, a ceiling of so many times rate and burst.
+/// A plan with a quota and, if `hard` is above 1, a hard limit of `hard` times rate and burst.
 pub fn plan(rate: f64, burst: f64, hard: f64) -> Plan {
-    let ceiling = if hard > 1.0 { hard } else { 0.0 };
+    let hard_limit_factor = if hard > 1.0 { hard } else { 0.0 };
     Plan {
         name: "plan".into(),
         rate,
         burst,
-        hard_limit_rate: rate * ceiling,
-        hard_limit_burst: burst * ceiling,
+        hard_limit_rate: rate * hard_limit_factor,
+        hard_limit_burst: burst * hard_limit_factor,
         weight_multiplier: 1.0,
         ..Plan::default()
     }
 }
 
-/// Settings of limiters with one class and one plan.
+/// Limiter settings with one class and one plan.
 fn settings(plan: Plan, limiters: usize) -> Settings {
     let class = Class {
         name: "read".into(),
@@ -97,75 +99,82 @@
     }
 }
 
-impl World {
-    /// Limiters before a server that takes everything, with clocks up to so many seconds apart.
-    pub fn new(plan: Plan, limiters: usize, seed: u64, skew: f64, demand: Demand, until: f64) -> World {
+impl Simulation {
+    /// Limiters in front of a server that accepts every attempt, with clocks up to `skew` seconds apart.
+    pub fn new(
+        plan: Plan,
+        limiters: usize,
+        seed: u64,
+        skew: f64,
+        demand: Demand,
+        duration_s: f64,
+    ) -> Simulation {
         let (rate, burst) = (plan.rate, plan.burst);
         let (hard_rate, hard_burst) = (plan.hard_limit_rate, plan.hard_limit_burst);
         let settings = settings(plan, limiters);
         let mut rng = Rng::with_seed(seed);
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 1_000.0,
             seq: 0,
             next_id: 0,
-            due: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             seed,
             instances: Vec::new(),
             counters: vec![CounterService::default()],
             demand,
-            until: 1_000.0 + until,
+            end_at: 1_000.0 + duration_s,
             quota_bucket: TokenBucket::new(rate, burst, 1_000.0),
             hard_limit_bucket: TokenBucket::new(hard_rate.max(1e-9), hard_burst, 1_000.0),
             demand_bucket: TokenBucket::new(rate, burst, 1_000.0),
             in_flight: 0,
-            answer: ATTEMPT_SECONDS,
+            attempt_duration_s: ATTEMPT_SECONDS,
             pacing: None,
-            result: Result::default(),
+            result: RunResult::default(),
             settings,
             rng: rng.fork(),
         };
         for n in 0..limiters {
-            let limiter = world.new_limiter(n, 0);
+            let limiter = simulation.new_limiter(n, 0);
             let skew = skew * rng.f64();
-            world.instances.push(Instance {
+            simulation.instances.push(Instance {
                 limiter,
                 incarnation: 0,
-                paused: 0.0,
+                paused_until: 0.0,
                 skew,
-                side: false,
-                cut: false,
+                on_second_part: false,
+                isolated: false,
                 monitor: None,
                 pacer: None,
                 pause_detector: PauseDetector::new(MAX_GAP, 1_000.0),
             });
         }
-        (0..limiters).for_each(|n| world.start(n));
-        world.schedule_next_arrival();
-        world
+        (0..limiters).for_each(|n| simulation.send_endpoint_list(n));
+        simulation.schedule_next_arrival();
+        simulation
     }
 
-    /// Plays on for so many seconds in all.
-    pub fn until(mut self, seconds: f64) -> World {
-        self.until = 1_000.0 + seconds;
+    /// Sets the total duration of the run, in seconds.
+    pub fn running_for(mut self, seconds: f64) -> Simulation {
+        self.end_at = 1_000.0 + seconds;
         self
     }
 
-    /// Attempts take so many seconds.
-    pub fn answers_in(mut self, seconds: f64) -> World {
-        self.answer = seconds;
+    /// Sets the duration of an attempt, in seconds.
+    pub fn with_attempt_duration(mut self, seconds: f64) -> Simulation {
+        self.attempt_duration_s = seconds;
         self
     }
 
-    /// Limiters spread their calls.
-    pub fn paced(mut self, pace: PacingSettings) -> World {
-        self.pacing = Some(pace);
+    /// Limits the rate of the limiters' calls to the counter.
+    pub fn with_pacing(mut self, pacing: PacingSettings) -> Simulation {
+        self.pacing = Some(pacing);
         (0..self.instances.len()).for_each(|n| self.start_pacer(n));
         self
     }
 
     fn start_pacer(&mut self, n: usize) {
-        let (part, now) = (self.rng.f64(), self.now);
-        self.instances[n].pacer = self.pacing.map(|pace| Pacer::new(pace, part, now));
+        let (phase, now) = (self.rng.f64(), self.now);
+        self.instances[n].pacer = self.pacing.map(|pacing| Pacer::new(pacing, phase, now));
     }
 
     fn new_limiter(&self, n: usize, incarnation: u32) -> Limiter {
@@ -173,7 +182,7 @@
         Limiter::new(settings, self.seed ^ (n as u64) << 8 ^ u64::from(incarnation), self.now)
     }
 
-    fn start(&mut self, n: usize) {
+    fn send_endpoint_list(&mut self, n: usize) {
         let entry = |k: usize| EndpointEntry {
             id: format!("10.0.0.{k}:1").into(),
             zone: "".into(),
@@ -188,39 +197,42 @@
 
     fn schedule(&mut self, at: f64, what: SimulationEvent) {
         self.seq += 1;
-        self.due.push(Scheduled(at.max(self.now), self.seq, what));
+        self.queue.push(Scheduled(at.max(self.now), self.seq, what));
     }
 
-    /// Makes something happen so many seconds after the start.
-    pub fn at(&mut self, seconds: f64, change: Injection) {
-        self.schedule(1_000.0 + seconds, SimulationEvent::Inject(change));
+    /// Schedules an injection at `seconds` after the start.
+    pub fn at(&mut self, seconds: f64, injection: Injection) {
+        self.schedule(1_000.0 + seconds, SimulationEvent::Inject(injection));
     }
 
     fn schedule_next_arrival(&mut self) {
         let gap = -self.rng.f64().max(1e-12).ln() / (self.demand.rate * self.demand.customers as f64);
         let count = self.instances.len();
-        let busiest = ((self.now / self.demand.shift) as usize) % count;
-        let limiter = if self.rng.f64() < self.demand.skew { busiest } else { self.rng.usize(0..count) };
+        let busiest = ((self.now / self.demand.shift_interval_s) as usize) % count;
+        let limiter =
+            if self.rng.f64() < self.demand.busiest_ratio { busiest } else { self.rng.usize(0..count) };
         self.schedule(self.now + gap, SimulationEvent::NextArrival(limiter));
     }
 
-    /// Plays to the end.
-    pub fn play(mut self) -> Result {
-        while let Some(Scheduled(at, _, what)) = self.due.pop() {
-            if at > self.until {
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> RunResult {
+        while let Some(Scheduled(at, _, what)) = self.queue.pop() {
+            if at > self.end_at {
                 break;
             }
             self.now = at;
-            self.happen(what);
+            self.process(what);
         }
         self.result.overshoot = self.quota_bucket.max_overshoot();
         self.result.hard_limit_overshoot = self.hard_limit_bucket.max_overshoot();
-        let post = |instance: &Instance| instance.monitor.as_ref().map_or(0, |p| p.assessment().active.index);
-        self.result.active_counters = self.instances.iter().map(post).collect();
+        let active = |instance: &Instance| {
+            instance.monitor.as_ref().map_or(0, |monitor| monitor.assessment().active.index)
+        };
+        self.result.active_counters = self.instances.iter().map(active).collect();
         self.result
     }
 
-    fn happen(&mut self, what: SimulationEvent) {
+    fn process(&mut self, what: SimulationEvent) {
         match what {
             SimulationEvent::NextArrival(n) => {
                 self.schedule_next_arrival();
@@ -231,7 +243,7 @@
             }
             SimulationEvent::DelayedArrival(n) => self.submit_request(n),
             SimulationEvent::Timer(n, incarnation, token) => {
-                self.notify(n, incarnation, Event::Timer { token });
+                self.deliver(n, incarnation, Event::Timer { token });
             }
             SimulationEvent::AttemptEnded(n, incarnation, id) => {
                 self.in_flight -= 1;
@@ -244,13 +256,17 @@
                     units: None,
                     report: LoadReport::default(),
                 };
-                self.notify(n, incarnation, event);
+                self.deliver(n, incarnation, event);
             }
             SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl, at, generation } => {
-                self.call(limiter, incarnation, (name, add, ttl), at, generation);
+                self.handle_counter_call(limiter, incarnation, (name, add, ttl), at, generation);
             }
             SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed } => {
-                self.notify(limiter, incarnation, Event::CounterReply { key: name, outcome, total, elapsed });
+                self.deliver(
+                    limiter,
+                    incarnation,
+                    Event::CounterReply { key: name, outcome, total, elapsed },
+                );
             }
             SimulationEvent::Validate(n, incarnation, counter) => {
                 self.start_validation_call(n, incarnation, counter);
@@ -258,14 +274,14 @@
             SimulationEvent::ValidationEnded { limiter, incarnation, counter, call, answer } => {
                 self.end_validation_call(limiter, incarnation, counter, &call, answer);
             }
-            SimulationEvent::Inject(change) => self.change(change),
+            SimulationEvent::Inject(injection) => self.inject(injection),
         }
     }
 
     fn submit_request(&mut self, n: usize) {
-        let paused = self.instances[n].paused;
+        let paused = self.instances[n].paused_until;
         if paused > self.now {
-            // It lies in the limiter's socket until that goes on.
+            // The request waits in the limiter's socket until the process resumes.
             return self.schedule(paused, SimulationEvent::DelayedArrival(n));
         }
         self.check_for_pause(n);
@@ -283,14 +299,14 @@
         self.dispatch(n, Event::Request(request));
     }
 
-    /// Tells a limiter of something that is its own, if it is still the same, once it is awake.
-    fn notify(&mut self, n: usize, incarnation: u32, event: Event) {
+    /// Delivers an event to a limiter once it is not paused, and drops it if the limiter has restarted since.
+    fn deliver(&mut self, n: usize, incarnation: u32, event: Event) {
         let instance = &self.instances[n];
         if instance.incarnation != incarnation {
             return;
         }
-        if instance.paused > self.now {
-            let at = instance.paused;
+        if instance.paused_until > self.now {
+            let at = instance.paused_until;
             return match event {
                 Event::Timer { token } => self.schedule(at, SimulationEvent::Timer(n, incarnation, token)),
                 Event::AttemptEnded { id, .. } => {
@@ -329,7 +345,10 @@
                     self.hard_limit_bucket.take(1.0, self.now);
                     self.in_flight += 1;
                     self.result.max_in_flight = self.result.max_in_flight.max(self.in_flight);
-                    self.schedule(self.now + self.answer, SimulationEvent::AttemptEnded(n, incarnation, id));
+                    self.schedule(
+                        self.now + self.attempt_duration_s,
+                        SimulationEvent::AttemptEnded(n, incarnation, id),
+                    );
                 }
                 Action::Reject { .. } => self.result.rejected += 1.0,
                 Action::SetTimer { at, token } => {
@@ -358,7 +377,7 @@
         self.schedule(at + CALL_SECONDS / 2.0, call);
     }
 
-    fn call(
+    fn handle_counter_call(
         &mut self,
         n: usize,
         incarnation: u32,
@@ -369,10 +388,11 @@
         let second = (self.now - 1_000.0) as usize;
         self.result.calls.resize(self.result.calls.len().max(second + 1), 0);
         self.result.calls[second] += 1;
-        let post = self.instances[n].monitor.as_ref().map(|p| p.assessment().active).unwrap_or_default();
-        // One that was on its way while the counter was changed is the old one's: its answer is nobody's.
-        let (answer, elapsed) = if post.generation == generation {
-            self.reach(n, post.index, &name, add, ttl)
+        let active =
+            self.instances[n].monitor.as_ref().map(|monitor| monitor.assessment().active).unwrap_or_default();
+        // A call that was sent before a switch went to the previous counter, whose answer is not used.
+        let (answer, elapsed) = if active.generation == generation {
+            self.call_counter(n, active.index, &name, add, ttl)
         } else {
             (CallResult::Unanswered, TIMEOUT)
         };
--- a/crates/counter/tests/common/scenario.rs
+++ b/crates/counter/tests/common/scenario.rs
@@ -1,42 +1,42 @@
-//! What is played: faults, the load, and the result.
+//! The inputs of a simulation, faults and demand, and its result.
 
-/// A fault of a counter or a limiter, or its end.
+/// The start or end of a fault of a counter or a limiter.
 #[derive(Clone, Copy, Debug)]
 pub enum Injection {
-    /// A counter of the list answers nothing; what comes is not added.
-    Silent(usize, bool),
-    /// The first one answers nothing to limiters from this one on.
-    Cut(Option<usize>),
-    /// Calls to the first one are added, and their answers never come.
-    Mute(bool),
-    /// Answers so many seconds late.
-    Slow(f64),
-    /// Answers with its totals of this moment, and goes on adding.
+    /// The counter with this index does not answer, and increments are not applied.
+    Unavailable(usize, bool),
+    /// Limiters from this index on cannot reach the first counter.
+    Isolate(Option<usize>),
+    /// The first counter applies increments, but its answers are lost.
+    DropAnswers(bool),
+    /// The first counter answers with this delay, in seconds.
+    Delay(f64),
+    /// The first counter answers with its totals from the time of injection, but applies increments.
     Stale(bool),
-    /// Adds everything twice.
-    Doubled(bool),
-    /// Forgets names with this chance each, or is another counter that never had them.
-    Lose(f64),
-    /// Limiters from this one on call a second counter, which holds this share of the first one's names.
+    /// The first counter applies every increment twice.
+    DoubleIncrements(bool),
+    /// The first counter loses each count with this probability. Also stands for a replacement that lacks them.
+    LoseCounts(f64),
+    /// Limiters from this index on call a second part, which starts with this ratio of the first counter's counts.
     Split { from: usize, kept: f64 },
-    /// All call the first counter again, which adds up the counts of both, or keeps its own.
-    Heal { both: bool },
-    /// A limiter starts anew.
+    /// All limiters call the first part again, which adds the counts of the second to its own if `merge` is set.
+    Heal { merge: bool },
+    /// A limiter restarts.
     Restart(usize),
-    /// A limiter stands still for so many seconds.
+    /// A limiter's process is paused for this many seconds.
     Pause(usize, f64),
 }
 
-/// How a customer asks.
+/// The requests of the customers.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// Units a second over all limiters.
+    /// Units per second over all limiters.
     pub rate: f64,
-    /// Share that comes through the limiter that is the busiest at the time; the rest is even.
-    pub skew: f64,
-    /// Seconds after which another limiter is the busiest.
-    pub shift: f64,
-    /// Nothing is asked that one limiter that sees everything would refuse for the quota.
+    /// Ratio of the requests that go to the limiter that is busiest at the time; the rest is spread evenly.
+    pub busiest_ratio: f64,
+    /// Seconds after which the next limiter becomes the busiest.
+    pub shift_interval_s: f64,
+    /// Skips requests that exceed the quota, so that a single limiter would accept all requests that are made.
     pub within_quota: bool,
     /// Customers with the same demand. With more than one, quotas are not checked.
     pub customers: usize,
@@ -44,7 +44,7 @@
 
 /// The result of a run.
 #[derive(Debug, Default)]
-pub struct Result {
+pub struct RunResult {
     /// Units forwarded.
     pub forwarded: f64,
     /// Overshoot of the quota, in units.
@@ -53,9 +53,9 @@
     pub hard_limit_overshoot: f64,
     /// Units rejected.
     pub rejected: f64,
-    /// Most attempts in flight at once.
+    /// Maximum number of attempts in flight.
     pub max_in_flight: i64,
-    /// Calls to the first counter by limiters' customers, second by second.
+    /// Calls to counters for customers, for each second.
     pub calls: Vec<u32>,
     /// The active counter of each limiter at the end.
     pub active_counters: Vec<usize>,
--- a/crates/counter/tests/common/schedule.rs
+++ b/crates/counter/tests/common/schedule.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, in the order of their times.
+//! The events of the simulation and their order in time.
 
 use super::scenario::Injection;
 use liftrouter_counter::{CallResult, ValidationCall};
@@ -52,7 +52,7 @@
     }
 }
 impl Ord for Scheduled {
-    /// The earliest is the greatest; what was queued first comes first.
+    /// Reversed for the max-heap: the earliest event is the greatest, and ties are in the order of scheduling.
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
--- a/crates/counter/tests/common/validation.rs
+++ b/crates/counter/tests/common/validation.rs
@@ -1,40 +1,40 @@
-//! Validation of the counters by every instance.
+//! Validation of the counters by every limiter.
 
 use super::counter_service::CounterService;
 use super::schedule::SimulationEvent;
-use super::World;
+use super::Simulation;
 use liftrouter_counter::{CallResult, CounterMonitor, FailoverPolicy, ValidationCall, ValidationSettings};
 use liftrouter_decision::Event;
 
-impl World {
-    /// Every limiter validates its counter.
-    pub fn validated(self) -> World {
+impl Simulation {
+    /// Makes every limiter validate the counter.
+    pub fn with_validation(self) -> Simulation {
         self.with_standbys(0)
     }
 
-    /// Every limiter validates its counters, of which there are `standbys` beside the first.
-    pub fn with_standbys(mut self, standbys: usize) -> World {
+    /// Adds `standbys` counters to the first, and makes every limiter validate all of them.
+    pub fn with_standbys(mut self, standbys: usize) -> Simulation {
         self.counters.resize(1 + standbys, CounterService::default());
-        (0..self.instances.len()).for_each(|n| self.validate(n));
+        (0..self.instances.len()).for_each(|n| self.start_validation(n));
         self
     }
 
-    /// Settings of the validation.
+    /// Validation settings for this number of limiters.
     pub fn settings(limiters: usize) -> ValidationSettings {
         ValidationSettings { instance_count: limiters as u32, ..ValidationSettings::default() }
     }
 
-    pub(super) fn validate(&mut self, n: usize) {
+    pub(super) fn start_validation(&mut self, n: usize) {
         let incarnation = self.instances[n].incarnation;
         let settings = ValidationSettings {
             instance_index: n as u32,
             incarnation: self.seed << 16 | (n as u64) << 8 | u64::from(incarnation),
-            ..World::settings(self.instances.len())
+            ..Simulation::settings(self.instances.len())
         };
         let skew = self.instances[n].skew;
-        let order = FailoverPolicy { recovery_period: 10.0, ..FailoverPolicy::default() };
+        let policy = FailoverPolicy { recovery_period_s: 10.0, ..FailoverPolicy::default() };
         let monitor =
-            CounterMonitor::new(&settings, order, self.counters.len(), self.rng.f64(), self.now + skew);
+            CounterMonitor::new(&settings, policy, self.counters.len(), self.rng.f64(), self.now + skew);
         let share = monitor.assessment().validity.usable_quota_ratio;
         for counter in 0..self.counters.len() {
             self.schedule(
@@ -50,8 +50,8 @@
         if self.instances[n].incarnation != incarnation {
             return;
         }
-        if self.instances[n].paused > self.now {
-            let at = self.instances[n].paused;
+        if self.instances[n].paused_until > self.now {
+            let at = self.instances[n].paused_until;
             return self.schedule(at, SimulationEvent::Validate(n, incarnation, counter));
         }
         self.check_for_pause(n);
@@ -61,7 +61,7 @@
         let call = monitor.due_call(counter, clock);
         let next = monitor.next_call_at(counter) - skew;
         if let Some(call) = call {
-            let (answer, elapsed) = self.reach(n, counter, &call.key, call.increment, call.ttl);
+            let (answer, elapsed) = self.call_counter(n, counter, &call.key, call.increment, call.ttl_s);
             self.schedule(
                 self.now + elapsed,
                 SimulationEvent::ValidationEnded { limiter: n, incarnation, counter, call, answer },
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A host looks at its clock before it hears anything.
+    /// Checks for a pause of the process, which the host does before it handles any event.
     pub(super) fn check_for_pause(&mut self, n: usize) {
         let (now, instance) = (self.now, &mut self.instances[n]);
         if let (Some(monitor), Some(_)) = (&mut instance.monitor, instance.pause_detector.check(now)) {
--- a/crates/counter/tests/error_bound.rs
+++ b/crates/counter/tests/error_bound.rs
@@ -1,4 +1,4 @@
-//! The error bounds: worked examples, and how the faults compare.
+//! The error bounds: worked examples and a comparison of the faults.
 
 use liftrouter_counter::{ErrorBound, Fault, Quota, Timing};
 
@@ -8,23 +8,23 @@
 #[test]
 fn overshoot_under_a_fault_lies_between_no_fault_and_an_arbitrary_fault() {
     let timing = Timing::default();
-    let seconds = 30.0;
-    let any = ErrorBound::under(&QUOTA, &timing, Fault::Arbitrary { seconds }).overshoot;
+    let duration_s = 30.0;
+    let arbitrary = ErrorBound::under(&QUOTA, &timing, Fault::Arbitrary { duration_s }).overshoot;
     let none = ErrorBound::under(&QUOTA, &timing, Fault::None).overshoot;
     for fault in [
-        Fault::Unavailable { seconds },
+        Fault::Unavailable { duration_s },
         Fault::CountsLost,
-        Fault::Slow { seconds: 0.02 },
-        Fault::Stale { seconds },
-        Fault::SplitBrain { partitions: 2, seconds },
-        Fault::DoubleCounted { seconds },
+        Fault::Slow { delay_s: 0.02 },
+        Fault::Stale { duration_s },
+        Fault::SplitBrain { partitions: 2, duration_s },
+        Fault::DoubleCounted { duration_s },
     ] {
         let over = ErrorBound::under(&QUOTA, &timing, fault).overshoot;
-        assert!((none..=any).contains(&over), "{fault:?}: {over}, none {none}, any {any}");
+        assert!((none..=arbitrary).contains(&over), "{fault:?}: {over}, none {none}, arbitrary {arbitrary}");
     }
 }
 
-/// The tables of the design note, worked out by hand for this quota: rate 6.5, burst 30, three instances, calls every 0.55 s
+/// The tables of the design note, computed by hand for this quota: rate 6.5, burst 30, three instances, calls every 0.55 s
 /// that time out after 0.05 s, averages over ten seconds.
 #[test]
 fn bounds_match_the_worked_examples_of_the_design_note() {
@@ -34,20 +34,20 @@
     assert!((none.overshoot - (45.7167 + 72.0 + 63.0 - 30.0)).abs() < 1e-3, "{none:?}");
     // Two thirds of 10.55 s and of the burst, and a burst for the hard limit, whose bucket starts empty.
     assert!((none.undershoot - (45.7167 + 20.0 + 30.0)).abs() < 1e-3, "{none:?}");
-    let seconds = 20.0;
+    let duration_s = 20.0;
     for (fault, over, under) in [
         // 6.5 * 1.8; 6.5 * 2/3 * (20 + 1.8 + 10.55)
-        (Fault::Unavailable { seconds }, 11.7, 140.1833),
+        (Fault::Unavailable { duration_s }, 11.7, 140.1833),
         // 6.5 * 1/3 * 30 + 11.7
-        (Fault::Partitioned { instances: 1, seconds }, 76.7, 140.1833),
+        (Fault::Partitioned { instances: 1, duration_s }, 76.7, 140.1833),
         // 6.5 * 2 * 10.55; 6.5 * 2/3 * 10.55
         (Fault::CountsLost, 137.15, 45.7167),
         // 6.5 * 30
-        (Fault::Stale { seconds }, 195.0, 140.1833),
+        (Fault::Stale { duration_s }, 195.0, 140.1833),
         // 6.5 * 30 and a burst; 6.5 * 2/3 * (20 + 10.55)
-        (Fault::SplitBrain { partitions: 2, seconds }, 225.0, 132.3833),
+        (Fault::SplitBrain { partitions: 2, duration_s }, 225.0, 132.3833),
         // 6.5 * 2/3 * (10.55 + 20)
-        (Fault::DoubleCounted { seconds }, 0.0, 132.3833),
+        (Fault::DoubleCounted { duration_s }, 0.0, 132.3833),
     ] {
         let found = ErrorBound::under(&QUOTA, &timing, fault);
         let more = (found.overshoot - none.overshoot, found.undershoot - none.undershoot);
@@ -58,16 +58,16 @@
     let more = (started.overshoot - none.overshoot, started.undershoot - none.undershoot);
     assert!((more.0 - 32.8583).abs() < 1e-3 && (more.1 - 75.7167).abs() < 1e-3, "{more:?}");
     // In 20 s: 6.5 * (1 - 2/3) each second for the hard limit, and 0.15 of the quota for random variation.
-    let more = none.undershoot_within(&QUOTA, seconds) - none.undershoot;
+    let more = none.undershoot_within(&QUOTA, duration_s) - none.undershoot;
     assert!((more - 62.8333).abs() < 1e-3, "{more}");
 }
 
 #[test]
 fn a_single_instance_is_not_affected_by_a_split_brain() {
     let alone = Quota { instance_count: 1, ..QUOTA };
-    for seconds in [1.0, 1_000.0] {
+    for duration_s in [1.0, 1_000.0] {
         let split =
-            ErrorBound::under(&alone, &Timing::default(), Fault::SplitBrain { partitions: 2, seconds });
+            ErrorBound::under(&alone, &Timing::default(), Fault::SplitBrain { partitions: 2, duration_s });
         assert_eq!(split, ErrorBound::under(&alone, &Timing::default(), Fault::None));
     }
 }
--- a/crates/counter/tests/pacing.rs
+++ b/crates/counter/tests/pacing.rs
@@ -3,10 +3,11 @@
 
 use liftrouter_counter::{Pacer, PacingSettings};
 
-const SETTINGS: PacingSettings = PacingSettings { calls_per_second: 400.0, instance_count: 4, ramp_up: 5.0 };
+const SETTINGS: PacingSettings =
+    PacingSettings { calls_per_second: 400.0, instance_count: 4, ramp_up_s: 5.0 };
 
-/// Calls in each of ten seconds by instances that try a thousand times a second each.
-fn saturate(mut pacers: Vec<Pacer>) -> Vec<u32> {
+/// Number of calls in each of ten seconds by instances that each attempt a thousand calls per second.
+fn calls_per_second(mut pacers: Vec<Pacer>) -> Vec<u32> {
     let count = |second: u32, pacers: &mut Vec<Pacer>| {
         let times = (0..1_000).map(|ms| f64::from(second) + f64::from(ms) / 1e3);
         times
@@ -24,7 +25,7 @@
 
 #[test]
 fn instances_together_call_at_the_stated_rate_and_no_faster() {
-    let calls = saturate(pacers());
+    let calls = calls_per_second(pacers());
     assert!(calls.iter().all(|n| (380..=404).contains(n)), "{calls:?}");
 }
 
@@ -35,7 +36,7 @@
         (0..3).for_each(|_| pacer.record_result(false, 0.0));
         pacer.record_result(true, 0.0);
     }
-    let calls = saturate(all);
+    let calls = calls_per_second(all);
     assert!(calls[0] < 100, "{calls:?}");
     assert!(calls.windows(2).take(5).all(|w| w[0] < w[1]), "{calls:?}");
     assert!(calls[6..].iter().all(|n| (380..=404).contains(n)), "{calls:?}");
@@ -45,11 +46,14 @@
 fn calls_saved_up_in_an_outage_are_not_made_at_once() {
     let mut pacer = Pacer::new(SETTINGS, 1.0, 0.0);
     let at_once = (0..1_000).filter(|_| pacer.try_acquire(3_600.0)).count();
-    assert_eq!(at_once, 5, "the calls of a twentieth of a second");
+    assert_eq!(at_once, 5, "the burst of 0.05 s");
     assert_eq!(pacer.throttled_calls(), 995);
     pacer.start_ramp(3_601.0);
-    assert!(pacer.try_acquire(3_601.0) && !pacer.try_acquire(3_601.0), "its phase and no more");
-    // One unanswered call is no outage.
+    assert!(
+        pacer.try_acquire(3_601.0) && !pacer.try_acquire(3_601.0),
+        "the ramp starts with as many calls as the phase"
+    );
+    // A single unanswered call does not start a ramp.
     let mut pacer = Pacer::new(SETTINGS, 0.0, 0.0);
     pacer.record_result(false, 1.0);
     pacer.record_result(true, 1.0);
--- a/crates/counter/tests/token_bucket.rs
+++ b/crates/counter/tests/token_bucket.rs
@@ -10,7 +10,7 @@
     assert_eq!(bucket.max_overshoot(), 0.0);
     bucket.take(4.0, 1.0);
     assert_eq!(bucket.max_overshoot(), 2.0);
-    // Four units in two seconds leave an overdraft of 2 - 1 at the end, which is no worse.
+    // The refill of 4 units in two seconds and a use of 3 leave an overdraft of 1, less than the maximum.
     bucket.take(3.0, 3.0);
     assert_eq!(bucket.max_overshoot(), 2.0);
     assert_eq!(bucket.level(100.0), 10.0);
--- a/crates/counter/tests/wire_fixture.rs
+++ b/crates/counter/tests/wire_fixture.rs
@@ -1,5 +1,5 @@
-//! The names on the counter service and the log text of each assessment, as version 0.2.0 wrote them. All versions
-//! that share a counter service have to agree on the names.
+//! Checks the keys on the counter service and the log text of each assessment against those of version 0.2.0. All versions
+//! that share a counter service must use the same keys.
 
 use liftrouter_counter::{Assessment, CallResult, CounterMonitor, FailoverPolicy, ValidationSettings};
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 const FIXTURE: &str = include_str!("fixtures/validation_calls.txt");
 const TICKS_PER_SECOND: u32 = 20;
 
-/// The result as the fixture writes it.
+/// The result in the format of the fixture.
 fn text_of(result: CallResult) -> String {
     match result {
         CallResult::Total(total) => format!("Total({total:?})"),
@@ -17,8 +17,8 @@
     }
 }
 
-/// Two counters with every kind of fault: the first is unavailable, rejects calls, is stale and loses counts; the second
-/// counts twice for a moment.
+/// Answers of two counters with every kind of fault: the first is unavailable, rejects calls, is stale and loses counts;
+/// the second applies increments more than once for two seconds.
 fn answer(
     counts: &mut HashMap<String, f64>,
     counter: usize,
@@ -48,7 +48,7 @@
         incarnation: 0x0123_4567_89ab_cdef,
         ..ValidationSettings::default()
     };
-    let policy = FailoverPolicy { recovery_period: 10.0, jitter: 1.0, ..FailoverPolicy::default() };
+    let policy = FailoverPolicy { recovery_period_s: 10.0, jitter_s: 1.0, ..FailoverPolicy::default() };
     let mut monitor = CounterMonitor::new(&settings, policy, 2, 0.25, 1_000.0);
     let mut counts = [HashMap::<String, f64>::new(), HashMap::new()];
     let line = |assessment: Option<Assessment>| assessment.map(|a| a.to_string()).unwrap_or_default();
@@ -64,7 +64,7 @@
         for (counter, counts) in counts.iter_mut().enumerate() {
             let Some(call) = monitor.due_call(counter, now) else { continue };
             let result = answer(counts, counter, tick / TICKS_PER_SECOND, &call.key, call.increment);
-            let (key, increment, keep_ms) = (&call.key, call.increment, call.ttl * 1e3);
+            let (key, increment, keep_ms) = (&call.key, call.increment, call.ttl_s * 1e3);
             let text = text_of(result);
             writeln!(found, "{now} {counter} POST /tally/{key}?n={increment}&keep_ms={keep_ms} {text}")
                 .expect("text");
--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -1,4 +1,4 @@
-//! The client of one counter: adds to a named count and reads its total, on a few kept connections.
+//! The client of one counter: adds to a count and returns its total, over a small pool of connections.
 
 use crate::count::Count;
 use crate::log;
@@ -14,26 +14,26 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Concurrent calls, each on a connection of its own; the counter accepts 32 of one limiter. Answers on one connection
-/// come in order, however late, so a call with its own connection can never read the answer to another.
+/// Maximum number of concurrent calls. Each has its own connection, of which the counter accepts 32 per limiter: a call
+/// that shared a connection could read the late answer to an earlier call.
 pub const MAX_CONCURRENT_CALLS: usize = 8;
 /// Idle connections are closed after this time, well before the counter closes them (after about 10 s or less).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Backoff after a failed connect, doubled with each further one. Short, because the decision module itself calls rarely
-/// while the counter is unavailable, and its calls are what detects its return.
+/// Backoff after the first failed connect, doubled by each further one. It is short because the decision module makes few
+/// calls while the counter is unavailable, and those calls detect its recovery.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 /// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// Doublings after which the backoff is at its limit in any case.
+/// Limits the exponent of the backoff, which reaches [`MAX_BACKOFF`] with fewer doublings.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Timeout of a call where the settings have none, in seconds.
-const DEFAULT_TIMEOUT: f64 = 0.05;
-/// Shortest time for which the counter keeps a count, in milliseconds.
+/// Timeout of a call if the settings contain no valid one, in seconds.
+const DEFAULT_TIMEOUT_S: f64 = 0.05;
+/// Minimum lifetime of a count on the counter, in milliseconds.
 const MIN_TTL_MS: f64 = 1.0;
-/// Longest time for which the counter keeps a count, in milliseconds.
+/// Maximum lifetime of a count on the counter, in milliseconds.
 const MAX_TTL_MS: f64 = 60_000.0;
 
-/// A client of one counter. Everything runs on one thread, so its state is in cells.
+/// A client of one counter. It is used on a single thread, so its state is in cells.
 pub struct CounterClient {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
@@ -41,25 +41,25 @@
     open_sockets: Rc<Cell<usize>>,
     calls_in_flight: Rc<Cell<usize>>,
     failed_connects: Cell<u32>,
-    /// No connect is tried before this time.
+    /// Time before which calls fail without a connection attempt.
     backoff_until: Cell<Option<Instant>>,
     malformed_answers: Cell<u64>,
 }
 
-/// Permission for one call, counted until it is dropped.
+/// A slot for one call, released when it is dropped.
 pub struct CallPermit {
-    /// Where the call goes.
+    /// Address that the call is sent to.
     pub address: SocketAddr,
     _counted: Count<Rc<Cell<usize>>>,
 }
 
-/// How a call ended.
+/// The result of a call.
 pub struct CounterTotal {
-    /// The outcome, as the decision module has to know it.
+    /// The outcome to report to the decision module.
     pub outcome: Outcome,
     /// The total; 0 unless the outcome is [`Outcome::Ok`].
     pub total: f64,
-    /// The connection, if it can be kept.
+    /// The connection, if it can be reused.
     pub connection: Option<HttpConnection>,
 }
 
@@ -70,10 +70,10 @@
 }
 
 impl CounterClient {
-    /// A client of the counter at an address, if it has one yet.
+    /// A client of the counter at `address`, or of one whose address is not known yet.
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
         let seconds = settings.counter_timeout;
-        let seconds = if seconds > 0.0 && seconds.is_finite() { seconds } else { DEFAULT_TIMEOUT };
+        let seconds = if seconds > 0.0 && seconds.is_finite() { seconds } else { DEFAULT_TIMEOUT_S };
         CounterClient {
             address: Cell::new(address),
             timeout: Duration::from_secs_f64(seconds),
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Sends calls to this address from now on, and returns whether it is another one. Calls in flight end where they
-    /// are. Idle connections to the old address are closed: it will close them, and a call that crosses that is lost.
+    /// Sets the address of further calls, and returns whether it changed. Calls in flight finish at the old address. Idle
+    /// connections to it are closed, because the old counter may close them while a call is being sent, which loses it.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let changed = self.address.replace(Some(address)) != Some(address);
         if changed {
@@ -103,10 +103,10 @@
         self.address.get()
     }
 
-    /// Reserves one of the concurrent calls.
+    /// Reserves a slot for one of the [`MAX_CONCURRENT_CALLS`].
     ///
     /// # Errors
-    /// The outcome if no call can be made now; then nothing was added.
+    /// The outcome if no call can be made now; the increment was not applied.
     pub fn reserve_call(&self) -> Result<CallPermit, Outcome> {
         let address = self.address.get().ok_or(Outcome::ConnectFailed)?;
         if self.backoff_until.get().is_some_and(|until| Instant::now() < until) {
@@ -118,21 +118,21 @@
         Ok(CallPermit { address, _counted: Count::new(self.calls_in_flight.clone()) })
     }
 
-    /// Adds to a count that lives `ttl` seconds, and waits for the outcome and the total.
-    pub async fn add(&self, key: &str, increment: f64, ttl: f64) -> (Outcome, f64) {
+    /// Adds to a count with a lifetime of `ttl_s`, and returns the outcome and the total.
+    pub async fn add(&self, key: &str, increment: f64, ttl_s: f64) -> (Outcome, f64) {
         let permit = match self.reserve_call() {
             Ok(permit) => permit,
             Err(outcome) => return (outcome, 0.0),
         };
         let CounterTotal { outcome, total, connection } =
-            self.send(permit.address, key, increment, ttl).await;
+            self.send(permit.address, key, increment, ttl_s).await;
         let address = permit.address;
         drop(permit);
         self.keep(address, connection).await;
         (outcome, total)
     }
 
-    /// Keeps a connection for further calls, if it can take them.
+    /// Returns a connection to the pool if it can be reused.
     pub async fn keep(&self, address: SocketAddr, connection: Option<HttpConnection>) {
         if let Some(mut connection) = connection {
             if connection.settle().await && self.address.get() == Some(address) {
@@ -141,13 +141,13 @@
         }
     }
 
-    /// Makes a call at an address, within the timeout.
-    pub async fn send(&self, address: SocketAddr, key: &str, increment: f64, ttl: f64) -> CounterTotal {
+    /// Sends a call to `address`, and waits for its result up to the timeout.
+    pub async fn send(&self, address: SocketAddr, key: &str, increment: f64, ttl_s: f64) -> CounterTotal {
         let deadline = Instant::now() + self.timeout;
-        let keep_ms = (ttl * 1000.0).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
+        let keep_ms = (ttl_s * 1000.0).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
         let target = format!("/tally/{key}?n={increment}&keep_ms={keep_ms}");
         loop {
-            // The address may have changed between two tries: idle connections lead to the present one.
+            // Idle connections lead to the current address, which may have changed since the call was reserved.
             let idle = if self.address.get() == Some(address) { self.take_idle() } else { None };
             let reused = idle.is_some();
             let mut connection = match idle {
@@ -163,8 +163,8 @@
                 Ok(Ok(answer)) => self.read_answer(&answer, connection, key, &target),
                 Ok(Err(Failure::NotSent)) if reused => continue,
                 Ok(Err(Failure::NotSent)) => CounterTotal::failed(Outcome::ConnectFailed),
-                // It may have been added, or may still be: to the decision module that is a call without an answer. The
-                // connection is closed with the call, so nobody reads a late answer.
+                // The increment may have been applied, or may still be, so the outcome is a timeout. The connection is
+                // dropped with the call, so that no later call reads a late answer.
                 Ok(Err(Failure::Broken | Failure::TooLarge)) | Err(_) => {
                     CounterTotal::failed(Outcome::Timeout)
                 }
@@ -179,9 +179,9 @@
                 Some(connection)
             }
             Ok(Err(_)) => {
-                // An old address that refuses says nothing about the present one.
+                // A failed connect to an old address says nothing about the current one.
                 if self.address.get() == Some(address) {
-                    self.back_off();
+                    self.start_backoff();
                 }
                 None
             }
@@ -203,12 +203,12 @@
                 CounterTotal { outcome: Outcome::Ok, total, connection: Some(connection) }
             }
             (StatusCode::OK, None) => {
-                self.log_malformed(format_args!("an answer to {key} has no total"));
+                self.log_malformed(format_args!("the response for {key} contains no total"));
                 CounterTotal::failed(Outcome::Timeout)
             }
             (status, _) => {
                 if status != StatusCode::SERVICE_UNAVAILABLE {
-                    self.log_malformed(format_args!("{status} for {target}"));
+                    self.log_malformed(format_args!("unexpected status {status} for {target}"));
                 }
                 CounterTotal { outcome: Outcome::Overloaded, total: 0.0, connection: Some(connection) }
             }
@@ -218,20 +218,20 @@
     fn take_idle(&self) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.used.elapsed() < IDLE_TIMEOUT);
-        let last_rested = || idle.iter().rposition(HttpConnection::rested).map(|index| idle.remove(index));
-        std::iter::from_fn(last_rested).find(HttpConnection::usable)
+        let take_rested = || idle.iter().rposition(HttpConnection::rested).map(|index| idle.remove(index));
+        std::iter::from_fn(take_rested).find(HttpConnection::usable)
     }
 
-    /// Logs the first malformed answer and then ever fewer: a counter that is broken all day must not fill the log.
+    /// Logs malformed answers number 1, 2, 4, 8 and so on, so that a counter that stays broken does not flood the log.
     fn log_malformed(&self, text: std::fmt::Arguments) {
         let count = self.malformed_answers.get() + 1;
         self.malformed_answers.set(count);
         if count.is_power_of_two() {
-            log("counter", format_args!("{text} (fault {count})"));
+            log("counter", format_args!("{text} (error {count})"));
         }
     }
 
-    fn back_off(&self) {
+    fn start_backoff(&self) {
         let backoff = INITIAL_BACKOFF * (1 << self.failed_connects.get().min(MAX_BACKOFF_DOUBLINGS));
         self.failed_connects.set(self.failed_connects.get() + 1);
         self.backoff_until.set(Some(Instant::now() + backoff.min(MAX_BACKOFF)));
--- a/crates/daemon/src/counter/mod.rs
+++ b/crates/daemon/src/counter/mod.rs
@@ -1,4 +1,4 @@
-//! The counter service: calls to its replicas, which of them is active, and how far its totals may be relied on.
+//! Access to the counter service: the client, the pool with its active counter, and the validation.
 
 pub mod client;
 pub mod pool;
--- a/crates/daemon/src/counter/pool.rs
+++ b/crates/daemon/src/counter/pool.rs
@@ -1,5 +1,5 @@
-//! The counters that this instance knows: customers' calls go to the active one, at the pace that it takes, and an answer
-//! from one that is no longer active is dropped.
+//! The configured counters: calls for customers go to the active one, limited by its pacer, and answers from a counter
+//! that is no longer active are dropped.
 
 use super::client::{CounterClient, CounterTotal};
 use crate::events::{EventQueue, HostEvent};
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often something happened that the validation has to know of. Each number only ever increases.
+/// Number of changes that the validation must react to. The counts never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeCounts {
     /// Pauses of the process.
@@ -29,7 +29,7 @@
     started_at: Instant,
     changes: Cell<ChangeCounts>,
     changed: Notify,
-    /// Answers from a counter that was no longer active.
+    /// Number of answers from a counter that was no longer active.
     late_responses: Cell<u64>,
 }
 
@@ -52,7 +52,7 @@
         &self.clients
     }
 
-    /// Customers are counted at this counter from now on.
+    /// Directs calls for customers to this counter, and starts the pacer's ramp if it was not active before.
     pub fn set_active(&self, active: ActiveCounter) {
         if self.active.replace(active) != active {
             let now = self.now();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The first counter has this address from now on.
+    /// Sets the address of the first counter, and notifies the validation if it changed.
     pub fn set_first_address(&self, address: SocketAddr) {
         let Some(first) = self.clients.first() else { return };
         if first.set_address(address) {
@@ -76,14 +76,14 @@
         }
     }
 
-    /// The process was paused: the validation has to know.
+    /// Records a pause of the process, and notifies the validation.
     pub fn process_resumed(&self) {
         let changes = self.changes.get();
         self.changes.set(ChangeCounts { pauses: changes.pauses + 1, ..changes });
         self.changed.notify_one();
     }
 
-    /// What has happened so far.
+    /// The changes counted so far.
     pub fn changes(&self) -> ChangeCounts {
         self.changes.get()
     }
@@ -100,13 +100,13 @@
     /// Starts a call for a customer. Its result is a [`HostEvent::CounterReply`].
     ///
     /// # Errors
-    /// The outcome if no call can be made now; then nothing was added.
+    /// The outcome if no call can be made now; the increment was not applied.
     pub fn call(
         self: &Rc<Self>,
         events: &Rc<EventQueue>,
         key: String,
         increment: f64,
-        ttl: f64,
+        ttl_s: f64,
     ) -> Result<(), Outcome> {
         let active = self.active.get();
         let client = self.clients.get(active.index).ok_or(Outcome::ConnectFailed)?;
@@ -119,22 +119,22 @@
         tokio::task::spawn_local(async move {
             let started_at = Instant::now();
             let CounterTotal { outcome, total, connection } =
-                client.send(permit.address, &key, increment, ttl).await;
+                client.send(permit.address, &key, increment, ttl_s).await;
             let address = permit.address;
             drop(permit);
-            let outcome = pool.attribute(active, outcome);
+            let outcome = pool.finish_call(active, outcome);
             events.push(HostEvent::CounterReply { key, outcome, total, elapsed: started_at.elapsed() });
             client.keep(address, connection).await;
         });
         Ok(())
     }
 
-    /// The outcome of a call that began while `active` was the active counter.
+    /// Records the end of a call that started while `active` was the active counter, and returns the outcome to report.
     ///
-    /// If another one is active now, the increment is not added again, since the present counter may be a copy of the one
-    /// before, and the total is not a total of the present one: to the decision module that is a call without an answer.
-    /// An increment that was certainly not applied goes to the present counter.
-    fn attribute(&self, active: ActiveCounter, outcome: Outcome) -> Outcome {
+    /// If another counter is active now, an answer is reported as [`Outcome::Timeout`]: its total does not belong to the
+    /// current counter, and its increment must not be repeated, because the current counter may be a copy of the previous
+    /// one. A failed call keeps its outcome, so an increment that was definitely not applied goes to the current counter.
+    fn finish_call(&self, active: ActiveCounter, outcome: Outcome) -> Outcome {
         let now = self.now();
         if let Some(pacer) = &mut *self.pacer.borrow_mut() {
             pacer.record_result(outcome == Outcome::Ok, now);
@@ -145,7 +145,10 @@
         let late_responses = self.late_responses.get() + 1;
         self.late_responses.set(late_responses);
         if late_responses.is_power_of_two() {
-            log("keeper", format_args!("an answer came from the keeper before ({late_responses} so far)"));
+            log(
+                "keeper",
+                format_args!("dropped a late answer from the previous counter ({late_responses} so far)"),
+            );
         }
         Outcome::Timeout
     }
--- a/crates/daemon/src/counter/validation.rs
+++ b/crates/daemon/src/counter/validation.rs
@@ -1,5 +1,5 @@
-//! Runs the validation of the counters: makes its calls, one at a time to each counter, and reports which counter is
-//! active and how far its totals may be relied on.
+//! Runs the validation of the counters: makes the validation calls, one at a time to each counter, and reports the active
+//! counter and the validity of its totals.
 
 use super::pool::{ChangeCounts, CounterPool};
 use crate::events::{EventQueue, HostEvent};
@@ -15,15 +15,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Shortest sleep between two checks for a due call, whatever the clock does.
+/// Lower limit of the sleep between two checks for a due call, which prevents a busy loop.
 const MIN_SLEEP: Duration = Duration::from_millis(5);
-/// 2^64 divided by the golden ratio: an odd number whose multiples differ in all their bits.
+/// 2^64 divided by the golden ratio, for multiplicative (Fibonacci) hashing of the seed.
 const PHASE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits of the hashed seed that become the phase.
+/// Number of upper bits of the hashed seed that become the phase.
 const PHASE_BITS: u32 = 24;
 
-/// Unix time, read once and carried on by the monotonic clock: all instances mean the same by it, and it does not follow
-/// later changes of the system clock.
+/// Unix time, read once at the start and advanced by the monotonic clock. It is comparable between instances and does
+/// not follow later changes of the system clock.
 struct ValidationClock {
     started_at: Instant,
     unix_seconds: f64,
@@ -53,8 +53,8 @@
     clock: ValidationClock,
     settings: ValidationSettings,
     monitor: RefCell<CounterMonitor>,
-    /// What the monitor knows of [`CounterPool::changes`].
-    known: Cell<ChangeCounts>,
+    /// The [`CounterPool::changes`] that were already passed to the monitor.
+    applied_changes: Cell<ChangeCounts>,
     plans: Vec<ReportedPlan>,
     timing: Timing,
 }
@@ -71,13 +71,13 @@
         seed: u64,
     ) -> Rc<Self> {
         let clock = ValidationClock::start();
-        // A process that restarts with the same seed must not take its predecessor's sentinel for its own.
+        // A process that restarts with the same seed must not reuse the sentinel of its predecessor.
         let incarnation = seed ^ (clock.unix_seconds * 1e6) as u64;
         let instance_index = settings.instance_index;
         let instance_count = settings.instance_count.max(1);
         let validation =
             ValidationSettings { instance_index, instance_count, incarnation, ..validation.clone() };
-        // Hashed from the seed, so that instances with the same view switch at different moments.
+        // Derived from the seed, so that instances with the same observations switch at different moments.
         let hash = seed.wrapping_mul(PHASE_MULTIPLIER) >> (u64::BITS - PHASE_BITS);
         let phase = hash as f64 / f64::from(1u32 << PHASE_BITS);
         let monitor = CounterMonitor::new(&validation, policy, pool.clients().len(), phase, clock.now());
@@ -87,15 +87,15 @@
             clock,
             settings: validation,
             monitor: RefCell::new(monitor),
-            known: Cell::default(),
+            applied_changes: Cell::default(),
             plans: reported_plans(settings, instance_count),
-            timing: Timing { timeout: settings.counter_timeout.max(0.0), ..Timing::default() },
+            timing: Timing { timeout_s: settings.counter_timeout.max(0.0), ..Timing::default() },
         })
     }
 
-    /// Validates for as long as it is polled. Each change is one line of the log.
+    /// Runs the validation until the future is dropped. Each change of the assessment is logged in one line.
     pub async fn run(self: Rc<Self>) {
-        // Until a counter has answered, totals are not used.
+        // The initial assessment: totals are not used until a counter has answered.
         let initial = self.monitor.borrow().assessment();
         self.report(initial);
         for counter in 0..self.pool.clients().len() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Validates one counter.
+    /// Makes the validation calls to one counter.
     async fn validate(self: Rc<Self>, counter: usize) {
         let Some(client) = self.pool.clients().get(counter).cloned() else { return };
         loop {
@@ -116,13 +116,13 @@
             sleep(until.max(MIN_SLEEP)).await;
             let call = self.monitor.borrow_mut().due_call(counter, self.clock.now());
             let Some(call) = call else { continue };
-            let (outcome, total) = client.add(&call.key, call.increment, call.ttl).await;
+            let (outcome, total) = client.add(&call.key, call.increment, call.ttl_s).await;
             let result = match outcome {
                 Outcome::Ok => CallResult::Total(total),
                 Outcome::Timeout => CallResult::Unanswered,
                 _ => CallResult::NotApplied,
             };
-            // A pause of the process during the call has to be known before the answer.
+            // A pause of the process during the call must be applied before its result.
             self.apply_changes();
             let assessment =
                 self.monitor.borrow_mut().record_result(counter, &call, result, self.clock.now());
@@ -130,15 +130,15 @@
         }
     }
 
-    /// Passes on to the monitor what has happened to the process and to the first counter.
+    /// Passes pauses of the process and changes of the first counter's address to the monitor.
     fn apply_changes(&self) {
         let (now, changes) = (self.clock.now(), self.pool.changes());
-        let known = self.known.replace(changes);
-        if changes.address_changes != known.address_changes {
+        let applied = self.applied_changes.replace(changes);
+        if changes.address_changes != applied.address_changes {
             let assessment = self.monitor.borrow_mut().address_changed(0, now);
             self.report_change(assessment);
         }
-        if changes.pauses != known.pauses {
+        if changes.pauses != applied.pauses {
             let assessment = self.monitor.borrow_mut().process_resumed(now);
             self.report_change(assessment);
         }
@@ -155,7 +155,7 @@
         log("keeper", self.log_line(&assessment));
         self.events.push(HostEvent::CounterValidity {
             usable_quota_ratio: assessment.validity.usable_quota_ratio,
-            pauses: self.known.get().pauses,
+            pauses: self.applied_changes.get().pauses,
         });
     }
 
@@ -175,7 +175,7 @@
     }
 }
 
-/// The plans that have a quota.
+/// The plans with a quota.
 fn reported_plans(settings: &Settings, instance_count: u32) -> Vec<ReportedPlan> {
     let plans = settings.plans.iter().filter(|plan| plan.rate > 0.0);
     let reported = plans.map(|plan| ReportedPlan {
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -104,7 +104,7 @@
         let next_timer = self.timers.next().unwrap_or_else(|| Instant::now() + IDLE_SLEEP);
         match &self.pause_detector {
             Some(detector) => {
-                next_timer.min(Instant::now() + Duration::from_secs_f64(detector.check_interval()))
+                next_timer.min(Instant::now() + Duration::from_secs_f64(detector.check_interval_s()))
             }
             None => next_timer,
         }
--- a/crates/daemon/src/operator/counter.rs
+++ b/crates/daemon/src/operator/counter.rs
@@ -1,4 +1,4 @@
-//! `[keeper]`: counter services are validated by calls of the limiter's own, and left for others where they fail.
+//! The `[keeper]` section of the operator's file: validation of the counter services, failover and pacing of calls.
 
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
@@ -7,14 +7,15 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// Counter services behind the first, at most.
+/// Maximum number of counter services besides the first.
 pub(super) const MAX_FALLBACK_COUNTERS: usize = 7;
-/// In each census every instance is called once and read once, with a call of the sentinel counter between.
+/// Validation calls that must fit into a census period: each instance registers once and reads the census once, with
+/// calls to the sentinel counter between.
 const MIN_CALLS_PER_CENSUS: u64 = 5;
-/// Share of the calls that customers keep whatever validation takes.
-const MIN_CUSTOMER_SHARE: f64 = 0.1;
+/// Minimum ratio of the call rate that remains for customers after validation calls are deducted.
+const MIN_CUSTOMER_RATIO: f64 = 0.1;
 
-/// The section as it is written.
+/// The section as it is written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct CounterSection {
@@ -40,37 +41,37 @@
     ramp_up_ms: Option<Spanned<u64>>,
 }
 
-/// How counter services are validated and followed.
+/// Settings of the counter services: validation, failover and pacing.
 #[derive(Debug)]
 pub struct CounterSettings {
-    /// How they are validated; which limiter this is, is still to be set.
+    /// Settings of the validation. The identity of the limiter is not part of the file and is set later.
     pub validation: ValidationSettings,
-    /// When another counter service becomes the active one.
+    /// Policy for switching the active counter service.
     pub failover: FailoverPolicy,
-    /// The counter services behind the one that the configuration names, in order.
+    /// The counter services to fail over to, in order, after the one that the configuration names.
     pub fallbacks: Vec<SocketAddr>,
-    /// Calls a second that a counter service takes from all limiters, if stated.
+    /// Calls per second that a counter service accepts from all limiters together, if set.
     calls_per_s: Option<f64>,
-    /// Seconds over which calls come back after an outage.
-    ramp_up: f64,
+    /// Seconds over which the call rate ramps up after an outage.
+    ramp_up_s: f64,
 }
 
 impl CounterSettings {
-    /// How calls are paced by each of so many limiters, if they are.
-    pub fn pace(&self, limiters: u32) -> Option<PacingSettings> {
+    /// The pacing of calls by each of `limiter_count` limiters, if a call rate is set.
+    pub fn pacing(&self, limiter_count: u32) -> Option<PacingSettings> {
         let calls_per_s = self.calls_per_s?;
-        // Validation calls are not paced: one in each interval, and few beside customers'.
-        let validation = f64::from(limiters.max(1)) / self.validation.call_interval;
-        let calls_per_s = (calls_per_s - validation).max(MIN_CUSTOMER_SHARE * calls_per_s);
+        // Validation calls bypass the pacer, so their rate, one call per limiter and interval, is deducted here.
+        let validation = f64::from(limiter_count.max(1)) / self.validation.call_interval_s;
+        let calls_per_s = (calls_per_s - validation).max(MIN_CUSTOMER_RATIO * calls_per_s);
         Some(PacingSettings {
             calls_per_second: calls_per_s,
-            instance_count: limiters.max(1),
-            ramp_up: self.ramp_up,
+            instance_count: limiter_count.max(1),
+            ramp_up_s: self.ramp_up_s,
         })
     }
 }
 
-/// Checks the section.
+/// Checks the section and converts it into settings.
 pub(super) fn check(source: &SourceText, section: CounterSection) -> Result<CounterSettings, OperatorError> {
     let milliseconds =
         |value, key, range, default| source.number(value, NumberKey::milliseconds(key), range, default);
@@ -86,30 +87,30 @@
         return Err(source.error(census_offset, Fault::ShortCensus { census_ms, interval_ms }));
     }
     let validation = ValidationSettings {
-        call_interval: to_seconds(interval_ms),
-        census_period: to_seconds(census_ms),
-        max_misses: count(section.failure_threshold, "misses", "calls in a row", 3)? as u32,
-        required_valid_answers: count(section.success_threshold, "sure", "answers in a row", 2)? as u32,
+        call_interval_s: to_seconds(interval_ms),
+        census_period_s: to_seconds(census_ms),
+        failure_threshold: count(section.failure_threshold, "misses", "consecutive calls", 3)? as u32,
+        required_valid_answers: count(section.success_threshold, "sure", "consecutive answers", 2)? as u32,
         ..ValidationSettings::default()
     };
     let fallbacks = check_fallbacks(source, section.fallbacks)?;
-    let recovery_period = seconds(section.failback_delay_s, "settle_s", 30)?;
+    let recovery_period_s = seconds(section.failback_delay_s, "settle_s", 30)?;
     let failover = FailoverPolicy {
-        fault_tolerance: to_seconds(milliseconds(
+        fault_tolerance_s: to_seconds(milliseconds(
             section.fault_tolerance_ms,
             "patience_ms",
             0..=600_000,
             census_ms,
         )?),
-        recovery_period,
-        max_recovery_period: seconds(section.max_failback_delay_s, "most_settle_s", 600)?
-            .max(recovery_period),
-        jitter: to_seconds(milliseconds(section.jitter_ms, "jitter_ms", 0..=60_000, interval_ms / 2)?),
-        census_period: validation.census_period,
+        recovery_period_s,
+        max_recovery_period_s: seconds(section.max_failback_delay_s, "most_settle_s", 600)?
+            .max(recovery_period_s),
+        jitter_s: to_seconds(milliseconds(section.jitter_ms, "jitter_ms", 0..=60_000, interval_ms / 2)?),
+        census_period_s: validation.census_period_s,
     };
     let calls_per_s = check_calls_per_s(source, section.calls_per_s)?;
-    let ramp_up = to_seconds(milliseconds(section.ramp_up_ms, "rise_ms", 0..=600_000, 5_000)?);
-    Ok(CounterSettings { validation, failover, fallbacks, calls_per_s, ramp_up })
+    let ramp_up_s = to_seconds(milliseconds(section.ramp_up_ms, "rise_ms", 0..=600_000, 5_000)?);
+    Ok(CounterSettings { validation, failover, fallbacks, calls_per_s, ramp_up_s })
 }
 
 fn to_seconds(milliseconds: u64) -> f64 {
@@ -120,11 +121,11 @@
     if value.is_none() {
         return Ok(None);
     }
-    let key = NumberKey::new("calls_per_s", "calls a second");
+    let key = NumberKey::new("calls_per_s", "calls per second");
     source.number(value, key, 1..=10_000_000, 1).map(|calls| Some(calls as f64))
 }
 
-/// The counter services behind the first one: no more than a limit, and none twice.
+/// Parses the addresses of the fallback counter services, and rejects duplicates and more than [`MAX_FALLBACK_COUNTERS`].
 fn check_fallbacks(
     source: &SourceText,
     values: Vec<Spanned<String>>,
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -242,22 +242,22 @@
     let validation = &counter.validation;
     assert_eq!(
         (
-            validation.call_interval,
-            validation.census_period,
-            validation.max_misses,
+            validation.call_interval_s,
+            validation.census_period_s,
+            validation.failure_threshold,
             validation.required_valid_answers
         ),
         (0.1, 0.6, 31, 32)
     );
     let failover = &counter.failover;
     assert_eq!(
-        (failover.fault_tolerance, failover.recovery_period, failover.max_recovery_period),
+        (failover.fault_tolerance_s, failover.recovery_period_s, failover.max_recovery_period_s),
         (0.033, 34.0, 35.0)
     );
-    assert_eq!((failover.jitter, failover.census_period), (0.036, 0.6));
+    assert_eq!((failover.jitter_s, failover.census_period_s), (0.036, 0.6));
     assert_eq!(counter.fallbacks, [address("127.0.0.1:6401"), address("127.0.0.1:6402")]);
-    let pace = counter.pace(3).expect("paced calls");
-    assert_eq!((pace.calls_per_second, pace.instance_count, pace.ramp_up), (970.0, 3, 0.037));
+    let pacing = counter.pacing(3).expect("paced calls");
+    assert_eq!((pacing.calls_per_second, pacing.instance_count, pacing.ramp_up_s), (970.0, 3, 0.037));
 }
 
 #[test]
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -127,7 +127,9 @@
     if let Some(operator) = operator {
         let fallbacks = operator.fallbacks.iter();
         clients.extend(fallbacks.map(|address| CounterClient::new(Some(*address), settings)));
-        pacer = operator.pace(settings.instance_count).map(|pace| Pacer::new(pace, unit_interval(seed), 0.0));
+        pacer = operator
+            .pacing(settings.instance_count)
+            .map(|pacing| Pacer::new(pacing, unit_interval(seed), 0.0));
     }
     CounterPool::new(clients, pacer)
 }
--- a/crates/daemon/tests/counter_validation.rs
+++ b/crates/daemon/tests/counter_validation.rs
@@ -1,4 +1,4 @@
-//! The real binary with counters that fail: what it logs, which counter it uses, and that validation is off by default.
+//! The limiter binary with faulty counters: its log lines, the counter that it uses, and that validation is off by default.
 mod common;
 
 use common::*;
@@ -7,19 +7,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What the counter service does to validation calls.
+/// Behavior of the counter service.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
-    /// Adds, and the other limiter has called each roll.
-    Sound,
-    /// Adds, and nobody else has called.
-    Alone,
-    Silent,
-    /// Forgets every name before each call.
-    Lost,
-    /// Answers, and adds nothing.
-    Frozen,
-    Doubled,
+    /// No fault, and the other limiter is registered in each census.
+    Valid,
+    /// No fault, but the other limiter is missing from each census.
+    OtherMissing,
+    /// Does not answer.
+    Unavailable,
+    /// Loses all counts before each call.
+    CountsLost,
+    /// Answers without applying increments.
+    Stale,
+    /// Applies every increment twice.
+    DoubleCounted,
 }
 
 struct CounterService {
@@ -28,23 +30,23 @@
 }
 
 fn counter_service() -> CounterService {
-    let mode = Arc::new(Mutex::new(Mode::Sound));
-    let (now, numbers) = (mode.clone(), Mutex::<HashMap<String, f64>>::default());
+    let mode = Arc::new(Mutex::new(Mode::Valid));
+    let (now, counts) = (mode.clone(), Mutex::<HashMap<String, f64>>::default());
     let fake = Fake::new(move |call| {
         let (name, add) = counter_call(call);
-        let (mode, mut numbers) = (*now.lock().expect("lock"), numbers.lock().expect("lock"));
-        if mode == Mode::Lost {
-            numbers.clear();
+        let (mode, mut counts) = (*now.lock().expect("lock"), counts.lock().expect("lock"));
+        if mode == Mode::CountsLost {
+            counts.clear();
         }
-        let total = numbers.entry(name.to_string()).or_default();
+        let total = counts.entry(name.to_string()).or_default();
         *total += match mode {
-            Mode::Frozen => 0.0,
-            Mode::Doubled => 2.0 * add,
+            Mode::Stale => 0.0,
+            Mode::DoubleCounted => 2.0 * add,
             _ => add,
         };
-        let others = f64::from(u8::from(name.starts_with("/tally/roll.") && mode != Mode::Alone));
+        let others = f64::from(u8::from(name.starts_with("/tally/roll.") && mode != Mode::OtherMissing));
         match mode {
-            Mode::Silent => Reply::Silence,
+            Mode::Unavailable => Reply::Silence,
             _ => ok(&(*total + others).to_string()),
         }
     });
@@ -52,11 +54,11 @@
 }
 
 impl CounterService {
-    /// Waits for the next line of the log that says so.
-    fn until(&self, limiter: &Limiter, mode: Mode, said: &str) {
+    /// Sets the mode, and waits until the log written since then contains `text`.
+    fn set_mode_and_wait(&self, limiter: &Limiter, mode: Mode, text: &str) {
         let before = limiter.errors().len();
         *self.mode.lock().expect("lock") = mode;
-        wait_until(said, || limiter.errors()[before..].contains(said));
+        wait_until(text, || limiter.errors()[before..].contains(text));
     }
 }
 
@@ -79,17 +81,17 @@
 fn each_fault_of_the_counter_and_its_end_is_logged() {
     let service = counter_service();
     let limiter = validating(&service, "[keeper]\nevery_ms = 50\nroll_ms = 250\n");
-    let sound = "keeper: the keeper is sound; limiters on its roll: 2; share 1.00";
-    wait_until("it is believed", || limiter.errors().contains(sound));
-    for (mode, said) in [
-        (Mode::Silent, "the keeper gives no answers"),
-        (Mode::Lost, "the keeper has lost its counts"),
-        (Mode::Frozen, "the keeper answers with old totals"),
-        (Mode::Doubled, "the keeper adds more than it is told"),
-        (Mode::Alone, "the keeper is sound; limiters on its roll: 1; share 0.50"),
+    let valid = "keeper: the keeper is sound; limiters on its roll: 2; share 1.00";
+    wait_until("the counter is valid", || limiter.errors().contains(valid));
+    for (mode, text) in [
+        (Mode::Unavailable, "the keeper gives no answers"),
+        (Mode::CountsLost, "the keeper has lost its counts"),
+        (Mode::Stale, "the keeper answers with old totals"),
+        (Mode::DoubleCounted, "the keeper adds more than it is told"),
+        (Mode::OtherMissing, "the keeper is sound; limiters on its roll: 1; share 0.50"),
     ] {
-        service.until(&limiter, mode, said);
-        service.until(&limiter, Mode::Sound, sound);
+        service.set_mode_and_wait(&limiter, mode, text);
+        service.set_mode_and_wait(&limiter, Mode::Valid, valid);
     }
 }
 
@@ -97,7 +99,7 @@
 fn validation_that_is_off_makes_no_call() {
     let service = counter_service();
     let limiter = validating(&service, "# nothing\n");
-    // The customers' own calls come, and nothing else does.
+    // Only calls for customers are made.
     wait_until("customers are counted", || {
         limiter.client().ask(&quote("roomy", 9_000));
         service.fake.count() >= 2
@@ -119,9 +121,9 @@
         .to_string(),
     );
     let out = command().arg("--operator").arg(&file).env("ROUTER_CONFIG", &config).output().expect("run");
-    let said = String::from_utf8_lossy(&out.stderr);
-    assert!(!out.status.success(), "{said}");
-    assert!(said.contains(":3:11: roll_ms is 1500, expected five times every_ms (400) at least"), "{said}");
+    let log = String::from_utf8_lossy(&out.stderr);
+    assert!(!out.status.success(), "{log}");
+    assert!(log.contains(":3:11: roll_ms is 1500, expected five times every_ms (400) at least"), "{log}");
     for file in [file, config] {
         let _ = std::fs::remove_file(file);
     }
@@ -129,8 +131,8 @@
 
 const QUICK: &str = "[keeper]\nevery_ms = 50\nroll_ms = 250\njitter_ms = 50\nsettle_s = 1\n";
 
-/// Customers' calls that a counter service has received.
-fn customers(service: &CounterService) -> usize {
+/// Number of calls for customers that a counter service has received.
+fn customer_calls(service: &CounterService) -> usize {
     let names = service.fake.seen().into_iter().map(|m| m.first);
     names.filter(|n| !n.contains("canary") && !n.contains("roll")).count()
 }
@@ -139,55 +141,55 @@
 fn customers_are_counted_at_the_standby_after_a_failover_and_at_the_first_after_the_failback() {
     let (first, second) = (counter_service(), counter_service());
     let limiter = validating(&first, &format!("{QUICK}others = ['{}']\n", second.fake.address));
-    let ask = || drop(limiter.client().ask(&quote("roomy", 9_000)));
-    wait_until("the first is believed", || {
+    let send_request = || drop(limiter.client().ask(&quote("roomy", 9_000)));
+    wait_until("the first counter is valid", || {
         limiter.errors().contains("limiters on its roll: 2; share 1.00; keeper 1 of 2; at 127.0.0.1:")
     });
-    assert_eq!(customers(&second), 0);
+    assert_eq!(customer_calls(&second), 0);
     let failed = "keeper 2 of 2 in place of keeper 1, which gives no answers; at ";
-    first.until(&limiter, Mode::Silent, failed);
+    first.set_mode_and_wait(&limiter, Mode::Unavailable, failed);
     let line = limiter.errors().lines().find(|l| l.contains(failed)).unwrap_or_default().to_string();
     let address = format!("; at {}; off by at most, in units: roomy +", second.fake.address);
     assert!(line.contains("share 0.00") && line.contains(&address), "{line}");
-    wait_until("the second is believed", || limiter.errors().contains("share 1.00; keeper 2 of 2; at"));
-    let before = customers(&first);
+    wait_until("the second counter is valid", || limiter.errors().contains("share 1.00; keeper 2 of 2; at"));
+    let before = customer_calls(&first);
     wait_until("customers are counted at the second", || {
-        ask();
-        customers(&second) >= 2
+        send_request();
+        customer_calls(&second) >= 2
     });
-    assert_eq!(customers(&first), before, "none at the first any more");
-    first.until(&limiter, Mode::Sound, "share 0.00; keeper 1 of 2 back from keeper 2");
-    let before = customers(&first);
+    assert_eq!(customer_calls(&first), before, "the first counter gets no more calls");
+    first.set_mode_and_wait(&limiter, Mode::Valid, "share 0.00; keeper 1 of 2 back from keeper 2");
+    let before = customer_calls(&first);
     wait_until("customers are counted at the first again", || {
-        ask();
-        customers(&first) >= before + 2
+        send_request();
+        customer_calls(&first) >= before + 2
     });
 }
 
 #[test]
 fn a_late_response_of_the_previous_counter_is_dropped() {
-    let (slow, next) = (Fake::new(|_| late("7")), counter_service());
+    let (slow, next) = (Fake::new(|_| late_answer("7")), counter_service());
     let mut settings = settings();
     settings["family-info"]["count-limit-s"] = json!(9.0);
     let server = Fake::new(|_| ok("served"));
     let list = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings, &list, slow.address);
-    wait_until("a call is out", || {
+    wait_until("a call is in flight", || {
         limiter.client().ask(&quote("roomy", 9_000));
         slow.count() > 0
     });
     limiter.move_to(list.address, next.fake.address);
-    wait_until("it is seen for what it is", || {
-        limiter.errors().contains("keeper: an answer came from the keeper before (1 so far)")
+    wait_until("the late answer is dropped", || {
+        limiter.errors().contains("keeper: dropped a late answer from the previous counter (1 so far)")
     });
-    wait_until("the next is called", || {
+    wait_until("the next counter is called", || {
         limiter.client().ask(&quote("roomy", 9_000));
         next.fake.count() > 0
     });
 }
 
-/// An answer that comes well after the limiter was moved.
-fn late(total: &str) -> Reply {
+/// An answer that arrives well after the limiter was given another counter.
+fn late_answer(total: &str) -> Reply {
     Reply::Pieces(vec![(Duration::from_millis(700), raw("200 OK", "", total))])
 }
 
@@ -195,30 +197,30 @@
 fn totals_from_before_a_process_pause_are_not_used_after_it() {
     let service = counter_service();
     let limiter = validating(&service, QUICK);
-    let sound = "the keeper is sound; limiters on its roll: 2; share 1.00";
-    wait_until("it is believed", || limiter.errors().contains(sound));
+    let valid = "the keeper is sound; limiters on its roll: 2; share 1.00";
+    wait_until("the counter is valid", || limiter.errors().contains(valid));
     let before = limiter.errors().len();
     limiter.signal("-STOP");
     std::thread::sleep(Duration::from_millis(1_500));
     limiter.signal("-CONT");
-    let woken = "has not been heard since this limiter stood still; limiters on its roll: ";
-    wait_until("it says so", || limiter.errors()[before..].contains(woken));
-    wait_until("it believes again", || limiter.errors()[before..].contains(sound));
-    let said = limiter.errors()[before..].to_string();
-    let places = [said.find("liftrouter: stood still for "), said.find(woken), said.find(sound)];
-    assert!(places.is_sorted() && places[0].is_some(), "{said}");
-    let line = said.lines().find(|l| l.contains(woken)).unwrap_or_default();
+    let paused = "has not been heard since this limiter stood still; limiters on its roll: ";
+    wait_until("the pause is logged", || limiter.errors()[before..].contains(paused));
+    wait_until("the counter is valid again", || limiter.errors()[before..].contains(valid));
+    let log = limiter.errors()[before..].to_string();
+    let places = [log.find("liftrouter: stood still for "), log.find(paused), log.find(valid)];
+    assert!(places.is_sorted() && places[0].is_some(), "{log}");
+    let line = log.lines().find(|l| l.contains(paused)).unwrap_or_default();
     assert!(line.contains("share 0.00"), "{line}");
 }
 
-/// The longest advice of some refusals of one customer: the time in which its limit here gives a request's unit.
-fn advice(limiter: &Limiter) -> f64 {
+/// The longest `Retry-After` of 60 requests of one customer: the time in which its limit at this limiter yields one unit.
+fn max_retry_after(limiter: &Limiter) -> f64 {
     let mut client = limiter.client();
-    let mut told = |_| {
+    let mut retry_after = |_| {
         let answer = client.ask(&quote("small", 9_000).replace("spread=1", "spread=2"));
         answer.header("retry-after").and_then(|text| text.parse::<f64>().ok())
     };
-    (0..60).filter_map(&mut told).fold(0.0, f64::max)
+    (0..60).filter_map(&mut retry_after).fold(0.0, f64::max)
 }
 
 #[test]
@@ -228,12 +230,12 @@
     settings["tariffs"][1]["rate"] = json!(2.0);
     let limiter = validating_with(&service, QUICK, settings);
     let share = |share: &str| format!("share {share}; at ");
-    wait_until("it is believed", || limiter.errors().contains(&share("1.00")));
-    // All of the customer's demand is here: with the whole to divide, a unit comes in half a second.
-    wait_until("the whole quota is granted", || (0.3..=0.65).contains(&advice(&limiter)));
-    // The other limiter counts elsewhere: half of the quota is its.
-    service.until(&limiter, Mode::Alone, &share("0.50"));
-    wait_until("half of it is granted", || advice(&limiter) > 0.8);
-    service.until(&limiter, Mode::Sound, &share("1.00"));
-    wait_until("the whole is granted again", || (0.3..=0.65).contains(&advice(&limiter)));
+    wait_until("the counter is valid", || limiter.errors().contains(&share("1.00")));
+    // All of the customer's demand is at this limiter, so with the whole quota of 2 units/s a unit takes half a second.
+    wait_until("the whole quota is granted", || (0.3..=0.65).contains(&max_retry_after(&limiter)));
+    // The other limiter uses another counter, so half of the quota is reserved for it.
+    service.set_mode_and_wait(&limiter, Mode::OtherMissing, &share("0.50"));
+    wait_until("half of it is granted", || max_retry_after(&limiter) > 0.8);
+    service.set_mode_and_wait(&limiter, Mode::Valid, &share("1.00"));
+    wait_until("the whole is granted again", || (0.3..=0.65).contains(&max_retry_after(&limiter)));
 }
