--- a/crates/counter/src/assessment.rs
+++ b/crates/counter/src/assessment.rs
@@ -33,25 +33,25 @@
     /// The fault to assume for the error bound. Its duration is that of the detected fault, or the detection time if the
     /// fault is one that is only detected with a delay.
     pub fn assumed_fault(&self, settings: &ValidationSettings) -> Fault {
-        let detection = DETECTION_PERIODS * settings.census_period_s;
+        let detection_s = DETECTION_PERIODS * settings.census_period_s;
         let Validity { usable_quota_ratio, verdict, instances_seen } = self.validity;
         match verdict {
             // Valid, but before the first complete census: each instance uses its fallback share.
-            Verdict::Valid if usable_quota_ratio == 0.0 => Fault::Unavailable { duration_s: detection },
+            Verdict::Valid if usable_quota_ratio == 0.0 => Fault::Unavailable { duration_s: detection_s },
             Verdict::Valid if instances_seen < settings.instance_count => {
                 let partitions = settings.instance_count.div_ceil(instances_seen.max(1));
-                Fault::SplitBrain { partitions, duration_s: detection }
+                Fault::SplitBrain { partitions, duration_s: detection_s }
             }
             Verdict::Valid => Fault::None,
             Verdict::Unknown | Verdict::UnknownAfterPause | Verdict::Unavailable => {
-                Fault::Unavailable { duration_s: detection }
+                Fault::Unavailable { duration_s: detection_s }
             }
             Verdict::CountsLost => Fault::CountsLost,
             Verdict::RolledBack | Verdict::Stale => {
                 let duration_s = f64::from(settings.required_valid_answers) * settings.call_interval_s;
                 Fault::Stale { duration_s }
             }
-            Verdict::DoubleCounted => Fault::DoubleCounted { duration_s: detection },
+            Verdict::DoubleCounted => Fault::DoubleCounted { duration_s: detection_s },
         }
     }
 
--- a/crates/counter/src/error_bound.rs
+++ b/crates/counter/src/error_bound.rs
@@ -227,13 +227,13 @@
         Fault::Stale { duration_s } => usual + excess(2.0, duration_s + timing.averaging_window_s),
         Fault::SplitBrain { partitions, duration_s } => {
             let partitions = f64::from(partitions.max(1)).min(instances);
-            let lasting = excess(partitions, duration_s + timing.averaging_window_s);
-            usual + lasting + (partitions - 1.0) * quota.burst
+            let sustained = excess(partitions, duration_s + timing.averaging_window_s);
+            usual + sustained + (partitions - 1.0) * quota.burst
         }
         Fault::Arbitrary { duration_s } => {
             let others = instances - 1.0;
-            let lasting = excess(instances, duration_s + timing.averaging_window_s);
-            usual + lasting + others * (MAX_BUCKET_RATIO * quota.burst + quota.max_request_units)
+            let sustained = excess(instances, duration_s + timing.averaging_window_s);
+            usual + sustained + others * (MAX_BUCKET_RATIO * quota.burst + quota.max_request_units)
         }
     }
 }
--- a/crates/counter/tests/common/counter_service.rs
+++ b/crates/counter/tests/common/counter_service.rs
@@ -18,10 +18,10 @@
 }
 
 impl CounterService {
-    pub(super) fn add(&mut self, now: f64, name: &str, add: f64, ttl: f64) -> f64 {
-        let count = self.counts.entry(name.to_string()).or_insert((0.0, now + ttl));
+    pub(super) fn add(&mut self, now: f64, name: &str, add: f64, ttl_s: f64) -> f64 {
+        let count = self.counts.entry(name.to_string()).or_insert((0.0, now + ttl_s));
         if count.1 <= now {
-            *count = (0.0, now + ttl);
+            *count = (0.0, now + ttl_s);
         }
         count.0 += if self.doubles_increments { 2.0 * add } else { add };
         let total = count.0;
--- a/crates/counter/tests/common/faults.rs
+++ b/crates/counter/tests/common/faults.rs
@@ -2,7 +2,7 @@
 
 use super::counter_service::CounterService;
 use super::scenario::Injection;
-use super::{Simulation, CALL_SECONDS, MAX_GAP, TIMEOUT};
+use super::{Simulation, CALL_DURATION_S, MAX_GAP_S, TIMEOUT_S};
 use liftrouter_counter::{CallResult, PauseDetector};
 
 impl Simulation {
@@ -13,12 +13,12 @@
         counter: usize,
         name: &str,
         add: f64,
-        ttl: f64,
+        ttl_s: f64,
     ) -> (CallResult, f64) {
         let instance = &self.instances[n];
         let first = counter == 0;
         if first && instance.isolated {
-            return (CallResult::Unanswered, TIMEOUT);
+            return (CallResult::Unanswered, TIMEOUT_S);
         }
         let second = first && instance.on_second_part && self.counters[0].second_part.is_some();
         let counter = match &mut self.counters[counter] {
@@ -26,13 +26,13 @@
             counter => counter,
         };
         if counter.unavailable {
-            return (CallResult::Unanswered, TIMEOUT);
+            return (CallResult::Unanswered, TIMEOUT_S);
         }
-        let total = counter.add(self.now, name, add, ttl);
-        let elapsed = CALL_SECONDS + counter.delay_s;
+        let total = counter.add(self.now, name, add, ttl_s);
+        let elapsed = CALL_DURATION_S + counter.delay_s;
         // A call whose answer comes after the timeout or is lost has still been applied.
-        if elapsed > TIMEOUT || counter.drops_answers {
-            (CallResult::Unanswered, TIMEOUT)
+        if elapsed > TIMEOUT_S || counter.drops_answers {
+            (CallResult::Unanswered, TIMEOUT_S)
         } else {
             (CallResult::Total(total), elapsed)
         }
@@ -80,7 +80,7 @@
             Injection::Restart(n) => {
                 self.instances[n].incarnation += 1;
                 self.instances[n].limiter = self.new_limiter(n, self.instances[n].incarnation);
-                self.instances[n].pause_detector = PauseDetector::new(MAX_GAP, self.now);
+                self.instances[n].pause_detector = PauseDetector::new(MAX_GAP_S, self.now);
                 self.start_pacer(n);
                 self.send_endpoint_list(n);
                 if self.instances[n].monitor.is_some() {
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -19,18 +19,19 @@
 
 pub const CUSTOMER: &str = "00000000000000a1";
 /// Longest time between two checks of the clock that is not a pause, in seconds.
-const MAX_GAP: f64 = 1.0;
+const MAX_GAP_S: f64 = 1.0;
 /// Duration of an attempt, in seconds.
-const ATTEMPT_SECONDS: f64 = 0.004;
+const ATTEMPT_DURATION_S: f64 = 0.004;
 /// Round trip of a call to a counter without a fault, in seconds.
-const CALL_SECONDS: f64 = 0.002;
-const TIMEOUT: f64 = 0.05;
+const CALL_DURATION_S: f64 = 0.002;
+/// Timeout of a call to a counter, in seconds.
+const TIMEOUT_S: f64 = 0.05;
 
 struct Instance {
     limiter: Limiter,
     incarnation: u32,
     paused_until: f64,
-    skew: f64,
+    clock_skew_s: f64,
     /// Whether it calls the second part of a split first counter.
     on_second_part: bool,
     /// Whether it cannot reach the first counter.
@@ -92,7 +93,7 @@
         plans: vec![plan],
         max_request_units: 1.0,
         has_counter: true,
-        counter_timeout: TIMEOUT,
+        counter_timeout: TIMEOUT_S,
         slow_start_capacity: 1.0,
         max_attempts: 2,
         ..Settings::default()
@@ -100,12 +101,12 @@
 }
 
 impl Simulation {
-    /// Limiters in front of a server that accepts every attempt, with clocks up to `skew` seconds apart.
+    /// Limiters in front of a server that accepts every attempt, with clocks up to `max_clock_skew_s` apart.
     pub fn new(
         plan: Plan,
         limiters: usize,
         seed: u64,
-        skew: f64,
+        max_clock_skew_s: f64,
         demand: Demand,
         duration_s: f64,
     ) -> Simulation {
@@ -127,7 +128,7 @@
             hard_limit_bucket: TokenBucket::new(hard_rate.max(1e-9), hard_burst, 1_000.0),
             demand_bucket: TokenBucket::new(rate, burst, 1_000.0),
             in_flight: 0,
-            attempt_duration_s: ATTEMPT_SECONDS,
+            attempt_duration_s: ATTEMPT_DURATION_S,
             pacing: None,
             result: RunResult::default(),
             settings,
@@ -135,17 +136,17 @@
         };
         for n in 0..limiters {
             let limiter = simulation.new_limiter(n, 0);
-            let skew = skew * rng.f64();
+            let clock_skew_s = max_clock_skew_s * rng.f64();
             simulation.instances.push(Instance {
                 limiter,
                 incarnation: 0,
                 paused_until: 0.0,
-                skew,
+                clock_skew_s,
                 on_second_part: false,
                 isolated: false,
                 monitor: None,
                 pacer: None,
-                pause_detector: PauseDetector::new(MAX_GAP, 1_000.0),
+                pause_detector: PauseDetector::new(MAX_GAP_S, 1_000.0),
             });
         }
         (0..limiters).for_each(|n| simulation.send_endpoint_list(n));
@@ -252,14 +253,14 @@
                     attempt: 0,
                     request_finished: true,
                     outcome: Outcome::Ok,
-                    elapsed: ATTEMPT_SECONDS,
+                    elapsed: ATTEMPT_DURATION_S,
                     units: None,
                     report: LoadReport::default(),
                 };
                 self.deliver(n, incarnation, event);
             }
-            SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl, at, generation } => {
-                self.handle_counter_call(limiter, incarnation, (name, add, ttl), at, generation);
+            SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl_s, at, generation } => {
+                self.handle_counter_call(limiter, incarnation, (name, add, ttl_s), at, generation);
             }
             SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed } => {
                 self.deliver(
@@ -294,7 +295,7 @@
             units: 1.0,
             reachable_instances: self.instances.len() as u32,
             is_retry: false,
-            deadline: self.now + self.instances[n].skew + 4.0,
+            deadline: self.now + self.instances[n].clock_skew_s + 4.0,
         };
         self.dispatch(n, Event::Request(request));
     }
@@ -335,8 +336,8 @@
     fn dispatch(&mut self, n: usize, event: Event) {
         let mut out = Vec::new();
         let instance = &mut self.instances[n];
-        let (clock, incarnation) = (instance.skew, instance.incarnation);
-        instance.limiter.handle(self.now + clock, event, &mut out);
+        let (clock_skew_s, incarnation) = (instance.clock_skew_s, instance.incarnation);
+        instance.limiter.handle(self.now + clock_skew_s, event, &mut out);
         for action in out {
             match action {
                 Action::Send { id, .. } => {
@@ -352,7 +353,7 @@
                 }
                 Action::Reject { .. } => self.result.rejected += 1.0,
                 Action::SetTimer { at, token } => {
-                    self.schedule(at - clock, SimulationEvent::Timer(n, incarnation, token));
+                    self.schedule(at - clock_skew_s, SimulationEvent::Timer(n, incarnation, token));
                 }
                 Action::IncrementCounter { key, increment, ttl } => {
                     self.start_call(n, key, increment, ttl);
@@ -363,7 +364,7 @@
     }
 
     /// Sends a customer's call to the active counter, if the pacer allows it.
-    fn start_call(&mut self, n: usize, name: String, add: f64, ttl: f64) {
+    fn start_call(&mut self, n: usize, name: String, add: f64, ttl_s: f64) {
         let (at, instance) = (self.now, &mut self.instances[n]);
         let (limiter, incarnation) = (n, instance.incarnation);
         if instance.pacer.as_mut().is_some_and(|pacer| !pacer.try_acquire(at)) {
@@ -373,15 +374,15 @@
         }
         let monitor = instance.monitor.as_ref();
         let generation = monitor.map_or(0, |monitor| monitor.assessment().active.generation);
-        let call = SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl, at, generation };
-        self.schedule(at + CALL_SECONDS / 2.0, call);
+        let call = SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl_s, at, generation };
+        self.schedule(at + CALL_DURATION_S / 2.0, call);
     }
 
     fn handle_counter_call(
         &mut self,
         n: usize,
         incarnation: u32,
-        (name, add, ttl): (String, f64, f64),
+        (name, add, ttl_s): (String, f64, f64),
         at: f64,
         generation: u64,
     ) {
@@ -392,9 +393,9 @@
             self.instances[n].monitor.as_ref().map(|monitor| monitor.assessment().active).unwrap_or_default();
         // A call that was sent before a switch went to the previous counter, whose answer is not used.
         let (answer, elapsed) = if active.generation == generation {
-            self.call_counter(n, active.index, &name, add, ttl)
+            self.call_counter(n, active.index, &name, add, ttl_s)
         } else {
-            (CallResult::Unanswered, TIMEOUT)
+            (CallResult::Unanswered, TIMEOUT_S)
         };
         let (outcome, total) = match answer {
             CallResult::Total(total) => (Outcome::Ok, total),
--- a/crates/counter/tests/common/schedule.rs
+++ b/crates/counter/tests/common/schedule.rs
@@ -15,7 +15,7 @@
         incarnation: u32,
         name: String,
         add: f64,
-        ttl: f64,
+        ttl_s: f64,
         at: f64,
         generation: u64,
     },
--- a/crates/counter/tests/common/validation.rs
+++ b/crates/counter/tests/common/validation.rs
@@ -31,14 +31,19 @@
             incarnation: self.seed << 16 | (n as u64) << 8 | u64::from(incarnation),
             ..Simulation::settings(self.instances.len())
         };
-        let skew = self.instances[n].skew;
+        let clock_skew_s = self.instances[n].clock_skew_s;
         let policy = FailoverPolicy { recovery_period_s: 10.0, ..FailoverPolicy::default() };
-        let monitor =
-            CounterMonitor::new(&settings, policy, self.counters.len(), self.rng.f64(), self.now + skew);
+        let monitor = CounterMonitor::new(
+            &settings,
+            policy,
+            self.counters.len(),
+            self.rng.f64(),
+            self.now + clock_skew_s,
+        );
         let share = monitor.assessment().validity.usable_quota_ratio;
         for counter in 0..self.counters.len() {
             self.schedule(
-                monitor.next_call_at(counter) - skew,
+                monitor.next_call_at(counter) - clock_skew_s,
                 SimulationEvent::Validate(n, incarnation, counter),
             );
         }
@@ -56,10 +61,10 @@
         }
         self.check_for_pause(n);
         let instance = &mut self.instances[n];
-        let (clock, skew) = (self.now + instance.skew, instance.skew);
+        let (clock, clock_skew_s) = (self.now + instance.clock_skew_s, instance.clock_skew_s);
         let Some(monitor) = &mut instance.monitor else { return };
         let call = monitor.due_call(counter, clock);
-        let next = monitor.next_call_at(counter) - skew;
+        let next = monitor.next_call_at(counter) - clock_skew_s;
         if let Some(call) = call {
             let (answer, elapsed) = self.call_counter(n, counter, &call.key, call.increment, call.ttl_s);
             self.schedule(
@@ -85,7 +90,7 @@
         let (now, instance) = (self.now, &mut self.instances[n]);
         let Some(monitor) = &mut instance.monitor else { return };
         let before = monitor.assessment().active;
-        if let Some(assessment) = monitor.record_result(counter, call, answer, now + instance.skew) {
+        if let Some(assessment) = monitor.record_result(counter, call, answer, now + instance.clock_skew_s) {
             if let Some(pacer) = instance.pacer.as_mut().filter(|_| assessment.active != before) {
                 pacer.start_ramp(now);
             }
@@ -100,7 +105,7 @@
     pub(super) fn check_for_pause(&mut self, n: usize) {
         let (now, instance) = (self.now, &mut self.instances[n]);
         if let (Some(monitor), Some(_)) = (&mut instance.monitor, instance.pause_detector.check(now)) {
-            if let Some(assessment) = monitor.process_resumed(now + instance.skew) {
+            if let Some(assessment) = monitor.process_resumed(now + instance.clock_skew_s) {
                 self.dispatch(
                     n,
                     Event::CounterValidity { usable_quota_ratio: assessment.validity.usable_quota_ratio },
--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -72,11 +72,11 @@
 impl CounterClient {
     /// A client of the counter at `address`, or of one whose address is not known yet.
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
-        let seconds = settings.counter_timeout;
-        let seconds = if seconds > 0.0 && seconds.is_finite() { seconds } else { DEFAULT_TIMEOUT_S };
+        let timeout_s = settings.counter_timeout;
+        let timeout_s = if timeout_s > 0.0 && timeout_s.is_finite() { timeout_s } else { DEFAULT_TIMEOUT_S };
         CounterClient {
             address: Cell::new(address),
-            timeout: Duration::from_secs_f64(seconds),
+            timeout: Duration::from_secs_f64(timeout_s),
             idle: RefCell::default(),
             open_sockets: Rc::default(),
             calls_in_flight: Rc::default(),
--- a/crates/daemon/src/counter/validation.rs
+++ b/crates/daemon/src/counter/validation.rs
@@ -167,9 +167,9 @@
         }
         for (index, plan) in self.plans.iter().enumerate() {
             let bound = assessment.error_bound(&plan.quota, &self.timing, &self.settings);
-            let before = if index == 0 { "; off by at most, in units:" } else { "," };
+            let separator = if index == 0 { "; off by at most, in units:" } else { "," };
             let (name, overshoot, undershoot) = (&plan.name, bound.overshoot, bound.undershoot);
-            let _ = write!(line, "{before} {name} +{overshoot:.0} -{undershoot:.0}");
+            let _ = write!(line, "{separator} {name} +{overshoot:.0} -{undershoot:.0}");
         }
         line
     }
--- a/crates/stage/src/ledger/quota.rs
+++ b/crates/stage/src/ledger/quota.rs
@@ -58,7 +58,7 @@
         instance_count: c.spread as u32,
         hard_limit_factor: plan.ceiling,
     };
-    let timing = Timing { timeout: s.keeper.timeout_ms / 1e3, ..Timing::default() };
+    let timing = Timing { timeout_s: s.keeper.timeout_ms / 1e3, ..Timing::default() };
     let mut bound = ErrorBound::under(&quota, &timing, Fault::None);
     for fault in &facts.schedule.faults {
         for reckoned in reckoned(facts, c, fault) {
@@ -90,12 +90,12 @@
     let of_keeper = |fault: Fault| vec![Reckoned::Fault(fault)];
     let cut = |limiters: usize| match limiters {
         0 => Vec::new(),
-        n if n == c.spread => of_keeper(Fault::Unavailable { seconds: lasts }),
-        n => of_keeper(Fault::Partitioned { instances: n as u32, seconds: unseen }),
+        n if n == c.spread => of_keeper(Fault::Unavailable { duration_s: lasts }),
+        n => of_keeper(Fault::Partitioned { instances: n as u32, duration_s: unseen }),
     };
     // Another keeper is changed to, and back from: each time some have changed before the others.
     let changes = |fault: Fault| {
-        let change = || Reckoned::Fault(Fault::SplitBrain { partitions: 2, seconds: rolls });
+        let change = || Reckoned::Fault(Fault::SplitBrain { partitions: 2, duration_s: rolls });
         let mut all = of_keeper(fault);
         if keeper.count > 1 {
             all.extend([change(), change()]);
@@ -104,11 +104,11 @@
     };
     match fault.kind {
         Kind::KeeperSilent | Kind::KeeperRefusing | Kind::KeeperSlow if fault.victim == 0 => {
-            changes(Fault::Unavailable { seconds: lasts })
+            changes(Fault::Unavailable { duration_s: lasts })
         }
         Kind::KeeperForgets | Kind::KeeperSwapped if fault.victim == 0 => changes(Fault::CountsLost),
-        Kind::KeeperStale if fault.victim == 0 => changes(Fault::Stale { seconds: unseen }),
-        Kind::KeeperDoubled if fault.victim == 0 => changes(Fault::DoubleCounted { seconds: lasts }),
+        Kind::KeeperStale if fault.victim == 0 => changes(Fault::Stale { duration_s: unseen }),
+        Kind::KeeperDoubled if fault.victim == 0 => changes(Fault::DoubleCounted { duration_s: lasts }),
         // A standby's faults count while it is called, which the first one's fault has brought.
         Kind::KeeperSilent | Kind::KeeperRefusing | Kind::KeeperSlow | Kind::KeeperForgets => {
             changes(Fault::CountsLost)
@@ -116,15 +116,15 @@
         Kind::KeeperSwapped | Kind::KeeperStale | Kind::KeeperDoubled => changes(Fault::CountsLost),
         Kind::KeeperSplit => {
             let seconds = if keeper.judged { rolls } else { lasts };
-            of_keeper(Fault::SplitBrain { partitions: 2, seconds })
+            of_keeper(Fault::SplitBrain { partitions: 2, duration_s: seconds })
         }
         Kind::RoomCut => {
             // The first keeper stands in the first room.
             let away = |l: &&usize| (facts.room(**l) == fault.victim) != (fault.victim == 0);
             let mut all = cut(set.iter().filter(away).count());
             if keeper.count > 1 {
-                all.extend(of_keeper(Fault::SplitBrain { partitions: 2, seconds: rolls }));
-                all.extend(of_keeper(Fault::SplitBrain { partitions: 2, seconds: rolls }));
+                all.extend(of_keeper(Fault::SplitBrain { partitions: 2, duration_s: rolls }));
+                all.extend(of_keeper(Fault::SplitBrain { partitions: 2, duration_s: rolls }));
             }
             all
         }
