--- a/crates/counter/tests/common/faults.rs
+++ b/crates/counter/tests/common/faults.rs
@@ -29,12 +29,12 @@
             return (CallResult::Unanswered, TIMEOUT_S);
         }
         let total = counter.add(self.now, name, add, ttl_s);
-        let elapsed = CALL_DURATION_S + counter.delay_s;
+        let elapsed_s = CALL_DURATION_S + counter.delay_s;
         // A call whose answer comes after the timeout or is lost has still been applied.
-        if elapsed > TIMEOUT_S || counter.drops_answers {
+        if elapsed_s > TIMEOUT_S || counter.drops_answers {
             (CallResult::Unanswered, TIMEOUT_S)
         } else {
-            (CallResult::Total(total), elapsed)
+            (CallResult::Total(total), elapsed_s)
         }
     }
 
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -81,19 +81,19 @@
 fn settings(plan: Plan, limiters: usize) -> Settings {
     let class = Class {
         name: "read".into(),
-        latency_objective: 1.0,
-        deadline: 4.0,
+        latency_objective_s: 1.0,
+        deadline_s: 4.0,
         priority_weight: 1.0,
         ..Class::default()
     };
     Settings {
         instance_count: limiters as u32,
-        tick_interval: 0.002,
+        tick_interval_s: 0.002,
         classes: vec![class],
         plans: vec![plan],
         max_request_units: 1.0,
         has_counter: true,
-        counter_timeout: TIMEOUT_S,
+        counter_timeout_s: TIMEOUT_S,
         slow_start_capacity: 1.0,
         max_attempts: 2,
         ..Settings::default()
@@ -187,11 +187,11 @@
         let entry = |k: usize| EndpointEntry {
             id: format!("10.0.0.{k}:1").into(),
             zone: "".into(),
-            kind: "std".into(),
+            machine_type: "std".into(),
             cell: 0,
             state: EndpointState::InService,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
         self.dispatch(n, Event::EndpointList((1..=4).map(entry).collect()));
     }
@@ -253,7 +253,7 @@
                     attempt: 0,
                     request_finished: true,
                     outcome: Outcome::Ok,
-                    elapsed: ATTEMPT_DURATION_S,
+                    elapsed_s: ATTEMPT_DURATION_S,
                     units: None,
                     report: LoadReport::default(),
                 };
@@ -262,11 +262,11 @@
             SimulationEvent::CounterCall { limiter, incarnation, name, add, ttl_s, at, generation } => {
                 self.handle_counter_call(limiter, incarnation, (name, add, ttl_s), at, generation);
             }
-            SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed } => {
+            SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed_s } => {
                 self.deliver(
                     limiter,
                     incarnation,
-                    Event::CounterReply { key: name, outcome, total, elapsed },
+                    Event::CounterReply { key: name, outcome, total, elapsed_s },
                 );
             }
             SimulationEvent::Validate(n, incarnation, counter) => {
@@ -313,8 +313,8 @@
                 Event::AttemptEnded { id, .. } => {
                     self.schedule(at, SimulationEvent::AttemptEnded(n, incarnation, id));
                 }
-                Event::CounterReply { key: name, outcome, total, elapsed } => {
-                    let elapsed = elapsed + at - self.now;
+                Event::CounterReply { key: name, outcome, total, elapsed_s } => {
+                    let elapsed_s = elapsed_s + at - self.now;
                     self.schedule(
                         at,
                         SimulationEvent::CounterReply {
@@ -323,7 +323,7 @@
                             name,
                             outcome,
                             total,
-                            elapsed,
+                            elapsed_s,
                         },
                     );
                 }
@@ -352,11 +352,11 @@
                     );
                 }
                 Action::Reject { .. } => self.result.rejected += 1.0,
-                Action::SetTimer { at, token } => {
-                    self.schedule(at - clock_skew_s, SimulationEvent::Timer(n, incarnation, token));
+                Action::SetTimer { expires_at, token } => {
+                    self.schedule(expires_at - clock_skew_s, SimulationEvent::Timer(n, incarnation, token));
                 }
-                Action::IncrementCounter { key, increment, ttl } => {
-                    self.start_call(n, key, increment, ttl);
+                Action::IncrementCounter { key, increment, ttl_s } => {
+                    self.start_call(n, key, increment, ttl_s);
                 }
                 _ => {}
             }
@@ -368,8 +368,9 @@
         let (at, instance) = (self.now, &mut self.instances[n]);
         let (limiter, incarnation) = (n, instance.incarnation);
         if instance.pacer.as_mut().is_some_and(|pacer| !pacer.try_acquire(at)) {
-            let (outcome, total, elapsed) = (Outcome::Overloaded, 0.0, 0.0);
-            let reply = SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed };
+            let (outcome, total, elapsed_s) = (Outcome::Overloaded, 0.0, 0.0);
+            let reply =
+                SimulationEvent::CounterReply { limiter, incarnation, name, outcome, total, elapsed_s };
             return self.schedule(at, reply);
         }
         let monitor = instance.monitor.as_ref();
@@ -392,7 +393,7 @@
         let active =
             self.instances[n].monitor.as_ref().map(|monitor| monitor.assessment().active).unwrap_or_default();
         // A call that was sent before a switch went to the previous counter, whose answer is not used.
-        let (answer, elapsed) = if active.generation == generation {
+        let (answer, elapsed_s) = if active.generation == generation {
             self.call_counter(n, active.index, &name, add, ttl_s)
         } else {
             (CallResult::Unanswered, TIMEOUT_S)
@@ -402,11 +403,11 @@
             _ => (Outcome::Timeout, 0.0),
         };
         if let Some(pacer) = &mut self.instances[n].pacer {
-            pacer.record_result(outcome == Outcome::Ok, at + elapsed);
+            pacer.record_result(outcome == Outcome::Ok, at + elapsed_s);
         }
         self.schedule(
-            at + elapsed,
-            SimulationEvent::CounterReply { limiter: n, incarnation, name, outcome, total, elapsed },
+            at + elapsed_s,
+            SimulationEvent::CounterReply { limiter: n, incarnation, name, outcome, total, elapsed_s },
         );
     }
 }
--- a/crates/counter/tests/common/schedule.rs
+++ b/crates/counter/tests/common/schedule.rs
@@ -25,7 +25,7 @@
         name: String,
         outcome: Outcome,
         total: f64,
-        elapsed: f64,
+        elapsed_s: f64,
     },
     Validate(usize, u32, usize),
     ValidationEnded {
--- a/crates/counter/tests/common/validation.rs
+++ b/crates/counter/tests/common/validation.rs
@@ -66,9 +66,9 @@
         let call = monitor.due_call(counter, clock);
         let next = monitor.next_call_at(counter) - clock_skew_s;
         if let Some(call) = call {
-            let (answer, elapsed) = self.call_counter(n, counter, &call.key, call.increment, call.ttl_s);
+            let (answer, elapsed_s) = self.call_counter(n, counter, &call.key, call.increment, call.ttl_s);
             self.schedule(
-                self.now + elapsed,
+                self.now + elapsed_s,
                 SimulationEvent::ValidationEnded { limiter: n, incarnation, counter, call, answer },
             );
         }
--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -72,7 +72,7 @@
 impl CounterClient {
     /// A client of the counter at `address`, or of one whose address is not known yet.
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
-        let timeout_s = settings.counter_timeout;
+        let timeout_s = settings.counter_timeout_s;
         let timeout_s = if timeout_s > 0.0 && timeout_s.is_finite() { timeout_s } else { DEFAULT_TIMEOUT_S };
         CounterClient {
             address: Cell::new(address),
