--- a/crates/catalog/src/apply_error.rs
+++ b/crates/catalog/src/apply_error.rs
@@ -9,21 +9,21 @@
 pub enum ApplyError {
     /// A delta came before any whole list: what it builds on is missing.
     NoList {
-        /// The generation of the delta.
+        /// The revision of the delta.
         got: u64,
     },
     /// The update is older than what is held.
     Older {
-        /// The generation at hand.
+        /// The revision at hand.
         held: u64,
-        /// The generation of the update.
+        /// The revision of the update.
         got: u64,
     },
     /// The digest is not that of the list that the update leads to: something was lost. The whole list is to be
-    /// asked for, without a generation.
+    /// asked for, without a revision.
     DigestMismatch {
-        /// The generation of the update.
-        generation: u64,
+        /// The revision of the update.
+        revision: u64,
         /// The digest that it carries.
         expected: Digest,
         /// The digest that it leads to.
@@ -34,12 +34,12 @@
 impl fmt::Display for ApplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ApplyError::NoList { got } => write!(f, "a delta of generation {got} came before any whole list"),
+            ApplyError::NoList { got } => write!(f, "a delta of revision {got} came before any whole list"),
             ApplyError::Older { held, got } => {
-                write!(f, "the update is older than the list: generation {got}, held {held}")
+                write!(f, "the update is older than the list: revision {got}, held {held}")
             }
-            ApplyError::DigestMismatch { generation, expected, computed } => {
-                write!(f, "digest {expected} of generation {generation} differs from the list's {computed}")
+            ApplyError::DigestMismatch { revision, expected, computed } => {
+                write!(f, "digest {expected} of revision {revision} differs from the list's {computed}")
             }
         }
     }
--- a/crates/catalog/src/change_log.rs
+++ b/crates/catalog/src/change_log.rs
@@ -9,7 +9,7 @@
 /// The current servers by service, and a bounded history of their changes.
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
-    generation: Option<u64>,
+    revision: Option<u64>,
     by_id: HashMap<String, Arc<Instance>>,
     services: BTreeMap<String, ServiceEntries>,
     digest: Digest,
@@ -26,8 +26,8 @@
 /// What an update changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// The generation that is held now.
-    pub generation: u64,
+    /// The revision that is held now.
+    pub revision: u64,
     /// The services whose servers changed; their subscribers are to be notified.
     pub services: BTreeSet<String>,
     /// How many servers changed.
@@ -43,7 +43,7 @@
     /// A log that holds nothing yet and remembers so many changes.
     pub fn with_history(limit: usize) -> Self {
         ChangeLog {
-            generation: None,
+            revision: None,
             by_id: HashMap::new(),
             services: BTreeMap::new(),
             digest: Digest::default(),
@@ -51,9 +51,9 @@
         }
     }
 
-    /// The generation at hand, to ask upstream for what came after it.
-    pub fn generation(&self) -> Option<u64> {
-        self.generation
+    /// The revision at hand, to ask upstream for what came after it.
+    pub fn revision(&self) -> Option<u64> {
+        self.revision
     }
 
     /// How many changes are remembered.
@@ -86,10 +86,10 @@
         digest
     }
 
-    /// Lets the next whole list be taken whatever its generation, since the root counts anew. The history ends
-    /// here: whoever asks for what came after an older generation gets a whole list.
-    pub fn forget_generation(&mut self) {
-        self.generation = None;
+    /// Lets the next whole list be taken whatever its revision, since the root counts anew. The history ends
+    /// here: whoever asks for what came after an older revision gets a whole list.
+    pub fn forget_revision(&mut self) {
+        self.revision = None;
     }
 
     /// Applies an update of upstream. A complete list is reduced to what differs from the one at hand.
@@ -99,24 +99,24 @@
     /// # Errors
     /// The update does not fit the list at hand, which stays as it is.
     pub fn apply(&mut self, update: Update) -> Result<Applied, ApplyError> {
-        self.check_generation(&update)?;
-        let generation = update.generation;
+        self.check_revision(&update)?;
+        let revision = update.revision;
         let (expected, readable) = (update.digest, update.unreadable.is_empty());
         let differences = self.differences(update);
         let computed = self.digest_after(&differences);
         match expected {
             Some(expected) if expected != computed && readable => {
-                return Err(ApplyError::DigestMismatch { generation, expected, computed });
+                return Err(ApplyError::DigestMismatch { revision, expected, computed });
             }
             _ => {}
         }
-        Ok(self.commit(generation, differences))
+        Ok(self.commit(revision, differences))
     }
 
-    fn check_generation(&self, update: &Update) -> Result<(), ApplyError> {
-        match self.generation {
-            None if !update.reset => Err(ApplyError::NoList { got: update.generation }),
-            Some(held) if update.generation < held => Err(ApplyError::Older { held, got: update.generation }),
+    fn check_revision(&self, update: &Update) -> Result<(), ApplyError> {
+        match self.revision {
+            None if !update.reset => Err(ApplyError::NoList { got: update.revision }),
+            Some(held) if update.revision < held => Err(ApplyError::Older { held, got: update.revision }),
             _ => Ok(()),
         }
     }
@@ -150,24 +150,24 @@
         digest
     }
 
-    fn commit(&mut self, generation: u64, differences: Vec<Difference>) -> Applied {
-        let held = self.generation.replace(generation);
+    fn commit(&mut self, revision: u64, differences: Vec<Difference>) -> Applied {
+        let held = self.revision.replace(revision);
         match held {
-            Some(held) => self.history.advance(held, generation),
-            None => self.history.restart(generation),
+            Some(held) => self.history.advance(held, revision),
+            None => self.history.restart(revision),
         }
-        let mut applied = Applied { generation, changed: differences.len(), ..Applied::default() };
+        let mut applied = Applied { revision, changed: differences.len(), ..Applied::default() };
         for difference in differences {
             self.replace(&difference);
             if held.is_some() {
-                self.record(generation, &difference);
+                self.record(revision, &difference);
             }
             applied.services.extend(difference.services().map(str::to_owned));
         }
-        if held == Some(generation) {
-            // Subscribers that hold this generation already have what was wrong in it.
+        if held == Some(revision) {
+            // Subscribers that hold this revision already have what was wrong in it.
             for service in &applied.services {
-                self.history.distrust(service, generation);
+                self.history.distrust(service, revision);
             }
         }
         let services = &self.services;
@@ -203,40 +203,40 @@
         self.by_id.insert(instance.instance_id.clone(), instance);
     }
 
-    fn record(&mut self, generation: u64, difference: &Difference) {
+    fn record(&mut self, revision: u64, difference: &Difference) {
         let after_service = difference.after.as_ref().map(|after| after.service.as_str());
         if let Some(before) = &difference.before {
             // For the subscribers of the service that it left, the server is gone.
             if after_service != Some(before.service.as_str()) {
-                self.history.record(&before.service, generation, Arc::new(before.terminated()));
+                self.history.record(&before.service, revision, Arc::new(before.terminated()));
             }
         }
         if let Some(after) = &difference.after {
-            self.history.record(&after.service, generation, after.clone());
+            self.history.record(&after.service, revision, after.clone());
         }
     }
 
-    /// The update for a subscriber that holds a generation of its subscription; none before the first list.
+    /// The update for a subscriber that holds a revision of its subscription; none before the first list.
     ///
-    /// Without a generation, and where the history does not reach back to it, this is the whole list. The update
+    /// Without a revision, and where the history does not reach back to it, this is the whole list. The update
     /// carries no digest; the caller adds one where it wants the subscriber to compare.
     pub fn since(&self, subscription: &Subscription, after: Option<u64>) -> Option<Update> {
-        let generation = self.generation?;
+        let revision = self.revision?;
         let (reset, instances) = match after.filter(|after| self.reaches_back(subscription, *after)) {
             Some(after) => (false, self.changed_since(subscription, after)),
             None => (true, self.instances(subscription).map(|instance| Instance::clone(instance)).collect()),
         };
-        Some(Update { generation, reset, instances, ..Update::default() })
+        Some(Update { revision, reset, instances, ..Update::default() })
     }
 
     /// A message without changes that lets a subscriber compare its digest; none before the first list.
     pub fn digest_message(&self, subscription: &Subscription) -> Option<Update> {
         let digest = Some(self.digest(subscription));
-        Some(Update { generation: self.generation?, digest, ..Update::default() })
+        Some(Update { revision: self.revision?, digest, ..Update::default() })
     }
 
     fn reaches_back(&self, subscription: &Subscription, after: u64) -> bool {
-        self.generation.is_some_and(|generation| after <= generation)
+        self.revision.is_some_and(|revision| after <= revision)
             && self.history.reaches_back(after)
             && self
                 .known_services(subscription)
--- a/crates/catalog/src/history.rs
+++ b/crates/catalog/src/history.rs
@@ -1,4 +1,4 @@
-//! The changes of the last generations, by service and bounded in number.
+//! The changes of the last revisions, by service and bounded in number.
 
 use crate::Instance;
 use std::collections::{BTreeMap, VecDeque};
@@ -7,26 +7,26 @@
 /// How many changes a log remembers by default: more than those of a day at 27,000 a day.
 pub const HISTORY_CHANGES: usize = 32_768;
 
-/// How many jumps over generations are remembered.
+/// How many jumps over revisions are remembered.
 const HISTORY_JUMPS: usize = 4_096;
 
 /// What changed, by service. It answers for a service from its floor on.
 #[derive(Clone, Debug)]
 pub(crate) struct History {
     limit: usize,
-    /// Before this generation it answers for no service.
+    /// Before this revision it answers for no service.
     floor: u64,
     services: BTreeMap<String, ServiceHistory>,
     /// The service of each change, oldest first.
     order: VecDeque<Arc<str>>,
-    /// The generations that were passed over, oldest first.
+    /// The revisions that were passed over, oldest first.
     jumps: VecDeque<Jump>,
 }
 
 /// The changes of one service.
 #[derive(Clone, Debug, Default)]
 struct ServiceHistory {
-    /// Before this generation something is missing.
+    /// Before this revision something is missing.
     floor: u64,
     name: Arc<str>,
     changes: VecDeque<Entry>,
@@ -34,11 +34,11 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    generation: u64,
+    revision: u64,
     instance: Arc<Instance>,
 }
 
-/// A step that passed over the generations between two others.
+/// A step that passed over the revisions between two others.
 #[derive(Clone, Copy, Debug)]
 struct Jump {
     from: u64,
@@ -50,9 +50,9 @@
         History { limit, floor: 0, services: BTreeMap::new(), order: VecDeque::new(), jumps: VecDeque::new() }
     }
 
-    /// Forgets everything; from now on it answers from this generation on.
-    pub(crate) fn restart(&mut self, generation: u64) {
-        *self = History { floor: generation, ..History::new(self.limit) };
+    /// Forgets everything; from now on it answers from this revision on.
+    pub(crate) fn restart(&mut self, revision: u64) {
+        *self = History { floor: revision, ..History::new(self.limit) };
     }
 
     /// How many changes it holds.
@@ -60,7 +60,7 @@
         self.order.len()
     }
 
-    /// Notes a step from one generation to a later one.
+    /// Notes a step from one revision to a later one.
     pub(crate) fn advance(&mut self, from: u64, to: u64) {
         if to - from <= 1 {
             return;
@@ -72,10 +72,10 @@
         }
     }
 
-    /// Notes the state of a server that a generation brought for a service.
-    pub(crate) fn record(&mut self, service: &str, generation: u64, instance: Arc<Instance>) {
+    /// Notes the state of a server that a revision brought for a service.
+    pub(crate) fn record(&mut self, service: &str, revision: u64, instance: Arc<Instance>) {
         let history = self.service_mut(service);
-        history.changes.push_back(Entry { generation, instance });
+        history.changes.push_back(Entry { revision, instance });
         let name = history.name.clone();
         self.order.push_back(name);
         while self.order.len() > self.limit {
@@ -83,10 +83,10 @@
         }
     }
 
-    /// What is held of a service at this generation was wrong until now: it answers from the next one on.
-    pub(crate) fn distrust(&mut self, service: &str, generation: u64) {
+    /// What is held of a service at this revision was wrong until now: it answers from the next one on.
+    pub(crate) fn distrust(&mut self, service: &str, revision: u64) {
         let history = self.service_mut(service);
-        history.floor = history.floor.max(generation + 1);
+        history.floor = history.floor.max(revision + 1);
     }
 
     fn service_mut(&mut self, service: &str) -> &mut ServiceHistory {
@@ -101,7 +101,7 @@
         let Some(name) = self.order.pop_front() else { return };
         let Some(history) = self.services.get_mut(&*name) else { return };
         if let Some(entry) = history.changes.pop_front() {
-            history.floor = history.floor.max(entry.generation);
+            history.floor = history.floor.max(entry.revision);
         }
     }
 
@@ -118,21 +118,21 @@
         self.floor = floor;
     }
 
-    /// Whether nothing is missing after a generation in what it holds of all services.
+    /// Whether nothing is missing after a revision in what it holds of all services.
     pub(crate) fn reaches_back(&self, after: u64) -> bool {
         let passed_over = self.jumps.iter().rev().any(|jump| jump.from < after && after < jump.to);
         after >= self.floor && !passed_over
     }
 
-    /// Whether nothing is missing after a generation in what it holds of a service.
+    /// Whether nothing is missing after a revision in what it holds of a service.
     pub(crate) fn service_reaches_back(&self, service: &str, after: u64) -> bool {
         self.services.get(service).is_none_or(|history| after >= history.floor)
     }
 
-    /// The changes of a service after a generation, oldest first.
+    /// The changes of a service after a revision, oldest first.
     pub(crate) fn changes(&self, service: &str, after: u64) -> impl Iterator<Item = &Arc<Instance>> {
         self.services.get(service).into_iter().flat_map(move |history| {
-            let first = history.changes.partition_point(|entry| entry.generation <= after);
+            let first = history.changes.partition_point(|entry| entry.revision <= after);
             history.changes.range(first..).map(|entry| &entry.instance)
         })
     }
--- a/crates/catalog/src/regions.rs
+++ b/crates/catalog/src/regions.rs
@@ -7,7 +7,7 @@
 
 /// The replicas of all regions, seen as one list.
 ///
-/// Each region counts its own generations, so that all of them go on while they cannot reach one another; a region
+/// Each region counts its own revisions, so that all of them go on while they cannot reach one another; a region
 /// that cannot be reached keeps the servers that it listed last. A server belongs to one region. Where two of them list
 /// the same identity all the same, the entry of the region that comes first is seen.
 #[derive(Clone, Debug)]
@@ -21,14 +21,14 @@
         RegionLists { replicas: vec![Replica::new(); regions] }
     }
 
-    /// The generation of a region, to ask it for what came after.
-    pub fn generation(&self, region: RegionIndex) -> Option<u64> {
-        self.replicas[region].generation()
+    /// The revision of a region, to ask it for what came after.
+    pub fn revision(&self, region: RegionIndex) -> Option<u64> {
+        self.replicas[region].revision()
     }
 
-    /// Lets the next whole list of a region be taken whatever its generation, since its root counts anew.
-    pub fn forget_generation(&mut self, region: RegionIndex) {
-        self.replicas[region].forget_generation();
+    /// Lets the next whole list of a region be taken whatever its revision, since its root counts anew.
+    pub fn forget_revision(&mut self, region: RegionIndex) {
+        self.replicas[region].forget_revision();
     }
 
     /// The servers of one region that are not terminated.
--- a/crates/catalog/src/replica.rs
+++ b/crates/catalog/src/replica.rs
@@ -5,11 +5,11 @@
 
 /// The servers that a subscriber follows, as the relays last sent them.
 ///
-/// The messages of one watch come in order, and each watch begins after the generation at hand; whether one was
+/// The messages of one watch come in order, and each watch begins after the revision at hand; whether one was
 /// lost all the same, the digests show it.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
-    generation: Option<u64>,
+    revision: Option<u64>,
     instances: BTreeMap<String, Instance>,
     digest: Digest,
 }
@@ -29,9 +29,9 @@
         Self::default()
     }
 
-    /// The generation at hand, to ask for what came after it.
-    pub fn generation(&self) -> Option<u64> {
-        self.generation
+    /// The revision at hand, to ask for what came after it.
+    pub fn revision(&self) -> Option<u64> {
+        self.revision
     }
 
     /// The servers that are not terminated, by identity.
@@ -49,9 +49,9 @@
         self.digest
     }
 
-    /// Lets the next whole list be taken whatever its generation, since the root counts anew.
-    pub fn forget_generation(&mut self) {
-        self.generation = None;
+    /// Lets the next whole list be taken whatever its revision, since the root counts anew.
+    pub fn forget_revision(&mut self) {
+        self.revision = None;
     }
 
     /// Applies an update and returns what it changed.
@@ -61,7 +61,7 @@
     /// # Errors
     /// The update does not fit the servers at hand, which stay as they are.
     pub fn apply(&mut self, update: &Update) -> Result<Vec<Change>, ApplyError> {
-        self.check_generation(update)?;
+        self.check_revision(update)?;
         let changes = self.difference(update);
         let digest = self.digest_after(&changes);
         check_digest(update, digest)?;
@@ -69,14 +69,14 @@
             self.commit(change);
         }
         self.digest = digest;
-        self.generation = Some(update.generation);
+        self.revision = Some(update.revision);
         Ok(changes)
     }
 
-    fn check_generation(&self, update: &Update) -> Result<(), ApplyError> {
-        match self.generation {
-            None if !update.reset => Err(ApplyError::NoList { got: update.generation }),
-            Some(held) if update.generation < held => Err(ApplyError::Older { held, got: update.generation }),
+    fn check_revision(&self, update: &Update) -> Result<(), ApplyError> {
+        match self.revision {
+            None if !update.reset => Err(ApplyError::NoList { got: update.revision }),
+            Some(held) if update.revision < held => Err(ApplyError::Older { held, got: update.revision }),
             _ => Ok(()),
         }
     }
@@ -130,7 +130,7 @@
 fn check_digest(update: &Update, computed: Digest) -> Result<(), ApplyError> {
     match update.digest {
         Some(expected) if expected != computed && update.unreadable.is_empty() => {
-            Err(ApplyError::DigestMismatch { generation: update.generation, expected, computed })
+            Err(ApplyError::DigestMismatch { revision: update.revision, expected, computed })
         }
         _ => Ok(()),
     }
--- a/crates/catalog/src/wire.rs
+++ b/crates/catalog/src/wire.rs
@@ -12,7 +12,8 @@
 #[serde(from = "RawUpdate")]
 pub struct Update {
     /// The revision that the receiver holds after this message.
-    pub generation: u64,
+    #[serde(rename = "generation")]
+    pub revision: u64,
     /// Whether the message is a whole list. Servers that it does not name are gone then.
     pub reset: bool,
     /// The servers; in a delta those that changed, with `Terminated` where they are gone.
@@ -111,7 +112,8 @@
 /// An update as it is read from text.
 #[derive(Deserialize)]
 struct RawUpdate {
-    generation: u64,
+    #[serde(rename = "generation")]
+    revision: u64,
     #[serde(default)]
     reset: bool,
     #[serde(default)]
@@ -125,7 +127,7 @@
 impl From<RawUpdate> for Update {
     fn from(raw: RawUpdate) -> Self {
         Update {
-            generation: raw.generation,
+            revision: raw.revision,
             reset: raw.reset,
             instances: raw.instances.instances,
             digest: raw.digest,
--- a/crates/catalog/tests/fixtures.rs
+++ b/crates/catalog/tests/fixtures.rs
@@ -42,13 +42,13 @@
         vec![instance("server-1", Lifecycle::Terminating), instance("server-2", Lifecycle::Terminated)];
     let digest = Some(Digest::of(&all));
     vec![
-        Update { generation: 41, reset: true, instances: all.clone(), ..Update::default() },
-        Update { generation: 41, reset: true, instances: all, digest, ..Update::default() },
-        Update { generation: 42, instances: changed, ..Update::default() },
-        Update { generation: 42, digest, ..Update::default() },
-        Update { generation: 42, digest, confirmed_ago_ms: 1_200, ..Update::default() },
-        Update { generation: 0, reset: true, ..Update::default() },
-        Update { generation: u64::MAX, ..Update::default() },
+        Update { revision: 41, reset: true, instances: all.clone(), ..Update::default() },
+        Update { revision: 41, reset: true, instances: all, digest, ..Update::default() },
+        Update { revision: 42, instances: changed, ..Update::default() },
+        Update { revision: 42, digest, ..Update::default() },
+        Update { revision: 42, digest, confirmed_ago_ms: 1_200, ..Update::default() },
+        Update { revision: 0, reset: true, ..Update::default() },
+        Update { revision: u64::MAX, ..Update::default() },
     ]
 }
 
--- a/crates/catalog/tests/properties.rs
+++ b/crates/catalog/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Change logs and replicas against a plain reference: the list of every generation, as a map.
+//! Change logs and replicas against a plain reference: the list of every revision, as a map.
 
 mod arbitrary;
 
@@ -32,19 +32,19 @@
     ]
 }
 
-/// How a relay goes on: by so many generations, by a delta or a whole list.
+/// How a relay goes on: by so many revisions, by a delta or a whole list.
 #[derive(Clone, Copy, Debug)]
 struct Step {
-    generations: usize,
+    revisions: usize,
     reset: bool,
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     let reset = prop_oneof![4 => Just(false), 1 => Just(true)];
-    (0..4usize, reset).prop_map(|(generations, reset)| Step { generations, reset })
+    (0..4usize, reset).prop_map(|(revisions, reset)| Step { revisions, reset })
 }
 
-/// The list at every generation, the first of which is empty.
+/// The list at every revision, the first of which is empty.
 struct Reference {
     lists: Vec<List>,
     changes: Vec<Instance>,
@@ -68,25 +68,25 @@
         self.changes.len()
     }
 
-    fn list(&self, generation: usize, subscription: &Subscription) -> List {
-        let entries = self.lists[generation].iter();
+    fn list(&self, revision: usize, subscription: &Subscription) -> List {
+        let entries = self.lists[revision].iter();
         let subscribed = entries.filter(|(_, instance)| subscription.includes(&instance.service));
         subscribed.map(|(id, instance)| (id.clone(), instance.clone())).collect()
     }
 
-    fn whole(&self, generation: usize, subscription: &Subscription) -> Update {
-        let instances = self.list(generation, subscription).into_values().collect();
-        Update { generation: generation as u64, reset: true, instances, ..Update::default() }
+    fn whole(&self, revision: usize, subscription: &Subscription) -> Update {
+        let instances = self.list(revision, subscription).into_values().collect();
+        Update { revision: revision as u64, reset: true, instances, ..Update::default() }
     }
 
-    /// All changes after one generation up to another.
-    fn delta(&self, after: usize, generation: usize) -> Update {
-        let instances = self.changes[after..generation].to_vec();
-        Update { generation: generation as u64, instances, ..Update::default() }
+    /// All changes after one revision up to another.
+    fn delta(&self, after: usize, revision: usize) -> Update {
+        let instances = self.changes[after..revision].to_vec();
+        Update { revision: revision as u64, instances, ..Update::default() }
     }
 
     fn step(&self, at: usize, step: Step) -> Update {
-        let to = (at + step.generations).min(self.last());
+        let to = (at + step.revisions).min(self.last());
         if step.reset {
             self.whole(to, &Subscription::All)
         } else {
@@ -94,10 +94,10 @@
         }
     }
 
-    /// A replica that holds what was subscribed at a generation.
-    fn replica(&self, generation: usize, subscription: &Subscription) -> Replica {
+    /// A replica that holds what was subscribed at a revision.
+    fn replica(&self, revision: usize, subscription: &Subscription) -> Replica {
         let mut replica = Replica::new();
-        replica.apply(&self.whole(generation, subscription)).expect("a complete list");
+        replica.apply(&self.whole(revision, subscription)).expect("a complete list");
         replica
     }
 }
@@ -117,7 +117,7 @@
 
     /// Wherever a subscriber comes from, and whatever its relay has missed, it holds the list of its relay afterwards.
     #[test]
-    fn a_subscriber_holds_the_list_after_any_generation(
+    fn a_subscriber_holds_the_list_after_any_revision(
         changes in prop::collection::vec(any_change(), 1..30),
         steps in prop::collection::vec(any_step(), 1..12),
         limit in 0..24usize,
@@ -129,7 +129,7 @@
         log.apply(reference.whole(at, &Subscription::All)).unwrap();
         for step in steps {
             let mut update = reference.step(at, step);
-            at = update.generation as usize;
+            at = update.revision as usize;
             update.digest = Some(Digest::of(reference.lists[at].values()));
             log.apply(update).unwrap();
             prop_assert!(log.history_len() <= limit);
@@ -142,9 +142,9 @@
                 update.digest = Some(log.digest(&subscription));
                 subscriber.apply(&update).unwrap();
                 prop_assert_eq!(&held(&subscriber), &expected, "after {}", after);
-                prop_assert_eq!(subscriber.generation(), Some(at as u64));
+                prop_assert_eq!(subscriber.revision(), Some(at as u64));
             }
-            // From a later generation, or from none, only the whole list is right.
+            // From a later revision, or from none, only the whole list is right.
             for after in [Some(at as u64 + 1), None] {
                 let update = log.since(&subscription, after).unwrap();
                 prop_assert!(update.reset);
@@ -154,17 +154,17 @@
         }
     }
 
-    /// The history is used: a log that saw every generation, and remembers them all, gives deltas, and these name
+    /// The history is used: a log that saw every revision, and remembers them all, gives deltas, and these name
     /// just the servers that changed.
     #[test]
-    fn a_remembered_generation_is_answered_by_a_delta(
+    fn a_remembered_revision_is_answered_by_a_delta(
         changes in prop::collection::vec(any_change(), 1..30), subscription in any_subscription(),
     ) {
         let reference = Reference::new(changes);
         let mut log = ChangeLog::with_history(60);
         log.apply(reference.whole(0, &Subscription::All)).unwrap();
-        for generation in 1..=reference.last() {
-            log.apply(reference.delta(generation - 1, generation)).unwrap();
+        for revision in 1..=reference.last() {
+            log.apply(reference.delta(revision - 1, revision)).unwrap();
         }
         for after in 0..=reference.last() {
             let update = log.since(&subscription, Some(after as u64)).unwrap();
@@ -193,7 +193,7 @@
         let applied = log.apply(reference.whole(to, &Subscription::All)).unwrap();
         let update = log.since(&subscription, Some(from as u64)).unwrap();
         prop_assert!(!update.reset);
-        prop_assert_eq!(update.generation, to as u64);
+        prop_assert_eq!(update.revision, to as u64);
         let (before, after) = (reference.list(from, &subscription), reference.list(to, &subscription));
         let ids: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
         let differing: BTreeSet<&str> =
@@ -234,12 +234,12 @@
         let mut log = ChangeLog::new();
         log.apply(reference.whole(0, &Subscription::All)).unwrap();
         let mut subscriber = reference.replica(0, &subscription);
-        for generation in 1..=reference.last() {
-            log.apply(reference.delta(generation - 1, generation)).unwrap();
-            if generation == lost {
+        for revision in 1..=reference.last() {
+            log.apply(reference.delta(revision - 1, revision)).unwrap();
+            if revision == lost {
                 continue;
             }
-            let mut delta = log.since(&subscription, Some(generation as u64 - 1)).unwrap();
+            let mut delta = log.since(&subscription, Some(revision as u64 - 1)).unwrap();
             delta.digest = Some(log.digest(&subscription));
             let mut expected = held(&subscriber);
             for instance in &delta.instances {
@@ -249,7 +249,7 @@
                 }
             }
             let before = held(&subscriber);
-            let right = expected == reference.list(generation, &subscription);
+            let right = expected == reference.list(revision, &subscription);
             match subscriber.apply(&delta) {
                 Ok(_) => prop_assert!(right, "not found"),
                 Err(ApplyError::DigestMismatch { .. }) => {
@@ -331,12 +331,12 @@
     let mut log = ChangeLog::with_history(LIMIT);
     log.apply(Update { reset: true, ..Update::default() }).unwrap();
     let mut before: Option<Instance> = None;
-    for generation in 1..20_000u64 {
-        let mut next = instance((generation % 4) as u8, 0, 0, Lifecycle::InService);
-        next.service = format!("service-{generation}");
+    for revision in 1..20_000u64 {
+        let mut next = instance((revision % 4) as u8, 0, 0, Lifecycle::InService);
+        next.service = format!("service-{revision}");
         let gone = before.replace(next.clone()).map(|instance| instance.terminated());
         let instances = gone.into_iter().chain([next]).collect();
-        log.apply(Update { generation: generation * 2, instances, ..Update::default() }).unwrap();
+        log.apply(Update { revision: revision * 2, instances, ..Update::default() }).unwrap();
         assert!(log.history_len() <= LIMIT);
         assert!(log.history_services() <= LIMIT + 1, "{} services", log.history_services());
     }
@@ -348,39 +348,39 @@
 fn a_quiet_service_is_answered_by_a_delta_for_long() {
     let mut log = ChangeLog::with_history(10);
     let quiet = instance(0, 0, 1, Lifecycle::InService);
-    log.apply(Update { generation: 1, reset: true, instances: vec![quiet], ..Update::default() }).unwrap();
-    for generation in 2..1_000 {
-        let changed = instance(1, 1, (generation % 2) as u8, Lifecycle::InService);
-        log.apply(Update { generation, instances: vec![changed], ..Update::default() }).unwrap();
+    log.apply(Update { revision: 1, reset: true, instances: vec![quiet], ..Update::default() }).unwrap();
+    for revision in 2..1_000 {
+        let changed = instance(1, 1, (revision % 2) as u8, Lifecycle::InService);
+        log.apply(Update { revision, instances: vec![changed], ..Update::default() }).unwrap();
     }
     let update = log.since(&Subscription::services(["a"]), Some(1)).unwrap();
-    assert_eq!(update, Update { generation: 999, ..Update::default() });
+    assert_eq!(update, Update { revision: 999, ..Update::default() });
     assert!(log.since(&Subscription::services(["b"]), Some(1)).unwrap().reset);
 }
 
-/// A generation that was passed over stays unknown, however many others were since.
+/// A revision that was passed over stays unknown, however many others were since.
 #[test]
 fn an_old_jump_is_not_forgotten() {
     let mut log = ChangeLog::new();
     let listed = instance(0, 0, 1, Lifecycle::InService);
-    log.apply(Update { generation: 10, reset: true, instances: vec![listed], ..Update::default() }).unwrap();
+    log.apply(Update { revision: 10, reset: true, instances: vec![listed], ..Update::default() }).unwrap();
     for step in 1..10_000 {
-        log.apply(Update { generation: 10 + step * 2, ..Update::default() }).unwrap();
+        log.apply(Update { revision: 10 + step * 2, ..Update::default() }).unwrap();
         assert!(log.since(&Subscription::All, Some(11)).unwrap().reset, "after {step} jumps");
     }
 }
 
-/// A whole list that mends a generation without ending it reaches the subscribers that hold this generation.
+/// A whole list that mends a revision without ending it reaches the subscribers that hold this revision.
 #[test]
-fn a_list_repaired_at_its_generation_is_sent_completely() {
+fn a_list_repaired_at_its_revision_is_sent_completely() {
     let right = [instance(0, 0, 1, Lifecycle::InService), instance(1, 0, 1, Lifecycle::InService)];
     let mut log = ChangeLog::new();
-    log.apply(Update { generation: 5, reset: true, instances: right[..1].to_vec(), ..Update::default() })
+    log.apply(Update { revision: 5, reset: true, instances: right[..1].to_vec(), ..Update::default() })
         .unwrap();
     let digest = Some(Digest::of(&right));
-    let found = log.apply(Update { generation: 5, digest, ..Update::default() });
-    assert!(matches!(found, Err(ApplyError::DigestMismatch { generation: 5, .. })));
-    log.apply(Update { generation: 5, reset: true, instances: right.to_vec(), digest, ..Update::default() })
+    let found = log.apply(Update { revision: 5, digest, ..Update::default() });
+    assert!(matches!(found, Err(ApplyError::DigestMismatch { revision: 5, .. })));
+    log.apply(Update { revision: 5, reset: true, instances: right.to_vec(), digest, ..Update::default() })
         .unwrap();
     let subscription = Subscription::services(["a"]);
     let update = log.since(&subscription, Some(5)).unwrap();
@@ -394,23 +394,22 @@
 fn an_update_that_does_not_fit_is_refused_with_its_reason() {
     let listed = instance(0, 0, 1, Lifecycle::InService);
     let whole =
-        |generation| Update { generation, reset: true, instances: vec![listed.clone()], ..Update::default() };
+        |revision| Update { revision, reset: true, instances: vec![listed.clone()], ..Update::default() };
     let mut log = ChangeLog::new();
     let mut replica = Replica::new();
     assert_eq!(log.since(&Subscription::All, None), None);
     assert_eq!(log.digest_message(&Subscription::All), None);
-    let delta = Update { generation: 3, ..Update::default() };
+    let delta = Update { revision: 3, ..Update::default() };
     assert_eq!(log.apply(delta.clone()), Err(ApplyError::NoList { got: 3 }));
     assert_eq!(replica.apply(&delta), Err(ApplyError::NoList { got: 3 }));
     log.apply(whole(4)).unwrap();
     replica.apply(&whole(4)).unwrap();
     assert_eq!(log.apply(delta.clone()), Err(ApplyError::Older { held: 4, got: 3 }));
     assert_eq!(replica.apply(&delta), Err(ApplyError::Older { held: 4, got: 3 }));
-    let empty =
-        Update { generation: 9, reset: true, digest: Some(Digest::of([&listed])), ..Update::default() };
+    let empty = Update { revision: 9, reset: true, digest: Some(Digest::of([&listed])), ..Update::default() };
     assert!(matches!(log.apply(empty.clone()), Err(ApplyError::DigestMismatch { .. })));
     assert!(matches!(replica.apply(&empty), Err(ApplyError::DigestMismatch { .. })));
-    assert_eq!((log.generation(), replica.generation()), (Some(4), Some(4)));
+    assert_eq!((log.revision(), replica.revision()), (Some(4), Some(4)));
     assert_eq!(
         (log.digest(&Subscription::All), replica.digest()),
         (Digest::of([&listed]), Digest::of([&listed]))
@@ -423,8 +422,8 @@
 #[test]
 fn a_root_with_a_new_history_is_followed() {
     let [old, new] = [1, 2].map(|weight| instance(0, 0, weight, Lifecycle::InService));
-    let whole = |generation, listed: &Instance| Update {
-        generation,
+    let whole = |revision, listed: &Instance| Update {
+        revision,
         reset: true,
         instances: vec![listed.clone()],
         ..Update::default()
@@ -433,16 +432,16 @@
     let mut replica = Replica::new();
     log.apply(whole(100, &old)).unwrap();
     replica.apply(&log.since(&Subscription::All, None).unwrap()).unwrap();
-    log.forget_generation();
+    log.forget_revision();
     let applied = log.apply(whole(3, &new)).unwrap();
-    assert_eq!((applied.generation, applied.changed), (3, 1));
+    assert_eq!((applied.revision, applied.changed), (3, 1));
     assert_eq!(applied.services, BTreeSet::from(["a".to_owned()]));
     for after in [2, 100] {
         assert!(log.since(&Subscription::All, Some(after)).unwrap().reset);
     }
-    let update = log.since(&Subscription::All, replica.generation()).unwrap();
+    let update = log.since(&Subscription::All, replica.revision()).unwrap();
     assert_eq!(replica.apply(&update), Err(ApplyError::Older { held: 100, got: 3 }));
-    replica.forget_generation();
+    replica.forget_revision();
     assert_eq!(replica.apply(&update), Ok(vec![Change::Listed(new)]));
 }
 
--- a/crates/catalog/tests/regions.rs
+++ b/crates/catalog/tests/regions.rs
@@ -73,26 +73,26 @@
     }
 }
 
-fn update(generation: u64, reset: bool, instances: Vec<Instance>) -> Update {
-    Update { generation, reset, instances, ..Update::default() }
+fn update(revision: u64, reset: bool, instances: Vec<Instance>) -> Update {
+    Update { revision, reset, instances, ..Update::default() }
 }
 
 proptest! {
     #![proptest_config(config())]
 
     /// Both the list as a whole and the one that follows the changes are the regions' updates make it, and each region
-    /// counts its own generations.
+    /// counts its own revisions.
     #[test]
     fn the_merged_list_is_that_of_the_regions(history in prop::collection::vec(any_region_update(), 0..40)) {
         let (mut lists, mut reference, mut followed) =
             (RegionLists::new(REGIONS), Reference::default(), List::new());
-        let mut generations = [None; REGIONS];
+        let mut revisions = [None; REGIONS];
         for region_update in &history {
             // The first message of a region is a whole list.
-            let region_update = RegionUpdate { reset: region_update.reset || generations[region_update.region].is_none(), ..region_update.clone() };
-            let generation = generations[region_update.region].map_or(region_update.region as u64 * 100, |held| held + 1);
-            generations[region_update.region] = Some(generation);
-            let message = update(generation, region_update.reset, region_update.instances.clone());
+            let region_update = RegionUpdate { reset: region_update.reset || revisions[region_update.region].is_none(), ..region_update.clone() };
+            let revision = revisions[region_update.region].map_or(region_update.region as u64 * 100, |held| held + 1);
+            revisions[region_update.region] = Some(revision);
+            let message = update(revision, region_update.reset, region_update.instances.clone());
             let changes = lists.apply(region_update.region, &message).expect("it fits");
             reference.apply(&region_update);
             commit(&mut followed, &changes);
@@ -101,8 +101,8 @@
             prop_assert_eq!(&seen, &reference.seen());
             prop_assert_eq!(&followed, &reference.seen());
         }
-        for (region, generation) in generations.into_iter().enumerate() {
-            prop_assert_eq!(lists.generation(region), generation);
+        for (region, revision) in revisions.into_iter().enumerate() {
+            prop_assert_eq!(lists.revision(region), revision);
             let held = lists.instances_of(region).count();
             prop_assert_eq!(held, reference.regions[region].len());
         }
@@ -127,7 +127,7 @@
     let older = lists.apply(0, &update(4, true, Vec::new()));
     assert_eq!(older, Err(ApplyError::Older { held: 5, got: 4 }));
     assert_eq!(lists.apply(1, &update(5, false, Vec::new())), Err(ApplyError::NoList { got: 5 }));
-    assert_eq!((lists.generation(0), lists.generation(1)), (Some(5), None));
-    lists.forget_generation(0);
+    assert_eq!((lists.revision(0), lists.revision(1)), (Some(5), None));
+    lists.forget_revision(0);
     assert_eq!(lists.apply(0, &update(4, true, Vec::new())), Ok(vec![Change::Removed(in_service(1))]));
 }
--- a/crates/catalog/tests/support/server.rs
+++ b/crates/catalog/tests/support/server.rs
@@ -49,7 +49,7 @@
 /// One watch.
 pub struct Served {
     pub child: Node,
-    /// The generation that the child holds once all that was sent has arrived.
+    /// The revision that the child holds once all that was sent has arrived.
     sent: u64,
     last_arrival: Micros,
 }
@@ -77,7 +77,7 @@
         self.watches.get(&id).map(|served| served.child)
     }
 
-    /// Opens a watch; its first message brings the child to the generation at hand.
+    /// Opens a watch; its first message brings the child to the revision at hand.
     pub fn open(
         &mut self,
         id: WatchId,
@@ -88,7 +88,7 @@
     ) -> Option<Payload> {
         let update = self.log.since(&subscription, after)?;
         let first = self.complete(update, &subscription, confirmed_ago_ms);
-        self.watches.insert(id, Served { child, sent: first.generation, last_arrival: 0 });
+        self.watches.insert(id, Served { child, sent: first.revision, last_arrival: 0 });
         self.subscribers.subscribe(id, subscription);
         Some(Payload::update(first))
     }
@@ -135,10 +135,10 @@
     }
 
     fn note_sent(&mut self, messages: &[(WatchId, Payload)]) {
-        let generation = self.log.generation().unwrap_or(0);
+        let revision = self.log.revision().unwrap_or(0);
         for (id, _) in messages {
             if let Some(served) = self.watches.get_mut(id) {
-                served.sent = generation;
+                served.sent = revision;
             }
         }
     }
--- a/crates/catalog/tests/support/source.rs
+++ b/crates/catalog/tests/support/source.rs
@@ -6,20 +6,20 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 pub const SERVERS_PER_SERVICE: usize = 55;
-const FIRST_GENERATION: u64 = 1_000;
+const FIRST_REVISION: u64 = 1_000;
 const STARTED_AT_MS: f64 = 1.7e12;
 
 /// One state of a service.
 #[derive(Clone, Copy)]
 pub struct Revision {
-    pub generation: u64,
+    pub number: u64,
     pub at: Micros,
     pub digest: Digest,
 }
 
 pub struct Source {
     pub server: Server,
-    generation: u64,
+    revision: u64,
     lists: BTreeMap<String, BTreeMap<String, Instance>>,
     revisions: HashMap<String, Vec<Revision>>,
     services: usize,
@@ -34,7 +34,7 @@
     pub fn new(services: usize, history: usize) -> Self {
         let mut source = Source {
             server: Server::with_history(history),
-            generation: FIRST_GENERATION,
+            revision: FIRST_REVISION,
             lists: BTreeMap::new(),
             revisions: HashMap::new(),
             services,
@@ -48,13 +48,13 @@
             source.note_revision(&service_name(number), 0);
         }
         let instances = source.lists.values().flat_map(|list| list.values().cloned()).collect();
-        let whole = Update { generation: FIRST_GENERATION, reset: true, instances, ..Update::default() };
+        let whole = Update { revision: FIRST_REVISION, reset: true, instances, ..Update::default() };
         source.server.log.apply(whole).expect("a first list is taken");
         source
     }
 
-    pub fn generation(&self) -> u64 {
-        self.generation
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     fn new_instance(&mut self, service: String) -> Instance {
@@ -81,7 +81,7 @@
 
     fn note_revision(&mut self, service: &str, at: Micros) {
         let digest = Digest::of(self.lists.get(service).into_iter().flat_map(BTreeMap::values));
-        let revision = Revision { generation: self.generation, at, digest };
+        let revision = Revision { number: self.revision, at, digest };
         self.revisions.entry(service.to_owned()).or_default().push(revision);
     }
 
@@ -93,7 +93,7 @@
         };
         let chosen = list.values().nth(random.usize(0..list.len())).expect("it is within").clone();
         let changed = self.changed(chosen, random);
-        self.generation += 1;
+        self.revision += 1;
         let mut services = BTreeSet::from([service.clone()]);
         for instance in &changed {
             self.lists.get_mut(&service).expect("it was there").remove(&instance.instance_id);
@@ -105,7 +105,7 @@
         for service in &services {
             self.note_revision(service, now);
         }
-        let update = Update { generation: self.generation, instances: changed, ..Update::default() };
+        let update = Update { revision: self.revision, instances: changed, ..Update::default() };
         let applied = self.server.log.apply(update).expect("the source is in order");
         assert_eq!(applied.services, services);
         services
@@ -141,17 +141,17 @@
         self.lists.get(service).into_iter().flat_map(BTreeMap::values)
     }
 
-    /// The states of a service after a generation.
-    pub fn revisions_after(&self, service: &str, generation: u64) -> &[Revision] {
+    /// The states of a service after a revision.
+    pub fn revisions_after(&self, service: &str, revision: u64) -> &[Revision] {
         let Some(revisions) = self.revisions.get(service) else { return &[] };
-        let first = revisions.partition_point(|revision| revision.generation <= generation);
+        let first = revisions.partition_point(|state| state.number <= revision);
         &revisions[first..]
     }
 
-    /// The digest of a service at a generation.
-    pub fn digest_at(&self, service: &str, generation: u64) -> Digest {
+    /// The digest of a service at a revision.
+    pub fn digest_at(&self, service: &str, revision: u64) -> Digest {
         let Some(revisions) = self.revisions.get(service) else { return Digest::default() };
-        let after = revisions.partition_point(|revision| revision.generation <= generation);
+        let after = revisions.partition_point(|state| state.number <= revision);
         after.checked_sub(1).map_or(Digest::default(), |last| revisions[last].digest)
     }
 
--- a/crates/catalog/tests/support/world.rs
+++ b/crates/catalog/tests/support/world.rs
@@ -102,7 +102,7 @@
     /// Whether it says that its list may be out of date.
     pub fn stale(&self, now: Micros) -> bool {
         let stale = self.follower.repairs() || !self.follower.confirmed_within(STALE_AFTER, now);
-        self.replica.generation().is_none() || (stale && !self.never_stale)
+        self.replica.revision().is_none() || (stale && !self.never_stale)
     }
 }
 
@@ -536,7 +536,7 @@
             }
             Payload::Refused => node.follower.failed(watch, now, random, &mut commands),
             Payload::Update(encoded) => {
-                let before = node.replica.generation();
+                let before = node.replica.revision();
                 self.whole_lists += u64::from(encoded.update.reset);
                 match node.replica.apply(&encoded.update) {
                     Ok(_) => {
@@ -562,10 +562,10 @@
         if std::mem::take(&mut node.awaits_list) {
             self.joins.add(self.now - node.reachable_since);
         }
-        let (Some(before), Some(held)) = (before, node.replica.generation()) else { return };
+        let (Some(before), Some(held)) = (before, node.replica.revision()) else { return };
         for service in &node.services {
             let revisions = self.source.revisions_after(service, before);
-            for revision in revisions.iter().take_while(|revision| revision.generation <= held) {
+            for revision in revisions.iter().take_while(|revision| revision.number <= held) {
                 self.lags.add(self.now - revision.at.max(node.reachable_since));
             }
         }
@@ -633,10 +633,10 @@
         let (repairs, held) = match child {
             Node::Source => return,
             Node::Relay(index) => {
-                (self.relays[index].follower.repairs(), self.relays[index].server.log.generation())
+                (self.relays[index].follower.repairs(), self.relays[index].server.log.revision())
             }
             Node::Replica(index) => {
-                (self.replicas[index].follower.repairs(), self.replicas[index].replica.generation())
+                (self.replicas[index].follower.repairs(), self.replicas[index].replica.revision())
             }
         };
         let after = held.filter(|_| !repairs);
--- a/crates/catalog/tests/wire.rs
+++ b/crates/catalog/tests/wire.rs
@@ -33,15 +33,15 @@
         "zone":"z1","machineType":"m","cell":3,"lifecycle":"in_service","weight":1.5,"startedAtMs":1700000000000,"new":{}}]}"#;
     let update: Update = serde_json::from_str(text).unwrap();
     let expected = Instance { weight: Some(1.5), started_at_ms: Some(1.7e12), ..instance("a") };
-    assert_eq!(update, Update { generation: 43, instances: vec![expected], ..Update::default() });
+    assert_eq!(update, Update { revision: 43, instances: vec![expected], ..Update::default() });
 }
 
 #[test]
 fn absent_fields_are_not_encoded() {
-    let update = Update { generation: 7, instances: vec![instance("a")], ..Update::default() };
+    let update = Update { revision: 7, instances: vec![instance("a")], ..Update::default() };
     let expected = r#"{"generation":7,"reset":false,"instances":[{"instanceId":"a","hostPort":"10.0.0.1:8080","zone":"z1","machineType":"m","cell":3,"lifecycle":"in_service"}]}"#;
     assert_eq!(serde_json::to_string(&update).unwrap(), expected);
-    let empty = Update { generation: 7, ..Update::default() };
+    let empty = Update { revision: 7, ..Update::default() };
     assert_eq!(serde_json::to_string(&empty).unwrap(), r#"{"generation":7,"reset":false}"#);
 }
 
@@ -155,14 +155,14 @@
 
     #[test]
     fn encoded_updates_are_decoded_unchanged(
-        generation: u64,
+        revision: u64,
         reset: bool,
         instances in prop::collection::vec(any_instance(), 0..4),
         with_digest: bool,
         confirmed_ago_ms in prop_oneof![Just(0), any::<u64>()],
     ) {
         let digest = with_digest.then(|| Digest::of(&instances));
-        let update = Update { generation, reset, instances, digest, confirmed_ago_ms, ..Update::default() };
+        let update = Update { revision, reset, instances, digest, confirmed_ago_ms, ..Update::default() };
         let text = serde_json::to_string(&update).unwrap();
         let read: Update = serde_json::from_str(&text).unwrap();
         prop_assert_eq!(Digest::of(&read.instances), Digest::of(&update.instances));
--- a/crates/daemon/src/discovery/host_list.rs
+++ b/crates/daemon/src/discovery/host_list.rs
@@ -31,7 +31,7 @@
 
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
         log_unreadable(&update);
-        self.revision = Some(update.generation);
+        self.revision = Some(update.revision);
         push(&self.events, update.reset, update.instances.iter().map(listed_endpoint).collect());
         Ok(())
     }
@@ -85,7 +85,7 @@
 
 impl ListSink for CachedList {
     fn revision(&self) -> Option<u64> {
-        self.lists.borrow().generation(self.region)
+        self.lists.borrow().revision(self.region)
     }
 
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
@@ -104,7 +104,7 @@
     }
 
     fn forget_revision(&mut self) {
-        self.lists.borrow_mut().forget_generation(self.region);
+        self.lists.borrow_mut().forget_revision(self.region);
     }
 
     fn heartbeat(&mut self, _: Heartbeat) {}
--- a/crates/daemon/src/discovery/session.rs
+++ b/crates/daemon/src/discovery/session.rs
@@ -205,7 +205,7 @@
     fn apply(&mut self, update: Option<Update>) -> Result<Heartbeat, WatchError> {
         let Some(mut update) = update else { return Ok(Heartbeat::EmptyLine) };
         let confirmed_ago = Duration::from_millis(update.confirmed_ago_ms);
-        let is_older = update.reset && self.revision().is_some_and(|held| update.generation < held);
+        let is_older = update.reset && self.revision().is_some_and(|held| update.revision < held);
         if is_older && self.confirmed_at.elapsed() >= OLDER_LIST_AFTER {
             self.sink.forget_revision();
         }
--- a/crates/daemon/src/discovery/watch_event/tests.rs
+++ b/crates/daemon/src/discovery/watch_event/tests.rs
@@ -110,9 +110,9 @@
             WatchEvent::Message(text) => {
                 let update: Update = serde_json::from_slice(text).expect("an update");
                 assert!(update.unreadable.is_empty(), "{update:?}");
-                let Update { generation, reset, instances, digest, confirmed_ago_ms, .. } = update;
+                let Update { revision, reset, instances, digest, confirmed_ago_ms, .. } = update;
                 let has_digest = digest.is_some();
-                format!("{generation} {reset} {} {has_digest} {confirmed_ago_ms}", instances.len())
+                format!("{revision} {reset} {} {has_digest} {confirmed_ago_ms}", instances.len())
             }
         })
         .collect();
--- a/crates/daemon/src/relay/subscribers.rs
+++ b/crates/daemon/src/relay/subscribers.rs
@@ -54,12 +54,12 @@
 impl SubscriberTable {
     /// The revision of the list at hand; none before the first one.
     pub fn revision(&self) -> Option<u64> {
-        self.log.generation()
+        self.log.revision()
     }
 
     /// Accepts the next complete list whatever its revision.
     pub fn forget_revision(&mut self) {
-        self.log.forget_generation();
+        self.log.forget_revision();
     }
 
     /// Adds a subscriber that holds a revision, or nothing. Its first message is what it lacks.
@@ -74,7 +74,7 @@
         let first = self.log.since(&subscription, after).filter(|_| self.is_fresh()).ok_or(StaleList)?;
         let (messages, receiver) = channel(MAX_QUEUED_MESSAGES);
         let digest = Some(self.log.digest(&subscription));
-        let revision = first.generation;
+        let revision = first.revision;
         // The queue is empty: it has room for the first message.
         let _ = messages.try_send(self.encode(Update { digest, ..first }));
         self.last_id += 1;
@@ -122,7 +122,7 @@
                 let Some(update) = self.log.since(subscription, after) else { continue };
                 messages.entry(key).or_insert(self.encode(update)).clone()
             };
-            self.send(id, bytes, Some(applied.generation));
+            self.send(id, bytes, Some(applied.revision));
         }
         Ok(())
     }
@@ -178,7 +178,7 @@
     fn send_digest(&mut self, id: SubscriberId) {
         let Some(subscription) = self.subscriptions.subscription(&id) else { return };
         let Some(update) = self.log.digest_message(subscription) else { return };
-        let revision = update.generation;
+        let revision = update.revision;
         self.send(id, self.encode(update), Some(revision));
     }
 
--- a/crates/daemon/src/relay/tests.rs
+++ b/crates/daemon/src/relay/tests.rs
@@ -57,13 +57,13 @@
         instance("server-2", "payments", Lifecycle::Terminated),
     ];
     let aged = Update { confirmed_ago_ms: AGE.as_millis() as u64, ..Update::default() };
-    list.apply(Update { generation: 41, reset: true, instances: servers, ..aged.clone() }).expect("applied");
+    list.apply(Update { revision: 41, reset: true, instances: servers, ..aged.clone() }).expect("applied");
     let subscribe = |subscription, after| {
         subscribers.borrow_mut().subscribe(subscription, after).expect("a fresh list").1
     };
     let all = subscribe(Subscription::All, None);
     let one = subscribe(Subscription::services(["payments"]), Some(41));
-    list.apply(Update { generation: 42, instances: changes, ..aged }).expect("applied");
+    list.apply(Update { revision: 42, instances: changes, ..aged }).expect("applied");
     list.heartbeat(Heartbeat::Message { confirmed_ago: AGE });
     for _ in 0..HEARTBEATS {
         list.heartbeat(Heartbeat::EmptyLine);
--- a/crates/daemon/tests/common/relays/proxy.rs
+++ b/crates/daemon/tests/common/relays/proxy.rs
@@ -85,7 +85,7 @@
             continue;
         }
         if let Some(update) = update {
-            lock(log).last_generation = Some(update.generation);
+            lock(log).last_generation = Some(update.revision);
         }
         subscriber.write_all(chunk(&line).as_bytes()).ok()?;
     }
--- a/crates/daemon/tests/common/relays/service_discovery.rs
+++ b/crates/daemon/tests/common/relays/service_discovery.rs
@@ -29,7 +29,7 @@
     fn message(&self, after: Option<u64>) -> Update {
         let changed = self.servers.values().filter(|listed| after.is_none_or(|after| listed.changed > after));
         let instances = changed.map(|listed| listed.instance.clone()).collect();
-        Update { generation: self.generation, reset: after.is_none(), instances, ..Update::default() }
+        Update { revision: self.generation, reset: after.is_none(), instances, ..Update::default() }
     }
 }
 
--- a/crates/daemon/tests/common/relays/subscriber.rs
+++ b/crates/daemon/tests/common/relays/subscriber.rs
@@ -52,9 +52,9 @@
                 self.instances.insert(instance.instance_id.clone(), instance.clone());
             }
             self.instances.retain(|_, instance| instance.lifecycle != Lifecycle::Terminated);
-            self.generation = update.generation;
+            self.generation = update.revision;
             if update.digest.is_some_and(|digest| digest != Digest::of(self.instances.values())) {
-                self.digest_faults.push(update.generation);
+                self.digest_faults.push(update.revision);
             }
         }
         self.received.push(Received { at: Instant::now(), update });
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -186,14 +186,14 @@
     follower.wait_for(second_change);
 
     let delta = RawSubscriber::follow(zone, Some(first_change), &["service-1"]).first();
-    assert_eq!((delta.reset, delta.generation, ids(&delta)), (false, second_change, vec!["s-1"]));
+    assert_eq!((delta.reset, delta.revision, ids(&delta)), (false, second_change, vec!["s-1"]));
     let nothing_new = RawSubscriber::follow(zone, Some(second_change), &["service-1"]).first();
     assert_eq!((nothing_new.reset, ids(&nothing_new)), (false, vec![]));
     // Without a revision, with one of before the relay's first list, and with one that was never.
     for after in [None, Some(1), Some(second_change + 1_000)] {
         let whole = RawSubscriber::follow(zone, after, &["service-1"]).first();
         assert_eq!((whole.reset, ids(&whole)), (true, vec!["s-1", "s-2"]), "after {after:?}");
-        assert_eq!(whole.generation, second_change);
+        assert_eq!(whole.revision, second_change);
     }
     let elsewhere = follower.resume(tree.zones[1].address, &["service-1"]);
     wait_until("the other relay answers", || !elsewhere.received().is_empty());
@@ -353,7 +353,7 @@
     let (held_back, passing) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
     let passes = passing.clone();
     let slow_upstream = WatchProxy::filtered(root.address, move |update| {
-        passes.load(Ordering::SeqCst) || update.is_none_or(|update| update.generation <= FIRST_GENERATION)
+        passes.load(Ordering::SeqCst) || update.is_none_or(|update| update.revision <= FIRST_GENERATION)
     });
     let slow = Relay::zone(&[slow_upstream.address], 1);
     let mut current = Relay::zone(&[root.address], 2);
@@ -405,7 +405,7 @@
     let last = tree.discovery.put(weighted(&own, 2.0));
     follower.wait_for(last);
     let back = RawSubscriber::follow(tree.zones[0].address, Some(1), &["service-1"]).first();
-    assert_eq!((back.reset, back.generation, ids(&back)), (true, last, vec!["s-1"]));
+    assert_eq!((back.reset, back.revision, ids(&back)), (true, last, vec!["s-1"]));
 }
 
 #[test]
@@ -422,7 +422,7 @@
     let (dropped, generation) = (lost.clone(), to_lose.clone());
     let front = WatchProxy::filtered(zone.address, move |update| {
         let is_change = update.is_some_and(|update| {
-            update.generation == generation.load(Ordering::SeqCst) && !update.instances.is_empty()
+            update.revision == generation.load(Ordering::SeqCst) && !update.instances.is_empty()
         });
         !is_change || dropped.swap(true, Ordering::SeqCst)
     });
--- a/crates/scale/src/run/standin/discovery.rs
+++ b/crates/scale/src/run/standin/discovery.rs
@@ -269,7 +269,7 @@
         let mut line = serde_json::to_vec(&update).unwrap_or_default();
         line.push(b'\n');
         let has_servers = !update.instances.is_empty();
-        let message = Message { line: line.into(), generation: update.generation, has_servers };
+        let message = Message { line: line.into(), generation: update.revision, has_servers };
         self.written.borrow_mut().insert(held, message.clone());
         message
     }
--- a/crates/scale/src/run/standin/server_list.rs
+++ b/crates/scale/src/run/standin/server_list.rs
@@ -84,7 +84,7 @@
     }
 
     fn apply(&mut self, reset: bool, instances: Vec<Instance>) {
-        let update = Update { generation: self.generation, reset, instances, ..Update::default() };
+        let update = Update { revision: self.generation, reset, instances, ..Update::default() };
         // Generations only grow here, and the first list is whole.
         let applied = self.log.apply(update);
         debug_assert!(applied.is_ok(), "the source follows its own list");
--- a/crates/scale/src/slopes/list_memory.rs
+++ b/crates/scale/src/slopes/list_memory.rs
@@ -23,7 +23,7 @@
 /// Reads a message as the daemon does, into the list that it keeps where lists come on request or by relays.
 fn read_into(replica: &mut Replica, text: &str) -> Result<(), MeasureError> {
     let mut update: Update = serde_json::from_str(text)?;
-    update.reset |= replica.generation().is_none();
+    update.reset |= replica.revision().is_none();
     // Generated messages have one generation and no digest: they always fit.
     let _ = replica.apply(&update);
     Ok(())
