--- a/crates/catalog/examples/tree.rs
+++ b/crates/catalog/examples/tree.rs
@@ -1,6 +1,7 @@
-//! Plays every fault in trees of the given numbers of replicas and prints a Markdown table of what came of it:
-//! `cargo run -p liftrouter-catalog --example tree -- 100 1000 7100`. A word plays only the faults whose name has it,
-//! as in `-- 7100 apart`. Ends with 1 where the checker found something in a tree that is not broken.
+//! Simulates every fault in relay trees of the given numbers of replicas and prints the results as a Markdown table:
+//! `cargo run -p liftrouter-catalog --example tree -- 100 1000 7100`. A word as argument selects the faults whose name
+//! contains it, as in `-- 7100 apart`. The exit code is 1 if the checker finds a violation in a tree without a
+//! deliberate defect.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -48,8 +49,8 @@
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let mut sizes: Vec<usize> = arguments.iter().filter_map(|argument| argument.parse().ok()).collect();
-    let word = arguments.iter().find(|argument| argument.parse::<usize>().is_err());
-    let wanted = |name: &str| word.is_none_or(|word| name.contains(word.as_str()));
+    let filter = arguments.iter().find(|argument| argument.parse::<usize>().is_err());
+    let is_selected = |name: &str| filter.is_none_or(|word| name.contains(word.as_str()));
     if sizes.is_empty() {
         sizes.extend(DEFAULT_SIZES);
     }
@@ -57,12 +58,12 @@
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
     let mut violations = 0;
     for size in sizes {
-        for scenario in FAULTS.into_iter().filter(|scenario| wanted(name(*scenario))) {
+        for scenario in FAULTS.into_iter().filter(|scenario| is_selected(name(*scenario))) {
             let outcome = play(scenario, Settings::of_size(size));
             print_row(size, name(scenario), &outcome);
             violations += outcome.violations.len();
         }
-        for broken in BROKEN.into_iter().filter(|broken| wanted(&broken_name(*broken))) {
+        for broken in BROKEN.into_iter().filter(|broken| is_selected(&broken_name(*broken))) {
             let outcome = play(broken.shown_by(), Settings { broken, ..Settings::of_size(size) });
             print_row(size, &broken_name(broken), &outcome);
         }
--- a/crates/catalog/src/apply_error.rs
+++ b/crates/catalog/src/apply_error.rs
@@ -1,32 +1,32 @@
-//! Why an update does not fit the list at hand.
+//! Errors of applying an update to the current list.
 
 use crate::Digest;
 use std::error::Error;
 use std::fmt;
 
-/// Why an update was not applied. What it was to be applied to is as it was.
+/// Why an update was rejected. A rejected update leaves the list unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyError {
-    /// A delta came before any whole list: what it builds on is missing.
+    /// A delta arrived before any whole list, so there is nothing to apply it to.
     NoList {
         /// The revision of the delta.
         got: u64,
     },
-    /// The update is older than what is held.
+    /// The update is older than the current list.
     Older {
-        /// The revision at hand.
+        /// The revision of the current list.
         held: u64,
         /// The revision of the update.
         got: u64,
     },
-    /// The digest is not that of the list that the update leads to: something was lost. The whole list is to be
-    /// asked for, without a revision.
+    /// The digest in the update differs from that of the resulting list, so a change was lost. The receiver
+    /// should request the whole list, by a request without a revision.
     DigestMismatch {
         /// The revision of the update.
         revision: u64,
-        /// The digest that it carries.
+        /// The digest in the update.
         expected: Digest,
-        /// The digest that it leads to.
+        /// The digest of the list after the update.
         computed: Digest,
     },
 }
--- a/crates/catalog/src/change_log.rs
+++ b/crates/catalog/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The list of servers as a relay holds it, and what changed in it.
+//! The list of servers held by a relay, and a history of its changes.
 
 use crate::difference::Difference;
 use crate::history::{History, HISTORY_CHANGES};
@@ -26,21 +26,21 @@
 /// What an update changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// The revision that is held now.
+    /// The revision of the list after the update.
     pub revision: u64,
-    /// The services whose servers changed; their subscribers are to be notified.
+    /// The services whose servers changed, and whose subscribers must be notified.
     pub services: BTreeSet<String>,
-    /// How many servers changed.
+    /// The number of servers that changed.
     pub changed: usize,
 }
 
 impl ChangeLog {
-    /// A log that holds nothing yet and remembers [`HISTORY_CHANGES`] changes.
+    /// Creates an empty log that remembers up to [`HISTORY_CHANGES`] changes.
     pub fn new() -> Self {
         Self::with_history(HISTORY_CHANGES)
     }
 
-    /// A log that holds nothing yet and remembers so many changes.
+    /// Creates an empty log that remembers up to `limit` changes.
     pub fn with_history(limit: usize) -> Self {
         ChangeLog {
             revision: None,
@@ -51,22 +51,22 @@
         }
     }
 
-    /// The revision at hand, to ask upstream for what came after it.
+    /// The revision of the current list, from which a watch on the upstream resumes; none before the first list.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// How many changes are remembered.
+    /// The number of changes in the history.
     pub fn history_len(&self) -> usize {
         self.history.len()
     }
 
-    /// How many services the history knows; no more than it has changes and the list has services.
+    /// The number of services in the history, at most the number of its changes plus the services of the list.
     pub fn history_services(&self) -> usize {
         self.history.service_names().count()
     }
 
-    /// The servers of a subscription that are not terminated.
+    /// The servers of a subscription, without terminated ones.
     pub fn instances<'a>(
         &'a self,
         subscription: &'a Subscription,
@@ -86,18 +86,18 @@
         digest
     }
 
-    /// Lets the next whole list be taken whatever its revision, since the root counts anew. The history ends
-    /// here: whoever asks for what came after an older revision gets a whole list.
+    /// Accepts the next whole list whatever its revision, for a root that has restarted its numbering. The history
+    /// is dropped with that list, so that a subscriber with an earlier revision gets a whole list.
     pub fn forget_revision(&mut self) {
         self.revision = None;
     }
 
-    /// Applies an update of upstream. A complete list is reduced to what differs from the one at hand.
+    /// Applies an update from the upstream. A whole list is reduced to its differences from the current one.
     ///
-    /// The digest of an update of which some entries could not be read is not checked: it cannot match.
+    /// The digest is not checked if some entries of the update could not be read, because it cannot match then.
     ///
     /// # Errors
-    /// The update does not fit the list at hand, which stays as it is.
+    /// The update does not fit the current list, which stays unchanged.
     pub fn apply(&mut self, update: Update) -> Result<Applied, ApplyError> {
         self.check_revision(&update)?;
         let revision = update.revision;
@@ -123,7 +123,7 @@
 
     fn differences(&self, update: Update) -> Vec<Difference> {
         let reset = update.reset;
-        // Where an update names a server twice, the last entry counts.
+        // If an update names a server twice, the last entry wins.
         let named: BTreeMap<String, Instance> =
             update.instances.into_iter().map(|instance| (instance.instance_id.clone(), instance)).collect();
         let mut differences = Vec::new();
@@ -165,9 +165,9 @@
             applied.services.extend(difference.services().map(str::to_owned));
         }
         if held == Some(revision) {
-            // Subscribers that hold this revision already have what was wrong in it.
+            // The list of this revision was corrected: subscribers with this revision may hold the incorrect one.
             for service in &applied.services {
-                self.history.distrust(service, revision);
+                self.history.invalidate(service, revision);
             }
         }
         let services = &self.services;
@@ -206,7 +206,7 @@
     fn record(&mut self, revision: u64, difference: &Difference) {
         let after_service = difference.after.as_ref().map(|after| after.service.as_str());
         if let Some(before) = &difference.before {
-            // For the subscribers of the service that it left, the server is gone.
+            // For subscribers of the previous service, a server that moved to another service is removed.
             if after_service != Some(before.service.as_str()) {
                 self.history.record(&before.service, revision, Arc::new(before.terminated()));
             }
@@ -216,10 +216,10 @@
         }
     }
 
-    /// The update for a subscriber that holds a revision of its subscription; none before the first list.
+    /// The update that brings a subscriber from the revision `after` to the current one; none before the first list.
     ///
-    /// Without a revision, and where the history does not reach back to it, this is the whole list. The update
-    /// carries no digest; the caller adds one where it wants the subscriber to compare.
+    /// It is the whole list if there is no `after` or the history does not reach back to it. The update has no digest;
+    /// the caller adds one if the subscriber should verify its list.
     pub fn since(&self, subscription: &Subscription, after: Option<u64>) -> Option<Update> {
         let revision = self.revision?;
         let (reset, instances) = match after.filter(|after| self.reaches_back(subscription, *after)) {
@@ -229,7 +229,7 @@
         Some(Update { revision, reset, instances, ..Update::default() })
     }
 
-    /// A message without changes that lets a subscriber compare its digest; none before the first list.
+    /// A message without changes by which a subscriber verifies its digest; none before the first list.
     pub fn digest_message(&self, subscription: &Subscription) -> Option<Update> {
         let digest = Some(self.digest(subscription));
         Some(Update { revision: self.revision?, digest, ..Update::default() })
@@ -253,11 +253,13 @@
         }
         let current = |id: &str| self.by_id.get(id).filter(|held| subscription.includes(&held.service));
         last.into_iter()
-            .map(|(id, noted)| current(id).map_or_else(|| noted.terminated(), |held| Instance::clone(held)))
+            .map(|(id, recorded)| {
+                current(id).map_or_else(|| recorded.terminated(), |held| Instance::clone(held))
+            })
             .collect()
     }
 
-    /// The services of a subscription in which something may have changed.
+    /// The services of a subscription that may have changes in the history.
     fn known_services<'a>(&'a self, subscription: &'a Subscription) -> Vec<&'a str> {
         match subscription {
             Subscription::All => self.history.service_names().collect(),
--- a/crates/catalog/src/difference.rs
+++ b/crates/catalog/src/difference.rs
@@ -1,4 +1,4 @@
-//! What an update changes about one server.
+//! The change that an update makes to one server.
 
 use crate::{Digest, Instance};
 use std::sync::Arc;
@@ -7,9 +7,9 @@
 pub(crate) struct Difference {
     pub before: Option<Arc<Instance>>,
     pub after: Option<Arc<Instance>>,
-    /// The digest of the server before.
+    /// The digest of `before`, to subtract from the list's digest.
     pub removed: Digest,
-    /// The digest of the server after.
+    /// The digest of `after`, to add to the list's digest.
     pub added: Digest,
 }
 
@@ -19,7 +19,7 @@
         Difference { before, after, removed, added }
     }
 
-    /// The services whose subscribers it concerns.
+    /// The services whose subscribers must be notified; two if the server moved between services.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         [&self.before, &self.after].into_iter().flatten().map(|instance| instance.service.as_str())
     }
--- a/crates/catalog/src/digest.rs
+++ b/crates/catalog/src/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of a set of servers that does not depend on their order.
+//! An order-independent digest of a set of servers.
 
 use crate::Instance;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -7,18 +7,18 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The digits of a digest as text.
+/// The number of hexadecimal digits in the text form of a digest.
 const HEX_DIGITS: usize = 16;
 
-/// The sum of the hashes of all servers of a scope that are not terminated; zero where there are none.
+/// The wrapping sum of the hashes of all servers in a set, without terminated ones; zero for an empty set.
 ///
-/// Servers are added and removed in constant time. The hash (XXH3, 64 bits) is the same in every process and
-/// version; the fields that it covers must stay as they are, or replicas of two versions would never agree.
+/// Adding or removing a server takes constant time. The hash (64-bit XXH3) must be the same in every process and
+/// version: if the hashed fields changed, replicas of different versions would never agree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Digest(u64);
 
 impl Digest {
-    /// The digest of these servers.
+    /// Computes the digest of these servers.
     pub fn of<'a>(instances: impl IntoIterator<Item = &'a Instance>) -> Self {
         let mut digest = Digest::default();
         for instance in instances {
@@ -27,22 +27,22 @@
         digest
     }
 
-    /// Takes a server in; a terminated one counts for nothing.
+    /// Adds a server. A terminated server does not change the digest.
     pub fn add(&mut self, instance: &Instance) {
         self.0 = self.0.wrapping_add(hash(instance));
     }
 
-    /// Takes out a server that was taken in before.
+    /// Removes a server that was added before.
     pub fn remove(&mut self, instance: &Instance) {
         self.0 = self.0.wrapping_sub(hash(instance));
     }
 
-    /// Takes in all servers of another scope, which shares none with this one.
+    /// Adds all servers of another set, which must be disjoint from this one.
     pub fn merge(&mut self, other: Digest) {
         self.0 = self.0.wrapping_add(other.0);
     }
 
-    /// Takes out all servers of a scope that was merged before.
+    /// Removes all servers of a set that was merged before.
     pub fn unmerge(&mut self, other: Digest) {
         self.0 = self.0.wrapping_sub(other.0);
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The text is not 16 hexadecimal digits.
+/// The text of a digest is not exactly 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseDigestError;
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// The hash of one server, zero where it is terminated.
+/// The hash of one server; zero for a terminated server.
 fn hash(instance: &Instance) -> u64 {
     if instance.is_terminated() {
         return 0;
@@ -109,13 +109,13 @@
     hasher.digest()
 }
 
-/// The length comes first, so that two fields cannot be read as two others.
+/// Hashes the length first, so that moving text from one field to the next changes the hash.
 fn hash_text(hasher: &mut Xxh3, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
 }
 
-/// Numbers that JSON cannot express are absent behind a message, so they are absent here.
+/// Hashes a non-finite number as absent: JSON cannot represent it, so the receiver of a message does not have it.
 fn hash_number(hasher: &mut Xxh3, number: Option<f64>) {
     match number.filter(|number| number.is_finite()) {
         Some(number) => {
--- a/crates/catalog/src/history.rs
+++ b/crates/catalog/src/history.rs
@@ -1,32 +1,32 @@
-//! The changes of the last revisions, by service and bounded in number.
+//! A bounded history of recent changes, by service.
 
 use crate::Instance;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// How many changes a log remembers by default: more than those of a day at 27,000 a day.
+/// The number of changes that a log remembers by default; more than a day's changes at 27,000 a day.
 pub const HISTORY_CHANGES: usize = 32_768;
 
-/// How many jumps over revisions are remembered.
-const HISTORY_JUMPS: usize = 4_096;
+/// The number of remembered steps that skipped revisions.
+const MAX_JUMPS: usize = 4_096;
 
-/// What changed, by service. It answers for a service from its floor on.
+/// Recent changes by service, complete for a service from its floor on.
 #[derive(Clone, Debug)]
 pub(crate) struct History {
     limit: usize,
-    /// Before this revision it answers for no service.
+    /// The oldest revision after which the changes of any service are complete.
     floor: u64,
     services: BTreeMap<String, ServiceHistory>,
     /// The service of each change, oldest first.
     order: VecDeque<Arc<str>>,
-    /// The revisions that were passed over, oldest first.
+    /// The steps that skipped revisions, oldest first.
     jumps: VecDeque<Jump>,
 }
 
-/// The changes of one service.
+/// The recent changes of one service.
 #[derive(Clone, Debug, Default)]
 struct ServiceHistory {
-    /// Before this revision something is missing.
+    /// The oldest revision after which `changes` is complete.
     floor: u64,
     name: Arc<str>,
     changes: VecDeque<Entry>,
@@ -38,7 +38,7 @@
     instance: Arc<Instance>,
 }
 
-/// A step that passed over the revisions between two others.
+/// A step from one revision to another that skipped those in between.
 #[derive(Clone, Copy, Debug)]
 struct Jump {
     from: u64,
@@ -50,29 +50,29 @@
         History { limit, floor: 0, services: BTreeMap::new(), order: VecDeque::new(), jumps: VecDeque::new() }
     }
 
-    /// Forgets everything; from now on it answers from this revision on.
+    /// Drops all changes; the history starts at this revision.
     pub(crate) fn restart(&mut self, revision: u64) {
         *self = History { floor: revision, ..History::new(self.limit) };
     }
 
-    /// How many changes it holds.
+    /// The number of changes of all services.
     pub(crate) fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Notes a step from one revision to a later one.
+    /// Records a step from one revision to a later one.
     pub(crate) fn advance(&mut self, from: u64, to: u64) {
         if to - from <= 1 {
             return;
         }
         self.jumps.push_back(Jump { from, to });
-        if self.jumps.len() > HISTORY_JUMPS {
+        if self.jumps.len() > MAX_JUMPS {
             let oldest = self.jumps.pop_front().map_or(0, |jump| jump.to);
             self.floor = self.floor.max(oldest);
         }
     }
 
-    /// Notes the state of a server that a revision brought for a service.
+    /// Records the state that a server of a service has since a revision.
     pub(crate) fn record(&mut self, service: &str, revision: u64, instance: Arc<Instance>) {
         let history = self.service_mut(service);
         history.changes.push_back(Entry { revision, instance });
@@ -83,8 +83,9 @@
         }
     }
 
-    /// What is held of a service at this revision was wrong until now: it answers from the next one on.
-    pub(crate) fn distrust(&mut self, service: &str, revision: u64) {
+    /// Marks the list of a service as incorrect up to this revision: subscribers that hold this one or an earlier one
+    /// get a whole list.
+    pub(crate) fn invalidate(&mut self, service: &str, revision: u64) {
         let history = self.service_mut(service);
         history.floor = history.floor.max(revision + 1);
     }
@@ -94,7 +95,7 @@
             let history = ServiceHistory { name: service.into(), ..ServiceHistory::default() };
             self.services.insert(service.to_owned(), history);
         }
-        self.services.get_mut(service).expect("it was put there")
+        self.services.get_mut(service).expect("the service was just inserted")
     }
 
     fn forget_oldest(&mut self) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Forgets a service that has neither servers nor changes any more. Its floor lives on in that of all.
+    /// Drops services that have neither servers nor changes. The floor of all services is raised to theirs.
     pub(crate) fn forget_services(&mut self, has_servers: impl Fn(&str) -> bool) {
         let mut floor = self.floor;
         self.services.retain(|name, history| {
@@ -118,13 +119,14 @@
         self.floor = floor;
     }
 
-    /// Whether nothing is missing after a revision in what it holds of all services.
+    /// Whether the history of all services may be complete after a revision. The floors of the services are
+    /// checked by [`History::service_reaches_back`].
     pub(crate) fn reaches_back(&self, after: u64) -> bool {
-        let passed_over = self.jumps.iter().rev().any(|jump| jump.from < after && after < jump.to);
-        after >= self.floor && !passed_over
+        let skipped = self.jumps.iter().rev().any(|jump| jump.from < after && after < jump.to);
+        after >= self.floor && !skipped
     }
 
-    /// Whether nothing is missing after a revision in what it holds of a service.
+    /// Whether the changes of a service are complete after a revision.
     pub(crate) fn service_reaches_back(&self, service: &str, after: u64) -> bool {
         self.services.get(service).is_none_or(|history| after >= history.floor)
     }
@@ -137,7 +139,7 @@
         })
     }
 
-    /// The names of all services that it knows.
+    /// The names of all services in the history.
     pub(crate) fn service_names(&self) -> impl Iterator<Item = &str> {
         self.services.keys().map(String::as_str)
     }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,34 +1,34 @@
-//! The list of servers as revisions by service, with deltas and digests.
+//! The versioned list of servers by service, with deltas and digests.
 //!
 //! Discovery numbers the revisions of the list. A **relay** follows its upstream (discovery or
 //! another relay), keeps the list in a [`ChangeLog`] and serves it to its subscribers; a subscriber that only needs the
-//! servers of some services says so with a [`Subscription`] and keeps them in a [`Replica`]. All of them speak
-//! one protocol, whose messages are [`Update`]s. This crate has neither I/O nor a clock: it decides what a
-//! message says and what it changes, its callers move the messages.
+//! servers of some services says so with a [`Subscription`] and keeps them in a [`Replica`]. All of them use
+//! one protocol, whose messages are [`Update`]s. This crate has neither I/O nor a clock: it creates and applies
+//! messages, and its callers transfer them.
 //!
-//! * **Revisions.** Every relay of the tree uses the revision numbers of the root. A subscriber can therefore go on at another relay
-//!   with the revision that it holds.
-//! * **Deltas.** [`ChangeLog::since`] gives the last state of each server that changed after a revision. The
-//!   history is bounded; where it does not reach back, the answer is the whole list of the subscribed services.
-//! * **Whole lists from upstream** become deltas: the log compares them with what it holds, and only what differs
-//!   reaches the subscribers.
-//! * **Jumps.** A log that went from revision 50 to 90 in one step knows nothing of the revisions in between. A
-//!   server that changed at 60 and changed back at 80 may be missing from that step, so a subscriber that was at 70
-//!   elsewhere gets a whole list here.
-//! * **Digests.** A [`Digest`] sums up the servers of a scope. A receiver compares it with its own after each
-//!   message that carries one. Where they differ, something was lost: the message is refused, nothing is changed,
-//!   and the receiver asks for the whole list of its subscription (without a revision).
-//! * **Age.** Heartbeats come from the root and are forwarded, so that a subscriber knows how old its list may be. What
-//!   a relay sends otherwise, such as the first message of a watch, says how long ago its own list was confirmed
-//!   ([`Update::confirmed_ago_ms`]); a subscriber counts from there.
-//! * **Fan-out.** [`Subscribers`] is the index of the subscribers by service, so that a change costs only the
-//!   subscribers that follow this service.
+//! * **Revisions.** Every relay of the tree uses the revision numbers of the root. A subscriber can therefore resume
+//!   from its revision at another relay.
+//! * **Deltas.** [`ChangeLog::since`] returns the last state of each server that changed after a revision. The
+//!   history is bounded; if it does not reach back to the revision, the result is the whole list of the
+//!   subscription.
+//! * **Whole lists from upstream** become deltas: the log compares them with the current list and sends only the
+//!   differences to subscribers.
+//! * **Jumps.** A log that went from revision 50 to 90 in one step does not know the revisions in between. A
+//!   server that changed at 60 and changed back at 80 may be missing from that step, so a subscriber that arrives from
+//!   another relay with revision 70 gets a whole list.
+//! * **Digests.** A [`Digest`] summarizes the servers of a subscription. A receiver compares it with the digest of its
+//!   own list for each message that has one. If they differ, a change was lost: the receiver rejects the message, keeps
+//!   its list unchanged and requests the whole list of its subscription (without a revision).
+//! * **Age.** Heartbeats come from the root and are forwarded, so that a subscriber knows how old its list may be.
+//!   Other messages of a relay, such as the first message of a watch, contain the time since its own list was confirmed
+//!   ([`Update::confirmed_ago_ms`]), which the subscriber adds to the age of its list.
+//! * **Fan-out.** [`Subscribers`] indexes subscribers by service, so that the cost of a change depends only on
+//!   the subscribers of its service.
+//! * **Regions.** Each region has its own root, so that regions continue to work while they cannot reach one another.
+//!   [`RegionLists`] merges their lists into one.
 //!
-//! * **Regions.** Two regions that cannot reach one another each go on under a root of their own. [`RegionLists`]
-//!   makes one list of theirs.
-//!
-//! A list may only be refused in favour of the one at hand for so long: where the root has lost its history and
-//! counts anew, the caller lets go of the old count by `forget_revision`, and the next whole list is taken.
+//! A list with an older revision is rejected. A root that has lost its history and restarted its numbering would be
+//! rejected forever, so after some time the caller calls `forget_revision`, and the next whole list is accepted.
 
 mod apply_error;
 mod change_log;
--- a/crates/catalog/src/replica.rs
+++ b/crates/catalog/src/replica.rs
@@ -1,12 +1,12 @@
-//! The servers of a subscription as a subscriber holds them.
+//! A subscriber's copy of the servers of its subscription.
 
 use crate::{ApplyError, Digest, Instance, Update};
 use std::collections::BTreeMap;
 
-/// The servers that a subscriber follows, as the relays last sent them.
+/// The servers of a subscription, as last received from a relay.
 ///
-/// The messages of one watch come in order, and each watch begins after the revision at hand; whether one was
-/// lost all the same, the digests show it.
+/// The messages of one watch arrive in order, and each watch starts after the current revision. Digests detect
+/// messages that were lost nevertheless.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     revision: Option<u64>,
@@ -14,52 +14,52 @@
     digest: Digest,
 }
 
-/// One difference that an update made.
+/// The effect of an update on one server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The server is new, or something about it is.
+    /// The server was added or its description changed; this is its new description.
     Listed(Instance),
-    /// The server is gone; this is what was known of it.
+    /// The server was removed; this is its last description.
     Removed(Instance),
 }
 
 impl Replica {
-    /// A replica that holds nothing yet.
+    /// Creates an empty replica.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The revision at hand, to ask for what came after it.
+    /// The revision of the current list, from which a watch resumes; none before the first list.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// The servers that are not terminated, by identity.
+    /// The servers, without terminated ones, ordered by identity.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.instances.values()
     }
 
-    /// A server that is not terminated.
+    /// Finds a server by its identity; terminated servers are not held.
     pub fn instance(&self, id: &str) -> Option<&Instance> {
         self.instances.get(id)
     }
 
-    /// The digest of these servers.
+    /// The digest of the servers in this replica.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Lets the next whole list be taken whatever its revision, since the root counts anew.
+    /// Accepts the next whole list whatever its revision, for a root that has restarted its numbering.
     pub fn forget_revision(&mut self) {
         self.revision = None;
     }
 
-    /// Applies an update and returns what it changed.
+    /// Applies an update and returns the resulting changes.
     ///
-    /// The digest of an update of which some entries could not be read is not checked: it cannot match.
+    /// The digest is not checked if some entries of the update could not be read, because it cannot match then.
     ///
     /// # Errors
-    /// The update does not fit the servers at hand, which stay as they are.
+    /// The update does not fit the current list, which stays unchanged.
     pub fn apply(&mut self, update: &Update) -> Result<Vec<Change>, ApplyError> {
         self.check_revision(update)?;
         let changes = self.difference(update);
@@ -82,7 +82,7 @@
     }
 
     fn difference(&self, update: &Update) -> Vec<Change> {
-        // Where an update names a server twice, the last entry counts.
+        // If an update names a server twice, the last entry wins.
         let named: BTreeMap<&str, &Instance> =
             update.instances.iter().map(|instance| (instance.instance_id.as_str(), instance)).collect();
         let mut changes = Vec::new();
--- a/crates/catalog/src/subscribers.rs
+++ b/crates/catalog/src/subscribers.rs
@@ -1,28 +1,32 @@
-//! The subscribers of a relay by service.
+//! An index of a relay's subscribers by service.
 
 use crate::Subscription;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The index of a relay's subscribers by service: a change costs only the subscribers that follow its service.
+/// An index of a relay's subscribers by service, so that a change is sent only to the subscribers of its service.
 #[derive(Clone, Debug)]
 pub struct Subscribers<Id> {
     subscriptions: BTreeMap<Id, Subscription>,
-    of_all: BTreeSet<Id>,
+    all_services: BTreeSet<Id>,
     by_service: BTreeMap<String, BTreeSet<Id>>,
 }
 
 impl<Id: Ord + Clone> Subscribers<Id> {
-    /// An index without subscribers.
+    /// Creates an empty index.
     pub fn new() -> Self {
-        Subscribers { subscriptions: BTreeMap::new(), of_all: BTreeSet::new(), by_service: BTreeMap::new() }
+        Subscribers {
+            subscriptions: BTreeMap::new(),
+            all_services: BTreeSet::new(),
+            by_service: BTreeMap::new(),
+        }
     }
 
-    /// Adds a subscriber; its previous subscription is replaced.
+    /// Adds a subscriber, or replaces the subscription of an existing one.
     pub fn subscribe(&mut self, subscriber: Id, subscription: Subscription) {
         self.unsubscribe(&subscriber);
         match &subscription {
             Subscription::All => {
-                self.of_all.insert(subscriber.clone());
+                self.all_services.insert(subscriber.clone());
             }
             Subscription::Services(names) => {
                 for name in names {
@@ -33,10 +37,10 @@
         self.subscriptions.insert(subscriber, subscription);
     }
 
-    /// Removes a subscriber; returns its subscription.
+    /// Removes a subscriber and returns its subscription.
     pub fn unsubscribe(&mut self, subscriber: &Id) -> Option<Subscription> {
         let subscription = self.subscriptions.remove(subscriber)?;
-        self.of_all.remove(subscriber);
+        self.all_services.remove(subscriber);
         if let Subscription::Services(names) = &subscription {
             for name in names {
                 self.remove_from_service(name, subscriber);
@@ -58,14 +62,14 @@
         self.subscriptions.get(subscriber)
     }
 
-    /// The subscribers that follow a service, each once.
+    /// The subscribers of a service, each once.
     pub fn interested<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Id> {
-        self.of_all.iter().chain(self.by_service.get(service).into_iter().flatten())
+        self.all_services.iter().chain(self.by_service.get(service).into_iter().flatten())
     }
 
-    /// The subscribers that follow any of these services, each once.
+    /// The subscribers of any of these services, each once.
     pub fn interested_in_any<'a>(&self, services: impl IntoIterator<Item = &'a str>) -> BTreeSet<Id> {
-        let mut subscribers = self.of_all.clone();
+        let mut subscribers = self.all_services.clone();
         for service in services {
             subscribers.extend(self.by_service.get(service).into_iter().flatten().cloned());
         }
@@ -77,7 +81,7 @@
         self.subscriptions.iter()
     }
 
-    /// How many subscribers there are.
+    /// The number of subscribers.
     pub fn len(&self) -> usize {
         self.subscriptions.len()
     }
--- a/crates/catalog/src/wire.rs
+++ b/crates/catalog/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages between discovery, relays and their subscribers.
+//! The messages that discovery and relays send to their subscribers.
 
 use crate::Digest;
 use serde::de::Error;
@@ -7,26 +7,26 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// A whole list of servers, or what changed in it.
+/// A whole list of servers, or the changes since an earlier revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "RawUpdate")]
 pub struct Update {
-    /// The revision that the receiver holds after this message.
+    /// The revision of the receiver's list after this message.
     #[serde(rename = "generation")]
     pub revision: u64,
-    /// Whether the message is a whole list. Servers that it does not name are gone then.
+    /// Whether the message is a whole list, which removes every server that it does not name.
     pub reset: bool,
-    /// The servers; in a delta those that changed, with `Terminated` where they are gone.
+    /// The servers of a whole list, or those that a delta changes; `Terminated` marks removed ones.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub instances: Vec<Instance>,
-    /// The digest of all servers that the receiver holds after this message.
+    /// The digest of the receiver's list after this message.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub digest: Option<Digest>,
-    /// How many milliseconds ago the sender's own list was last confirmed, where that is not now: a relay that
-    /// has lost touch with its upstream does not make a list fresh by sending it once more.
+    /// Milliseconds since the sender's own list was last confirmed, zero if it is current. A relay that has lost its
+    /// upstream must not make a list look fresh by sending it again.
     #[serde(rename = "confirmedAgoMs", skip_serializing_if = "is_zero")]
     pub confirmed_ago_ms: u64,
-    /// Why entries of the message were left out: they could not be read. They do not hide the others.
+    /// The parse errors of entries that were skipped; the readable entries are still used.
     #[serde(skip)]
     pub unreadable: Vec<String>,
 }
@@ -36,57 +36,57 @@
     *number == 0
 }
 
-/// One server.
+/// A server as listed by discovery.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// The identity of the server.
+    /// The unique identity of the server.
     pub instance_id: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub host_port: SocketAddr,
-    /// The service that it belongs to; empty where discovery names none.
+    /// The service that it belongs to; empty if discovery names none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub service: String,
-    /// The zone that it runs in.
+    /// The zone that it runs in; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub zone: String,
-    /// The type of its machine.
+    /// The type of its machine; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub machine_type: String,
-    /// The cell of the zone.
+    /// The cell within its zone.
     #[serde(default)]
     pub cell: i64,
-    /// Whether it may get work.
+    /// Whether it accepts new requests.
     pub lifecycle: Lifecycle,
-    /// Its share of the work relative to others.
+    /// Its share of the requests relative to other servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
-    /// When it started, in milliseconds since 1970.
+    /// Its start time in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at_ms: Option<f64>,
 }
 
 impl Instance {
-    /// The same server as terminated.
+    /// A copy of this server in the state `Terminated`.
     pub fn terminated(&self) -> Instance {
         Instance { lifecycle: Lifecycle::Terminated, ..self.clone() }
     }
 
-    /// Whether the server is gone.
+    /// Whether the server no longer exists.
     pub fn is_terminated(&self) -> bool {
         self.lifecycle == Lifecycle::Terminated
     }
 }
 
-/// The state of a server.
+/// The lifecycle state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", from = "String")]
 pub enum Lifecycle {
-    /// It gets work.
+    /// It accepts requests.
     InService,
-    /// It finishes what it has and gets nothing new.
+    /// It finishes its requests in flight and must get no new ones.
     Terminating,
-    /// It is gone.
+    /// It no longer exists.
     Terminated,
 }
 
@@ -95,7 +95,7 @@
         match text.as_str() {
             "in_service" => Lifecycle::InService,
             "terminating" => Lifecycle::Terminating,
-            // A state that is not known here is no state to send work to.
+            // No requests are sent to a server whose state this version does not know.
             _ => Lifecycle::Terminated,
         }
     }
@@ -109,7 +109,7 @@
     }
 }
 
-/// An update as it is read from text.
+/// The JSON form of an [`Update`], in which unreadable entries are skipped.
 #[derive(Deserialize)]
 struct RawUpdate {
     #[serde(rename = "generation")]
@@ -137,7 +137,8 @@
     }
 }
 
-/// The entries that can be read, and why the others cannot. Asked for again, those would be the same.
+/// The readable entries, and the parse errors of the others. Requesting the message again would not help: its
+/// unreadable entries would be the same.
 #[derive(Default)]
 struct ReadableInstances {
     instances: Vec<Instance>,
@@ -154,7 +155,7 @@
                 Err(error) => readable.unreadable.push(error.to_string()),
             }
         }
-        // Where none can be read, the message carries no information: least of all that every server is gone.
+        // A message without any readable entry must not be taken for an empty list, which would remove every server.
         if readable.instances.is_empty() && !readable.unreadable.is_empty() {
             return Err(D::Error::custom(format!("no entry can be read: {}", readable.unreadable[0])));
         }
