--- a/crates/discovery/examples/return_time.rs
+++ b/crates/discovery/examples/return_time.rs
@@ -1,4 +1,4 @@
-//! Prints, as a Markdown table, how long a fleet of limiters needs to hear from discovery again after a fault.
+//! Prints a Markdown table of the time that a fleet of limiters needs to reach discovery again after a fault.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -18,7 +18,7 @@
     println!("|--:|--:|:--|--:|--:|--:|--:|--:|--:|");
     for scenario in SCENARIOS {
         for limiters in LIMITERS {
-            // A slow service has a cost of its own.
+            // The slow service has a fixed cost per call, so `all_calls` has no effect.
             let all_calls = if scenario == Scenario::OutageThenSlow { &[0][..] } else { &ALL_CALLS_SECONDS };
             for seconds in all_calls {
                 print_row(limiters, Duration::from_secs(*seconds), scenario);
@@ -26,18 +26,18 @@
         }
     }
     println!();
-    println!("Times are the median over {SEEDS} seeds, with the range, from the service's return. A play ends 120 s after");
-    println!("it: `never` means not until then, and the other figures of such a row depend on this end. Where one call");
-    println!("costs more than 0.5 s, a call that waits for 2 s is given up before its answer; where it costs more than");
+    println!("Times are the median over {SEEDS} seeds, with the range, from the service's return. A simulation ends 120 s");
+    println!("after it: `never` means not until then, and the other figures of such a row depend on this end. Where one call");
+    println!("costs more than 0.5 s, a call that waits for 2 s times out before its response; where it costs more than");
     println!("2.5 s (1 limiter, 4 s and 8 s), none can succeed.");
 }
 
 fn print_row(limiters: usize, all_calls: Duration, scenario: Scenario) {
-    let play = |seed| {
+    let simulate = |seed| {
         let fleet = Fleet { limiters, all_calls, scenario, seed };
-        (fleet.min_work(), fleet.play(|seed| Follower::new(Delivery::OnRequest, seed)))
+        (fleet.min_work(), fleet.simulate(|seed| Follower::new(Delivery::OnRequest, seed)))
     };
-    let (works, outcomes): (Vec<Duration>, Vec<Outcome>) = (0..SEEDS).map(play).unzip();
+    let (works, outcomes): (Vec<Duration>, Vec<Outcome>) = (0..SEEDS).map(simulate).unzip();
     let total = (limiters as u64 * SEEDS) as f64;
     let calls: usize = outcomes.iter().map(Outcome::total_calls).sum();
     let refused: usize = outcomes.iter().map(|outcome| outcome.refused).sum();
@@ -54,7 +54,8 @@
     );
 }
 
-/// Median and range over the seeds of the time to the limiter of a given rank; a limiter never notified ranks last.
+/// The median and range, over the seeds, of the notification time of the limiter with a given rank. A limiter that is
+/// never notified ranks last.
 fn over_seeds(outcomes: &[Outcome], rank: impl Fn(usize) -> usize) -> String {
     let mut times: Vec<f64> = outcomes.iter().map(|outcome| time_of_rank(outcome, &rank)).collect();
     times.sort_by(f64::total_cmp);
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,15 +1,19 @@
-//! When to call discovery, and for how long its list of servers may be used.
+//! Decides when to call discovery, and how long its list of servers may be used.
 //!
-//! Pure: events and the time go in, the times of the next call and of the list's expiry come out. The caller owns
-//! the sockets, carries the calls out and reports what became of them. Times are durations since any fixed moment.
+//! The crate has no I/O and no clock: its input is events with their times, its output the times of the next call and
+//! of the list's expiry. The caller owns the sockets, makes the calls and reports their results. Times are durations
+//! since an arbitrary fixed moment.
 //!
-//! There are two ways of delivery. Where lists are [pushed](Delivery::Pushed), an agent on the limiter's own
-//! machine answers at once and at no cost: calls are frequent and overlap. Where they come
-//! [on request](Delivery::OnRequest), one service of fixed capacity answers all limiters: a call waits its turn, is
-//! refused where the queue is long, and costs the service work even when its caller has gone away. So there is one
-//! call at a time, with exponential backoff, jitter and a retry budget, and a list that cannot be confirmed expires.
-//! [Relays](Delivery::Relayed) are called as sparingly, each time another one; a list from them expires later, which
-//! marks it as stale.
+//! There are three ways of delivery:
+//!
+//! * [Pushed](Delivery::Pushed): an agent on the limiter's own machine answers at once and at no cost, so calls are
+//!   frequent and may overlap.
+//! * [On request](Delivery::OnRequest): one service of fixed capacity answers all limiters. Calls wait in a queue, are
+//!   refused if it is too long, and cost the service work even after the caller has given up. The limiter therefore
+//!   makes one call at a time (a second one only shortly before its list expires), with exponential backoff, jitter and
+//!   a call budget. A list that cannot be confirmed expires.
+//! * [Relayed](Delivery::Relayed): relays are called under the same limits, each time a different one. A list from
+//!   relays expires later than one on request, and is then stale.
 
 mod backoff;
 mod freshness;
@@ -27,46 +31,46 @@
 /// How the list of servers reaches a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// By an agent on its own machine.
+    /// By an agent on the limiter's own machine.
     Pushed,
-    /// From a shared service, on request.
+    /// From a service shared by all limiters, on request.
     OnRequest,
-    /// Through relays, each of which can stand in for the others.
+    /// Through interchangeable relays.
     Relayed,
 }
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The service refused it, and may have said after what time to retry.
+    /// The service refused the call, possibly with a time to wait.
     Refused {
-        /// Not before this time from now.
+        /// The time to wait before the next call, from `Retry-After`.
         retry_after: Option<Duration>,
     },
-    /// No connection, no answer in time, or one that broke or cannot be read.
+    /// There was no connection or no response in time, or the response broke off or cannot be read.
     Failed,
 }
 
-/// What happened.
+/// An event that the caller reports to a [`Follower`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A call was begun.
+    /// A call was started.
     CallStarted(CallId),
-    /// The head of a call's good answer has come.
+    /// The head of a successful response has arrived.
     CallAnswered(CallId),
-    /// A call ended without a first message.
+    /// A call ended before its first message.
     CallFailed(CallId, CallFailure),
-    /// The first message of a call has come: its watch is followed now, and all other calls were dropped.
+    /// The first message of a call has arrived. Its watch is now followed, and all other calls were dropped.
     WatchOpened,
-    /// The followed watch gave a heartbeat: a complete message, or an empty line.
+    /// The followed watch sent a heartbeat, which is a complete message or an empty line.
     Heartbeat,
-    /// The followed watch ended or broke.
+    /// The followed watch ended or failed.
     WatchClosed,
-    /// Discovery has another address now; the watch and all calls were dropped.
+    /// Discovery moved to another address. The watch and all calls were dropped.
     Moved,
 }
 
-/// Decides when to call discovery and until when its list may be used.
+/// Decides when to call discovery and how long its list may be used.
 #[derive(Debug)]
 pub struct Follower {
     schedule: Schedule,
@@ -74,7 +78,7 @@
 }
 
 impl Follower {
-    /// A follower that has no list yet. The seed spreads the retries of several limiters.
+    /// Creates a follower without a list. Different seeds spread the retries of several limiters.
     pub fn new(delivery: Delivery, seed: u64) -> Self {
         Follower { schedule: Schedule::new(delivery, seed), freshness: Freshness::new(delivery) }
     }
@@ -84,28 +88,31 @@
         self.handle_aged(now, event, Duration::ZERO);
     }
 
-    /// The same where a heartbeat says that the sender's own list was last confirmed so long ago.
+    /// Records an event from a sender whose own list was last confirmed `confirmed_ago` before `now`. That time counts
+    /// toward the age of the list.
     pub fn handle_aged(&mut self, now: Duration, event: Event, confirmed_ago: Duration) {
         self.freshness.handle(now, event, confirmed_ago);
         self.schedule.handle(now, event);
     }
 
-    /// When the next call is due, if nothing else happens before; none while only an event can bring it about.
+    /// When the next call is due unless an event happens before; none if no call is due without another event.
     pub fn next_call(&self) -> Option<Duration> {
         self.schedule.next_call(self.freshness.expires_at())
     }
 
-    /// A watch without a heartbeat for this long is broken; so is one that does not begin with one.
+    /// How long a watch may go without a heartbeat before it counts as failed; this includes the wait for its first
+    /// one.
     pub fn heartbeat_timeout(&self) -> Duration {
         self.schedule.heartbeat_timeout()
     }
 
-    /// How long a call may take until the head of its answer.
+    /// How long to wait for the head of a call's response.
     pub fn call_timeout(&self) -> Duration {
         self.schedule.call_timeout()
     }
 
-    /// When the list at hand expires unless it is confirmed before. Nothing new may be sent by it from then on.
+    /// When the current list expires unless a heartbeat confirms it before; none if there is no list or lists never
+    /// expire. A list on request may not be used for new requests from then on; a list from relays is stale.
     pub fn expires_at(&self) -> Option<Duration> {
         self.freshness.expires_at()
     }
--- a/crates/discovery/tests/rule.rs
+++ b/crates/discovery/tests/rule.rs
@@ -1,7 +1,7 @@
-//! The follower against the rule it serves, over random histories.
+//! Compares the follower with a simple reference model, over random histories.
 //!
-//! A history says what becomes of each call and watch, and when discovery moves. The follower is driven as its
-//! caller drives it; what it allowed is then compared with a plain statement of the rule.
+//! A history defines the outcome of each call and watch, and when discovery moves. The test drives the follower through
+//! it as a caller would, and compares its decisions with the model.
 
 #[path = "rule/history.rs"]
 mod history;
@@ -16,32 +16,32 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A change counts as notified so long after the service had it.
+/// A limiter counts as notified of a change this long after the service had it.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// What another service has at a move to it counts as notified so long after the move.
+/// After a move to another service, the limiter counts as notified of that service's list after this time.
 const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A list from relays is stale so long after its last heartbeat.
+/// A list from relays is stale this long after its last heartbeat.
 const STALE_AFTER: Duration = Duration::from_secs(8);
-/// A change is made so long after a tick, so that it never falls together with a heartbeat.
+/// Changes are made this long after a tick, so that none coincides with a heartbeat.
 const AFTER_TICK: Duration = Duration::from_millis(1);
 
-/// A second call may go out so long before the list expires, and so long after the first one.
+/// A second call may start this long before the list expires, and not until this long after the first one.
 const OVERLAP_BEFORE_EXPIRY: Duration = Duration::from_millis(2_500);
 const OVERLAP_AFTER_START: Duration = Duration::from_secs(1);
 
-/// Pushed: the interval of calls, the same while one has the head of its answer, and the most calls at once.
+/// Pushed: the interval between calls, the interval while one has its response head, and the maximum of pending calls.
 const PUSHED_INTERVAL: Duration = Duration::from_millis(200);
 const PUSHED_INTERVAL_ANSWERED: Duration = Duration::from_millis(500);
-const PUSHED_CALLS: usize = 10;
+const MAX_PUSHED_CALLS: usize = 10;
 
-/// So many limiters spread their first retries over at least this time.
+/// This number of limiters must spread their first retries over at least `MIN_SPREAD`.
 const SPREAD_LIMITERS: u64 = 100;
 const MIN_SPREAD: Duration = Duration::from_millis(100);
 
-/// Rounding of the follower's arithmetic.
+/// Tolerance for rounding errors of the follower.
 const ROUNDING: Duration = Duration::from_micros(1);
 
-/// Several hundred cases, the same in each run.
+/// Runs 400 cases from a fixed seed.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 400,
@@ -54,10 +54,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A list may be used exactly until a change that it may lack counts as notified.
+    /// A list may be used exactly until the limiter counts as notified of a change that the list may lack.
     #[test]
     fn a_list_is_used_until_a_change_counts_as_notified(history in any_history(Delivery::OnRequest)) {
-        let entries = history.play();
+        let entries = history.replay();
         for at in instants() {
             let past = past(&entries, at);
             let uses = past.last().and_then(|entry| entry.expires_at).is_some_and(|expires_at| at < expires_at);
@@ -65,12 +65,13 @@
         }
     }
 
-    /// One call at a time; a second one only shortly before the list expires, when the first has been out for long.
+    /// There is one pending call at a time; a second one starts only shortly before the list expires, and only when the
+    /// first has been pending for a while.
     #[test]
     fn a_second_call_goes_out_only_before_expiry(history in any_history(Delivery::OnRequest)) {
         for_each_call(&history, |situation, at| {
-            let [first] = situation.calls_out.as_slice() else {
-                assert!(situation.calls_out.is_empty(), "{at:?}: a third call");
+            let [first] = situation.pending_calls.as_slice() else {
+                assert!(situation.pending_calls.is_empty(), "{at:?}: a third call");
                 return;
             };
             let expires_at = expiry(situation).expect("a second call without a list");
@@ -80,7 +81,7 @@
         });
     }
 
-    /// No call goes out before the time that the service advised, or within the least backoff.
+    /// No call starts before the end of `Retry-After` or of the shortest backoff.
     #[test]
     fn retry_after_and_backoff_are_obeyed(history in any_history(Delivery::OnRequest)) {
         for_each_call(&history, |situation, at| {
@@ -89,7 +90,7 @@
         });
     }
 
-    /// No window has more calls than the budget, whatever moves it has.
+    /// The calls in any time window stay within the budget, also across moves.
     #[test]
     fn the_budget_holds_in_any_window(history in any_history(Delivery::OnRequest)) {
         for_each_call(&history, |situation, at| {
@@ -98,30 +99,30 @@
         });
     }
 
-    /// Nothing is called while a watch gives heartbeats.
+    /// No call starts while a watch sends heartbeats.
     #[test]
-    fn a_living_watch_is_left_alone(history in any_history(Delivery::OnRequest)) {
-        for_each_call(&history, |situation, at| assert!(at >= situation.watch_silent_at(), "{at:?}"));
+    fn no_call_starts_while_a_watch_has_heartbeats(history in any_history(Delivery::OnRequest)) {
+        for_each_call(&history, |situation, at| assert!(at >= situation.watch_times_out_at(), "{at:?}"));
     }
 
-    /// While no call is out, one is due in time: backoff starts anew after a heartbeat, is bounded, and only
-    /// advice, budget or a living watch may delay it further.
+    /// While no call is pending, one is due in time: the backoff is bounded and resets after a heartbeat, and only
+    /// `Retry-After`, the budget or a watch with heartbeats may delay the call further.
     #[test]
     fn a_call_is_due_in_time(history in any_history(Delivery::OnRequest)) {
         for_each_entry(&history, |situation, entry| {
-            if situation.calls_out.is_empty() {
+            if situation.pending_calls.is_empty() {
                 let latest = latest_call(situation, entry.at);
-                let due = entry.next_call.expect("no call is out and none is due");
+                let due = entry.next_call.expect("no call is pending and none is due");
                 assert!(due <= latest + ROUNDING, "due {due:?}, after {latest:?}: {situation:?}");
             }
         });
     }
 
-    /// A list about to expire does get its second call.
+    /// The second call is due in time before the list expires.
     #[test]
     fn a_second_call_is_due_in_time(history in any_history(Delivery::OnRequest)) {
         for_each_entry(&history, |situation, entry| {
-            let ([first], Some(expires_at)) = (situation.calls_out.as_slice(), expiry(situation)) else { return };
+            let ([first], Some(expires_at)) = (situation.pending_calls.as_slice(), expiry(situation)) else { return };
             let overlap = expires_at.saturating_sub(OVERLAP_BEFORE_EXPIRY);
             let latest = latest_call(situation, entry.at).max(overlap).max(first.started_at + OVERLAP_AFTER_START);
             if latest + ROUNDING < expires_at {
@@ -131,25 +132,25 @@
         });
     }
 
-    /// Pushed calls keep their interval and number.
+    /// Pushed calls respect their interval and the maximum of pending calls.
     #[test]
     fn pushed_calls_are_paced(history in any_history(Delivery::Pushed)) {
         for_each_call(&history, |situation, at| {
-            assert!(situation.calls_out.len() < PUSHED_CALLS, "{at:?}: {} calls out", situation.calls_out.len());
+            assert!(situation.pending_calls.len() < MAX_PUSHED_CALLS, "{at:?}: {} pending calls", situation.pending_calls.len());
             assert!(at >= pushed_call_due(situation), "{at:?}: {situation:?}");
         });
     }
 
-    /// Pushed calls are due as soon as their interval and number allow it.
+    /// Pushed calls are due as soon as their interval and the maximum of pending calls allow.
     #[test]
     fn pushed_calls_are_due_in_time(history in any_history(Delivery::Pushed)) {
         for_each_entry(&history, |situation, entry| {
-            let due = (situation.calls_out.len() < PUSHED_CALLS).then(|| pushed_call_due(situation));
+            let due = (situation.pending_calls.len() < MAX_PUSHED_CALLS).then(|| pushed_call_due(situation));
             assert_eq!(entry.next_call, due, "{:?}: {situation:?}", entry.at);
         });
     }
 
-    /// Calls to relays keep to the same budget.
+    /// Calls to relays stay within the same budget.
     #[test]
     fn the_budget_holds_with_relays(history in any_history(Delivery::Relayed)) {
         for_each_call(&history, |situation, at| {
@@ -158,11 +159,11 @@
         });
     }
 
-    /// A list from relays is stale as soon as a change may be missing for the stated time, and no sooner.
+    /// A list from relays becomes stale exactly when a change may have been missing for the specified time.
     #[test]
     fn a_list_from_relays_is_stale_in_time(history in any_history(Delivery::Relayed)) {
         let mut expires_at = None;
-        for entry in history.play() {
+        for entry in history.replay() {
             match entry.event {
                 Event::WatchOpened | Event::Heartbeat => expires_at = Some(entry.at + STALE_AFTER),
                 Event::Moved => expires_at = expires_at.map(|at| at.min(entry.at + NOTIFIED_AFTER_MOVE)),
@@ -179,16 +180,16 @@
     }
 }
 
-/// Limiters that fail in the same instant do not retry in the same instant.
+/// Limiters whose calls fail at the same time do not retry at the same time.
 #[test]
 fn retries_are_spread() {
     assert_retries_are_spread(CallFailure::Failed);
     assert_retries_are_spread(CallFailure::Refused { retry_after: None });
 }
 
-/// Limiters that are given the same advice do not retry in the same instant.
+/// Limiters that get the same `Retry-After` do not retry at the same time.
 #[test]
-fn retries_after_the_same_advice_are_spread() {
+fn retries_after_the_same_retry_after_are_spread() {
     assert_retries_are_spread(CallFailure::Refused { retry_after: Some(Duration::from_secs(3)) });
 }
 
@@ -206,7 +207,7 @@
     assert!(spread >= MIN_SPREAD, "{failure:?}: all retry within {spread:?}");
 }
 
-/// Instants between ticks, where no event of the service falls.
+/// Times halfway between ticks, at which the service has no events.
 fn instants() -> impl Iterator<Item = Duration> {
     (0..).map(|tick| TICK * tick + TICK / 2).take_while(|at| *at < END)
 }
@@ -215,9 +216,9 @@
     &entries[..entries.partition_point(|entry| entry.at <= at)]
 }
 
-/// Whether a list may be used: no change that could have been made without its knowledge counts as notified.
+/// Whether the list may be used: the limiter does not yet count as notified of any change that the list may lack.
 fn may_use(past: &[Entry], at: Duration) -> bool {
-    let Some(confirmed) = past.iter().rposition(Entry::is_sign_of_life) else { return false };
+    let Some(confirmed) = past.iter().rposition(Entry::confirms_list) else { return false };
     let confirmed_at = past[confirmed].at;
     let changes = (0..).map(|tick| TICK * tick + AFTER_TICK).take_while(|made_at| *made_at <= at);
     let notified =
@@ -228,42 +229,42 @@
     !notified && !notified_by_another
 }
 
-/// When the list expires, by the rule.
+/// When the list expires according to the model.
 fn expiry(situation: &Situation) -> Option<Duration> {
-    let confirmed_at = situation.last_sign_of_life?;
+    let confirmed_at = situation.last_confirmed_at?;
     let moves = situation.moves_since.iter().map(|at| *at + NOTIFIED_AFTER_MOVE);
     moves.chain([confirmed_at + NOTIFIED_AFTER]).min()
 }
 
-/// When a call must be due at the latest, as far as the watch, backoff, advice and budget are concerned.
+/// The latest time at which a call must be due, given the watch, backoff, `Retry-After` and budget.
 fn latest_call(situation: &Situation, now: Duration) -> Duration {
-    let limits = [situation.watch_silent_at(), situation.latest_retry(), situation.earliest_in_budget()];
+    let limits = [situation.watch_times_out_at(), situation.latest_retry(), situation.earliest_in_budget()];
     limits.into_iter().fold(now, Duration::max)
 }
 
 fn pushed_call_due(situation: &Situation) -> Duration {
-    let answered = situation.calls_out.iter().any(|call| call.answered);
+    let answered = situation.pending_calls.iter().any(|call| call.answered);
     let interval = if answered { PUSHED_INTERVAL_ANSWERED } else { PUSHED_INTERVAL };
-    let paced = situation.last_started.map_or(Duration::ZERO, |at| at + interval);
-    paced.max(situation.watch_silent_at())
+    let interval_ends_at = situation.last_started.map_or(Duration::ZERO, |at| at + interval);
+    interval_ends_at.max(situation.watch_times_out_at())
 }
 
-/// Checks each call with the situation just before it began.
+/// Calls `check` for each started call, with the situation just before it.
 fn for_each_call(history: &History, mut check: impl FnMut(&Situation, Duration)) {
     let mut situation = Situation::default();
-    for entry in history.play() {
+    for entry in history.replay() {
         if let Event::CallStarted(_) = entry.event {
             check(&situation, entry.at);
         }
-        situation.note(entry.at, entry.event);
+        situation.record(entry.at, entry.event);
     }
 }
 
-/// Checks the follower's decisions after each event with the situation then.
+/// Calls `check` for the follower's decisions after each event, with the situation after it.
 fn for_each_entry(history: &History, mut check: impl FnMut(&Situation, &Entry)) {
     let mut situation = Situation::default();
-    for entry in history.play() {
-        situation.note(entry.at, entry.event);
+    for entry in history.replay() {
+        situation.record(entry.at, entry.event);
         check(&situation, &entry);
     }
 }
--- a/crates/discovery/tests/rule/history.rs
+++ b/crates/discovery/tests/rule/history.rs
@@ -1,4 +1,4 @@
-//! Random histories of calls, watches and moves, and the follower driven through them.
+//! Random histories of calls, watches and moves, and their replay through a follower.
 
 use liftrouter_discovery::{CallFailure, CallId, Delivery, Event, Follower};
 use proptest::collection::vec;
@@ -6,14 +6,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The service's messages and the moves come at whole ticks.
+/// Messages of the service and moves happen at multiples of this time.
 pub const TICK: Duration = Duration::from_millis(100);
-/// A history ends then.
+/// The end of a history.
 pub const END: Duration = Duration::from_secs(60);
-/// A follower that calls without end is stopped here; its calls are then checked as any.
-const MOST_ENTRIES: usize = 3_000;
+/// Limits the entries of a history, in case a follower calls without pause; the entries up to then are still checked.
+const MAX_ENTRIES: usize = 3_000;
 
-/// What becomes of a call. Times are ticks from its start.
+/// The outcome of a call. Times are ticks from its start.
 #[derive(Clone, Copy, Debug)]
 enum CallOutcome {
     Opens { after: u32 },
@@ -23,25 +23,25 @@
     FailsAfterHead { head_after: u32, then_after: u32 },
 }
 
-/// What becomes of a watch: heartbeats with their distances in ticks, then an end or silence.
+/// The course of a watch: heartbeats with the ticks between them, then its end, or silence.
 #[derive(Clone, Debug)]
 struct WatchOutcome {
     heartbeats: Vec<u32>,
     closes_after: Option<u32>,
 }
 
-/// What happens to one follower. Fates are used in turn, again and again.
+/// All outcomes for one follower. Calls and watches use them in turn, starting over at the end.
 #[derive(Clone, Debug)]
 pub struct History {
     delivery: Delivery,
     seed: u64,
     calls: Vec<CallOutcome>,
     watches: Vec<WatchOutcome>,
-    /// Ticks.
+    /// The ticks at which discovery moves.
     moves: Vec<u32>,
 }
 
-/// An event, and what the follower decided then.
+/// An event and the follower's decisions after it.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
     pub at: Duration,
@@ -51,20 +51,20 @@
 }
 
 impl Entry {
-    /// Whether the event confirmed the list.
-    pub fn is_sign_of_life(&self) -> bool {
+    /// Whether the event confirms the list.
+    pub fn confirms_list(&self) -> bool {
         matches!(self.event, Event::WatchOpened | Event::Heartbeat)
     }
 }
 
-/// Any history with one way of delivery.
+/// Generates histories for a way of delivery.
 pub fn any_history(delivery: Delivery) -> impl Strategy<Value = History> {
     let mixed = (vec(any_call(delivery), 1..30), vec(any_watch(), 1..8));
-    let flapping = (vec(any_quick_call(), 1..6), vec(any_brief_watch(), 1..4));
-    let piling = (vec(any_pending_call(), 1..6), vec(any_watch(), 1..8));
+    let short_lived = (vec(any_quick_call(), 1..6), vec(any_brief_watch(), 1..4));
+    let long_pending = (vec(any_pending_call(), 1..6), vec(any_watch(), 1..8));
     let outcomes = match delivery {
-        Delivery::OnRequest | Delivery::Relayed => prop_oneof![3 => mixed, 1 => flapping].boxed(),
-        Delivery::Pushed => prop_oneof![3 => mixed, 1 => flapping, 1 => piling].boxed(),
+        Delivery::OnRequest | Delivery::Relayed => prop_oneof![3 => mixed, 1 => short_lived].boxed(),
+        Delivery::Pushed => prop_oneof![3 => mixed, 1 => short_lived, 1 => long_pending].boxed(),
     };
     let moves = vec(0..600_u32, 0..4);
     (any::<u64>(), outcomes, moves).prop_map(move |(seed, (calls, watches), mut moves)| {
@@ -73,7 +73,7 @@
     })
 }
 
-/// Calls and watches that end soon, so that the budget is used up.
+/// Calls that end soon, so that the budget is used up.
 fn any_quick_call() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
         4 => (0..=1_u32).prop_map(|after| CallOutcome::Opens { after }),
@@ -81,7 +81,7 @@
     ]
 }
 
-/// Calls that pend for long after the head of their answer, so that they pile up.
+/// Calls that stay pending long after their response head, so that they accumulate.
 fn any_pending_call() -> impl Strategy<Value = CallOutcome> {
     (0..=2_u32, 50..=90_u32)
         .prop_map(|(head_after, then_after)| CallOutcome::FailsAfterHead { head_after, then_after })
@@ -120,22 +120,22 @@
 }
 
 impl History {
-    /// Drives a follower through it.
-    pub fn play(&self) -> Vec<Entry> {
-        let mut player = Player::new(self);
-        while player.entries.len() < MOST_ENTRIES && player.step() {}
-        assert!(!player.entries.is_empty(), "the follower never called");
-        player.entries
+    /// Drives a follower through this history.
+    pub fn replay(&self) -> Vec<Entry> {
+        let mut replay = Replay::new(self);
+        while replay.entries.len() < MAX_ENTRIES && replay.step() {}
+        assert!(!replay.entries.is_empty(), "the follower never called");
+        replay.entries
     }
 }
 
-/// An event that will happen unless something else comes before.
-type Coming = (Duration, Event);
+/// A future event and its time, unless another event cancels it.
+type ScheduledEvent = (Duration, Event);
 
-/// What will become of a call that is out.
-type CallOut = VecDeque<Coming>;
+/// The future events of a pending call.
+type PendingCall = VecDeque<ScheduledEvent>;
 
-/// Where the next event comes from. At one time, an earlier variant is taken first.
+/// The source of the next event. For events at the same time, the earlier variant comes first.
 #[derive(Clone, Copy)]
 enum Source {
     Move,
@@ -144,25 +144,25 @@
     NextCall,
 }
 
-struct Player<'a> {
+struct Replay<'a> {
     history: &'a History,
     follower: Follower,
     now: Duration,
-    calls_out: Vec<CallOut>,
+    pending_calls: Vec<PendingCall>,
     calls_started: usize,
-    watch: VecDeque<Coming>,
+    watch: VecDeque<ScheduledEvent>,
     watches_opened: usize,
     moves: VecDeque<Duration>,
     entries: Vec<Entry>,
 }
 
-impl<'a> Player<'a> {
+impl<'a> Replay<'a> {
     fn new(history: &'a History) -> Self {
-        Player {
+        Replay {
             history,
             follower: Follower::new(history.delivery, history.seed),
             now: Duration::ZERO,
-            calls_out: Vec::new(),
+            pending_calls: Vec::new(),
             calls_started: 0,
             watch: VecDeque::new(),
             watches_opened: 0,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Whether anything more happened before the end.
+    /// Processes the next event; returns whether there was one before the end.
     fn step(&mut self) -> bool {
         let Some((at, source)) = self.next_source().filter(|(at, _)| *at < END) else { return false };
         self.now = at;
@@ -187,7 +187,7 @@
     fn next_source(&self) -> Option<(Duration, Source)> {
         let moves = self.moves.front().map(|at| (*at, Source::Move));
         let watch = self.watch.front().map(|(at, _)| (*at, Source::Watch));
-        let calls = self.calls_out.iter().enumerate();
+        let calls = self.pending_calls.iter().enumerate();
         let calls = calls.filter_map(|(n, call)| Some((call.front()?.0, Source::Call(n))));
         let next_call = self.follower.next_call().map(|at| (at.max(self.now), Source::NextCall));
         moves.into_iter().chain(watch).chain(calls).chain(next_call).min_by_key(|(at, _)| *at)
@@ -195,7 +195,7 @@
 
     fn discovery_moves(&mut self) {
         self.moves.pop_front();
-        self.calls_out.clear();
+        self.pending_calls.clear();
         self.watch.clear();
         self.notify(Event::Moved);
     }
@@ -203,15 +203,15 @@
     fn watch_continues(&mut self) {
         let Some((_, event)) = self.watch.pop_front() else { return };
         if event == Event::Heartbeat {
-            self.calls_out.clear();
+            self.pending_calls.clear();
         }
         self.notify(event);
     }
 
     fn call_continues(&mut self, position: usize) {
-        let Some((_, event)) = self.calls_out[position].pop_front() else { return };
+        let Some((_, event)) = self.pending_calls[position].pop_front() else { return };
         match event {
-            Event::CallFailed(..) => drop(self.calls_out.remove(position)),
+            Event::CallFailed(..) => drop(self.pending_calls.remove(position)),
             Event::WatchOpened => self.watch_opens(),
             _ => {}
         }
@@ -219,7 +219,7 @@
     }
 
     fn watch_opens(&mut self) {
-        self.calls_out.clear();
+        self.pending_calls.clear();
         let outcome = &self.history.watches[self.watches_opened % self.history.watches.len()];
         self.watches_opened += 1;
         let mut at = self.now;
@@ -236,11 +236,11 @@
         let outcome = self.history.calls[self.calls_started % self.history.calls.len()];
         self.calls_started += 1;
         let id = self.calls_started as CallId;
-        self.calls_out.push(self.plan(id, outcome).into());
+        self.pending_calls.push(self.plan(id, outcome).into());
         self.notify(Event::CallStarted(id));
     }
 
-    fn plan(&self, id: CallId, outcome: CallOutcome) -> Vec<Coming> {
+    fn plan(&self, id: CallId, outcome: CallOutcome) -> Vec<ScheduledEvent> {
         let failed = Event::CallFailed(id, CallFailure::Failed);
         match outcome {
             CallOutcome::Opens { after } => {
@@ -260,10 +260,10 @@
         }
     }
 
-    /// The first tick so many ticks from now.
+    /// The time of the tick that comes `ticks` after the next tick (or after now, if now is a tick).
     fn tick_after(&self, ticks: u32) -> Duration {
-        let passed = self.now.as_nanos().div_ceil(TICK.as_nanos());
-        TICK * (passed as u32 + ticks)
+        let next_tick = self.now.as_nanos().div_ceil(TICK.as_nanos());
+        TICK * (next_tick as u32 + ticks)
     }
 
     fn notify(&mut self, event: Event) {
--- a/crates/discovery/tests/support/eager.rs
+++ b/crates/discovery/tests/support/eager.rs
@@ -1,22 +1,22 @@
-//! A caller without backoff, for comparison.
+//! A caller without backoff, for comparison with the follower.
 
 use crate::support::Policy;
 use liftrouter_discovery::{CallId, Event, EXPIRY, HEARTBEAT_TIMEOUT};
 use std::time::Duration;
 
-/// Interval of the calls of an [`EagerCaller`].
+/// The interval between the calls of an [`EagerCaller`].
 const EAGER_INTERVAL: Duration = Duration::from_millis(200);
-/// Its most calls at once.
-const EAGER_CALLS: usize = 10;
-/// How long it waits for a call.
+/// The maximum number of its pending calls.
+const MAX_EAGER_CALLS: usize = 10;
+/// How long it waits for a response.
 const EAGER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// For comparison: calls at a fixed interval, several at once, without backoff or budget, and gives up early.
+/// Calls at a fixed interval with several calls pending, no backoff, no budget and a short timeout.
 #[derive(Debug, Default)]
 pub struct EagerCaller {
     calls: Vec<CallId>,
     last_started: Option<Duration>,
-    alive_at: Option<Duration>,
+    last_confirmed_at: Option<Duration>,
     watching: bool,
 }
 
@@ -30,7 +30,7 @@
             Event::CallFailed(id, _) => self.calls.retain(|call| *call != id),
             Event::WatchOpened | Event::Heartbeat => {
                 self.calls.clear();
-                self.alive_at = Some(now);
+                self.last_confirmed_at = Some(now);
                 self.watching = true;
             }
             Event::WatchClosed | Event::Moved => self.watching = false,
@@ -39,10 +39,11 @@
     }
 
     fn next_call(&self) -> Option<Duration> {
-        let silent_at = self.alive_at.filter(|_| self.watching).map(|at| at + HEARTBEAT_TIMEOUT);
-        let paced = self.last_started.map(|at| at + EAGER_INTERVAL);
-        let due = silent_at.max(paced).unwrap_or_default();
-        (self.calls.len() < EAGER_CALLS).then_some(due)
+        let watch_times_out_at =
+            self.last_confirmed_at.filter(|_| self.watching).map(|at| at + HEARTBEAT_TIMEOUT);
+        let interval_ends_at = self.last_started.map(|at| at + EAGER_INTERVAL);
+        let due = watch_times_out_at.max(interval_ends_at).unwrap_or_default();
+        (self.calls.len() < MAX_EAGER_CALLS).then_some(due)
     }
 
     fn call_timeout(&self) -> Duration {
@@ -50,6 +51,6 @@
     }
 
     fn expires_at(&self) -> Option<Duration> {
-        self.alive_at.map(|at| at + EXPIRY)
+        self.last_confirmed_at.map(|at| at + EXPIRY)
     }
 }
--- a/crates/discovery/tests/support/mod.rs
+++ b/crates/discovery/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A simulation of many limiters that call one discovery service, in simulated time and from a seed.
+//! A deterministic simulation of many limiters that call one discovery service.
 //!
 //! The service has one queue and a fixed cost per call. It refuses a call that would wait too long, at no cost, and
-//! still does the work of calls whose callers have given up. While it is down it refuses each call after a wait.
+//! still does the work of calls whose callers have given up. While it is down, it refuses each call after a delay.
 
 mod policy;
 mod service;
@@ -15,67 +15,68 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Interval of the heartbeats of an open watch.
+/// The interval between heartbeats of an open watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// When the fault begins; all watches are open before.
+/// When the fault begins; until then, all watches are open.
 const FAULT_AT: Duration = Duration::from_secs(10);
 /// How long the service is down in the scenarios with an outage.
 const OUTAGE: Duration = Duration::from_secs(8);
-/// Cost of one call after [`Scenario::OutageThenSlow`].
+/// The cost of one call after [`Scenario::OutageThenSlow`].
 const SLOW_CALL_COST: Duration = Duration::from_millis(300);
-/// The simulation ends so long after the service's return.
+/// The simulation ends this long after the service's return.
 const HORIZON: Duration = Duration::from_secs(120);
-/// Callers without any pause would call for ever at one instant: the simulation ends after so many actions for each.
-const MOST_ACTIONS: u64 = 20_000;
+/// The simulation ends after this number of actions per limiter, because callers without any delay would call endlessly
+/// at the same simulated time.
+const MAX_ACTIONS_PER_LIMITER: u64 = 20_000;
 
-/// What goes wrong.
+/// The simulated fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// All watches end in the same instant; the service stays up.
+    /// All watches end at the same time; the service stays up.
     WatchesEnd,
-    /// The service is down for 8 s; all watches end at its start.
+    /// The service is down for 8 s; all watches end when that begins.
     Outage,
-    /// As [`Scenario::Outage`], and afterwards each call costs 0.3 s.
+    /// Like [`Scenario::Outage`], but each call costs 0.3 s afterwards.
     OutageThenSlow,
-    /// No watch gives a heartbeat any more; new calls are answered.
+    /// All open watches stop sending heartbeats; new calls are answered.
     Silence,
 }
 
-/// A fleet of limiters before one service.
+/// A fleet of limiters that use one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// Number of limiters.
+    /// The number of limiters.
     pub limiters: usize,
-    /// Time the service needs for one call of every limiter.
+    /// The time that the service needs for one call of every limiter.
     pub all_calls: Duration,
-    /// What goes wrong.
+    /// The simulated fault.
     pub scenario: Scenario,
-    /// Seed of phases, order and jitter.
+    /// The seed of heartbeat phases, order and jitter.
     pub seed: u64,
 }
 
-/// What became of a fleet.
+/// The result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
     /// For each limiter, the time from the service's return until its list was confirmed; none if it never was.
     pub notified_after: Vec<Option<Duration>>,
-    /// For each limiter, when it began calls.
+    /// For each limiter, the start times of its calls.
     pub calls: Vec<Vec<Duration>>,
-    /// Calls that were refused.
+    /// The number of refused calls.
     pub refused: usize,
-    /// For each limiter, for how long its list was expired.
+    /// For each limiter, how long its list was expired.
     pub expired: Vec<Duration>,
 }
 
 impl Outcome {
-    /// Calls begun by all limiters.
+    /// The number of calls of all limiters.
     pub fn total_calls(&self) -> usize {
         self.calls.iter().map(Vec::len).sum()
     }
 }
 
 impl Fleet {
-    /// Cost of one call at the service.
+    /// The service's cost of one call.
     pub fn call_cost(&self) -> Duration {
         match self.scenario {
             Scenario::OutageThenSlow => SLOW_CALL_COST,
@@ -83,13 +84,13 @@
         }
     }
 
-    /// Time of the work for one call of every limiter.
+    /// The service's total work for one call of every limiter, with the cost of this scenario.
     pub fn min_work(&self) -> Duration {
         self.call_cost().mul_f64(self.limiters as f64)
     }
 
-    /// Plays the fleet with limiters that `new_policy` makes from their seeds.
-    pub fn play<P: Policy>(&self, new_policy: impl Fn(u64) -> P) -> Outcome {
+    /// Simulates the fleet. `new_policy` creates the policy of each limiter from a seed.
+    pub fn simulate<P: Policy>(&self, new_policy: impl Fn(u64) -> P) -> Outcome {
         let mut simulation = Simulation::new(self, new_policy);
         simulation.begin_fault(self.scenario);
         simulation.run();
@@ -104,22 +105,22 @@
     }
 }
 
-/// What happens at a moment to a limiter.
+/// An action that concerns one limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Action {
-    /// Its next call may be due.
+    /// The limiter checks whether its next call is due.
     Wake,
     /// The service replies to a call.
     Reply(CallId, Reply),
-    /// A call is given up if it is still out.
+    /// The limiter gives up a call that is still pending.
     GiveUp(CallId),
-    /// The watch that this call opened gives a heartbeat.
+    /// The watch that this call opened sends a heartbeat.
     Heartbeat(CallId),
 }
 
-/// Ordered by time, then by the order in which they were planned.
+/// A scheduled action. The order is by time, then by the order of scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Planned {
+struct Scheduled {
     at: Duration,
     number: u64,
     limiter: usize,
@@ -128,7 +129,7 @@
 
 struct Limiter<P> {
     policy: P,
-    calls_out: Vec<CallId>,
+    pending_calls: Vec<CallId>,
     watch: Option<CallId>,
     call_times: Vec<Duration>,
     notified_at: Option<Duration>,
@@ -138,18 +139,18 @@
 struct Simulation<P> {
     limiters: Vec<Limiter<P>>,
     service: Service,
-    queue: BinaryHeap<Reverse<Planned>>,
-    planned: u64,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    scheduled: u64,
     last_call: CallId,
     refused: usize,
-    /// Limiters that have not been notified since the fault.
-    untold: usize,
+    /// The number of limiters that have not been notified since the fault.
+    unnotified: usize,
     rng: Rng,
     returned_at: Duration,
 }
 
 impl<P: Policy> Simulation<P> {
-    /// All limiters have an open watch, with heartbeats in different phases.
+    /// Creates limiters with an open watch each, whose heartbeats have random phases.
     fn new(fleet: &Fleet, new_policy: impl Fn(u64) -> P) -> Self {
         let mut rng = Rng::with_seed(fleet.seed);
         let limiters = (0..fleet.limiters)
@@ -159,7 +160,7 @@
                 policy.handle(FAULT_AT.saturating_sub(phase), Event::WatchOpened);
                 Limiter {
                     policy,
-                    calls_out: Vec::new(),
+                    pending_calls: Vec::new(),
                     watch: None,
                     call_times: Vec::new(),
                     notified_at: None,
@@ -171,10 +172,10 @@
             limiters,
             service: Service::new(fleet.call_cost(), FAULT_AT, fleet.returned_at()),
             queue: BinaryHeap::new(),
-            planned: 0,
+            scheduled: 0,
             last_call: 0,
             refused: 0,
-            untold: fleet.limiters,
+            unnotified: fleet.limiters,
             rng,
             returned_at: fleet.returned_at(),
         }
@@ -185,7 +186,7 @@
         self.rng.shuffle(&mut order);
         for limiter in order {
             match scenario {
-                Scenario::Silence => self.plan_wake(FAULT_AT, limiter),
+                Scenario::Silence => self.schedule_wake(FAULT_AT, limiter),
                 _ => self.notify(FAULT_AT, limiter, Event::WatchClosed),
             }
         }
@@ -193,17 +194,17 @@
 
     fn run(&mut self) {
         let end = self.returned_at + HORIZON;
-        let most_actions = MOST_ACTIONS * self.limiters.len() as u64;
-        while let Some(Reverse(planned)) = self.queue.pop() {
-            if planned.at > end || self.untold == 0 || self.planned > most_actions {
+        let max_actions = MAX_ACTIONS_PER_LIMITER * self.limiters.len() as u64;
+        while let Some(Reverse(scheduled)) = self.queue.pop() {
+            if scheduled.at > end || self.unnotified == 0 || self.scheduled > max_actions {
                 break;
             }
-            self.carry_out(planned);
+            self.perform(scheduled);
         }
     }
 
-    fn carry_out(&mut self, planned: Planned) {
-        let Planned { at, limiter, action, .. } = planned;
+    fn perform(&mut self, scheduled: Scheduled) {
+        let Scheduled { at, limiter, action, .. } = scheduled;
         match action {
             Action::Wake => self.call_if_due(at, limiter),
             Action::Reply(call, Reply::Answered) if self.take_call(limiter, call) => {
@@ -218,20 +219,20 @@
                 self.notify(at, limiter, Event::CallFailed(call, CallFailure::Failed));
             }
             Action::Heartbeat(watch) if self.limiters[limiter].watch == Some(watch) => {
-                self.limiters[limiter].calls_out.clear();
+                self.limiters[limiter].pending_calls.clear();
                 self.notify(at, limiter, Event::Heartbeat);
-                self.plan(at + HEARTBEAT_INTERVAL, limiter, action);
+                self.schedule(at + HEARTBEAT_INTERVAL, limiter, action);
             }
             Action::Reply(..) | Action::GiveUp(_) | Action::Heartbeat(_) => {}
         }
     }
 
-    /// Whether the call was still out.
+    /// Removes a pending call; returns whether it was still pending.
     fn take_call(&mut self, limiter: usize, call: CallId) -> bool {
-        let calls_out = &mut self.limiters[limiter].calls_out;
-        let before = calls_out.len();
-        calls_out.retain(|out| *out != call);
-        calls_out.len() < before
+        let pending_calls = &mut self.limiters[limiter].pending_calls;
+        let before = pending_calls.len();
+        pending_calls.retain(|pending| *pending != call);
+        pending_calls.len() < before
     }
 
     fn call_if_due(&mut self, now: Duration, limiter: usize) {
@@ -241,42 +242,42 @@
         self.last_call += 1;
         let call = self.last_call;
         let caller = &mut self.limiters[limiter];
-        caller.calls_out.push(call);
+        caller.pending_calls.push(call);
         caller.call_times.push(now);
         let give_up_at = now + caller.policy.call_timeout();
         let (reply_at, reply) = self.service.call(now);
-        self.plan(reply_at, limiter, Action::Reply(call, reply));
-        self.plan(give_up_at, limiter, Action::GiveUp(call));
+        self.schedule(reply_at, limiter, Action::Reply(call, reply));
+        self.schedule(give_up_at, limiter, Action::GiveUp(call));
         self.notify(now, limiter, Event::CallStarted(call));
     }
 
     fn open_watch(&mut self, now: Duration, limiter: usize, call: CallId) {
         let caller = &mut self.limiters[limiter];
-        caller.calls_out.clear();
+        caller.pending_calls.clear();
         caller.watch = Some(call);
         if caller.notified_at.is_none() {
             caller.notified_at = Some(now);
-            self.untold -= 1;
+            self.unnotified -= 1;
             caller.expired = expired_until(now, &caller.policy);
         }
-        self.plan(now + HEARTBEAT_INTERVAL, limiter, Action::Heartbeat(call));
+        self.schedule(now + HEARTBEAT_INTERVAL, limiter, Action::Heartbeat(call));
         self.notify(now, limiter, Event::WatchOpened);
     }
 
     fn notify(&mut self, now: Duration, limiter: usize, event: Event) {
         self.limiters[limiter].policy.handle(now, event);
-        self.plan_wake(now, limiter);
+        self.schedule_wake(now, limiter);
     }
 
-    fn plan_wake(&mut self, now: Duration, limiter: usize) {
+    fn schedule_wake(&mut self, now: Duration, limiter: usize) {
         if let Some(due) = self.limiters[limiter].policy.next_call() {
-            self.plan(due.max(now), limiter, Action::Wake);
+            self.schedule(due.max(now), limiter, Action::Wake);
         }
     }
 
-    fn plan(&mut self, at: Duration, limiter: usize, action: Action) {
-        self.planned += 1;
-        self.queue.push(Reverse(Planned { at, number: self.planned, limiter, action }));
+    fn schedule(&mut self, at: Duration, limiter: usize, action: Action) {
+        self.scheduled += 1;
+        self.queue.push(Reverse(Scheduled { at, number: self.scheduled, limiter, action }));
     }
 
     fn outcome(self) -> Outcome {
--- a/crates/discovery/tests/support/policy.rs
+++ b/crates/discovery/tests/support/policy.rs
@@ -1,17 +1,17 @@
-//! The decision when to call, as the simulation sees it.
+//! The interface between the simulation and a limiter's call policy.
 
 use liftrouter_discovery::{Event, Follower};
 use std::time::Duration;
 
 /// Decides when a limiter calls.
 pub trait Policy {
-    /// Takes in what happened.
+    /// Records an event.
     fn handle(&mut self, now: Duration, event: Event);
     /// When the next call is due.
     fn next_call(&self) -> Option<Duration>;
-    /// After what time a call is given up.
+    /// How long to wait for the response to a call.
     fn call_timeout(&self) -> Duration;
-    /// When the list at hand expires.
+    /// When the current list expires; none if it does not.
     fn expires_at(&self) -> Option<Duration>;
 }
 
--- a/crates/discovery/tests/support/service.rs
+++ b/crates/discovery/tests/support/service.rs
@@ -1,20 +1,21 @@
-//! The discovery service: one queue, a fixed cost per call, refusals.
+//! A simulated discovery service with one queue, a fixed cost per call, and refusals.
 
 use std::time::Duration;
 
-/// A call that would wait longer is refused at once; while the service is down, a call is refused after so long.
+/// A call that would wait longer than this is refused at once. While the service is down, each call is refused after
+/// this time.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// What a call comes to.
+/// The reply to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reply {
     /// The first message of a watch.
     Answered,
-    /// Refused, without advice.
+    /// A refusal without `Retry-After`.
     Refused,
 }
 
-/// One service for all limiters.
+/// A service that all limiters share.
 #[derive(Debug)]
 pub struct Service {
     call_cost: Duration,
@@ -24,12 +25,13 @@
 }
 
 impl Service {
-    /// One that is down between two times; they are the same if it never is.
+    /// Creates a service that is down between two times, which are equal if it is never down.
     pub fn new(call_cost: Duration, down_from: Duration, down_until: Duration) -> Self {
         Service { call_cost, down_from, down_until, busy_until: Duration::ZERO }
     }
 
-    /// Takes a call; when it replies, and what. The work of an accepted call is done whatever its caller does.
+    /// Accepts or refuses a call; returns the time of the reply and the reply. An accepted call uses the service's time
+    /// even if its caller gives up.
     pub fn call(&mut self, now: Duration) -> (Duration, Reply) {
         if (self.down_from..self.down_until).contains(&now) {
             return (now + MAX_WAIT, Reply::Refused);
