--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -101,7 +101,7 @@
 
 /// The longest deadline of a class, in seconds; 0 without classes.
 fn longest_deadline(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
+    settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max)
 }
 
 /// Admits requests once the first endpoint list has come.
@@ -127,7 +127,9 @@
     if let Some(operator) = operator {
         let fallbacks = operator.fallbacks.iter();
         clients.extend(fallbacks.map(|address| CounterClient::new(Some(*address), settings)));
-        pacer = operator.pace(settings.instance_count).map(|pace| Pacer::new(pace, unit_interval(seed), 0.0));
+        pacer = operator
+            .pacing(settings.instance_count)
+            .map(|pacing| Pacer::new(pacing, unit_interval(seed), 0.0));
     }
     CounterPool::new(clients, pacer)
 }
