--- a/crates/daemon/src/authoriser/client.rs
+++ b/crates/daemon/src/authorizer/client.rs
@@ -1,10 +1,10 @@
-//! The client of one authoriser: its limit of open check requests, its circuit breaker, its timeout and its retry.
+//! The client of one authorizer: its limit of open check requests, its circuit breaker, its timeout and its retry.
 
 use super::error::{AttemptError, CheckError};
 use super::exchange::{build_request, exchange};
 use super::pool::{ConnectionPool, SilenceGuard};
-use super::settings::AuthoriserSettings;
-use super::Authorisation;
+use super::settings::AuthorizerSettings;
+use super::Authorization;
 use crate::count::Count;
 use crate::log::log;
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
@@ -16,9 +16,9 @@
 /// A check request that surely was not seen is sent once more.
 const MAX_ATTEMPTS: usize = 2;
 
-/// The client of one authoriser.
-pub struct Authoriser {
-    pub(super) settings: Rc<AuthoriserSettings>,
+/// The client of one authorizer.
+pub struct Authorizer {
+    pub(super) settings: Rc<AuthorizerSettings>,
     breaker: RefCell<Breaker>,
     /// Times of the breaker are seconds from here.
     started_at: Instant,
@@ -26,10 +26,10 @@
     pool: Rc<ConnectionPool>,
 }
 
-impl Authoriser {
-    pub(super) fn new(settings: AuthoriserSettings) -> Authoriser {
+impl Authorizer {
+    pub(super) fn new(settings: AuthorizerSettings) -> Authorizer {
         let settings = Rc::new(settings);
-        Authoriser {
+        Authorizer {
             breaker: RefCell::new(Breaker::new(settings.breaker)),
             started_at: Instant::now(),
             open_checks: Cell::new(0),
@@ -43,34 +43,34 @@
     }
 
     /// Sends a check request and waits for the decision until `deadline`, or as long as the settings allow.
-    pub(super) async fn check(&self, request: &CheckRequest, via: &str, deadline: Instant) -> Authorisation {
+    pub(super) async fn check(&self, request: &CheckRequest, via: &str, deadline: Instant) -> Authorization {
         if self.open_checks.get() >= self.settings.questions {
             // Busy with others, not down: that does not count as a failure.
-            return Authorisation::Undecided { retry_after: 0.0 };
+            return Authorization::Undecided { retry_after: 0.0 };
         }
         let leave = match self.breaker.borrow_mut().leave(self.seconds()) {
             Ok(leave) => leave,
-            Err(retry_after) => return Authorisation::Undecided { retry_after },
+            Err(retry_after) => return Authorization::Undecided { retry_after },
         };
         let _open = Count::new(&self.open_checks);
-        let mut permit = BreakerPermit { authoriser: self, leave: Some(leave) };
+        let mut permit = BreakerPermit { authorizer: self, leave: Some(leave) };
         let until = deadline.min(Instant::now() + self.settings.timeout);
         let result = timeout_at(until, self.check_with_retry(request, via, until)).await;
         let error = match result {
             Ok(Ok(verdict)) => {
                 permit.record(true);
-                return Authorisation::Decided(verdict);
+                return Authorization::Decided(verdict);
             }
             Ok(Err(error)) => error,
-            // The request's own time was shorter than a response may take: no fault of the authoriser's.
-            Err(_) if until == deadline => return Authorisation::Undecided { retry_after: 0.0 },
+            // The request's own time was shorter than a response may take: no fault of the authorizer's.
+            Err(_) if until == deadline => return Authorization::Undecided { retry_after: 0.0 },
             Err(_) => CheckError::Timeout,
         };
         permit.record(false);
         if !self.breaker.borrow().is_closed() {
             log("authoriser", format_args!("{}: left alone for a while: {error}", self.settings.name));
         }
-        Authorisation::Undecided { retry_after: 0.0 }
+        Authorization::Undecided { retry_after: 0.0 }
     }
 
     /// Sends a check request, and once more if the first attempt surely was not seen.
@@ -101,7 +101,7 @@
 
 /// The circuit breaker's permission for one check request, given back without a result if the client disconnects.
 struct BreakerPermit<'a> {
-    authoriser: &'a Authoriser,
+    authorizer: &'a Authorizer,
     leave: Option<Leave>,
 }
 
@@ -112,7 +112,7 @@
 
     fn release(&mut self, success: Option<bool>) {
         if let Some(leave) = self.leave.take() {
-            self.authoriser.breaker.borrow_mut().ended(self.authoriser.seconds(), leave, success);
+            self.authorizer.breaker.borrow_mut().ended(self.authorizer.seconds(), leave, success);
         }
     }
 }
--- a/crates/daemon/src/authoriser/error.rs
+++ b/crates/daemon/src/authorizer/error.rs
@@ -10,7 +10,7 @@
 
 pub(super) const GRPC_STATUS: &str = "grpc-status";
 
-/// A fault of the authoriser, as the operator reads it.
+/// A fault of the authorizer, as the operator reads it.
 #[derive(Debug, Error)]
 pub(super) enum CheckError {
     #[error("HTTP status {0}, expected 200")]
@@ -40,7 +40,7 @@
     Timeout,
 }
 
-/// How one attempt to ask failed, by whether the authoriser may have seen it (RFC 9113, section 8.7).
+/// How one attempt to ask failed, by whether the authorizer may have seen it (RFC 9113, section 8.7).
 #[derive(Debug)]
 pub(super) enum AttemptError {
     /// Not seen, for this stream was refused: it may be asked again.
--- a/crates/daemon/src/authoriser/error/tests.rs
+++ b/crates/daemon/src/authorizer/error/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_fault_of_an_authoriser_says_what_was_found_and_what_was_expected() {
+fn each_fault_of_an_authorizer_says_what_was_found_and_what_was_expected() {
     for (error, text) in [
         (CheckError::HttpStatus(503), "HTTP status 503, expected 200"),
         (
--- a/crates/daemon/src/authoriser/exchange.rs
+++ b/crates/daemon/src/authorizer/exchange.rs
@@ -1,7 +1,7 @@
 //! One check request over one connection: writes it, and reads its response.
 
 use super::error::{check_status, AttemptError, CheckError, GRPC_STATUS};
-use super::settings::AuthoriserSettings;
+use super::settings::AuthorizerSettings;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -24,7 +24,7 @@
 
 /// The request that carries a framed message, with its deadline.
 pub(super) fn build_request(
-    settings: &AuthoriserSettings,
+    settings: &AuthorizerSettings,
     body: Bytes,
     via: &str,
     deadline: Instant,
--- a/crates/daemon/src/authoriser/pool.rs
+++ b/crates/daemon/src/authorizer/pool.rs
@@ -1,7 +1,7 @@
-//! The connections to an authoriser.
+//! The connections to an authorizer.
 
 use super::exchange::Sender;
-use super::settings::AuthoriserSettings;
+use super::settings::AuthorizerSettings;
 use crate::http2::{Local, Metered};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -25,7 +25,7 @@
 /// The connection's flow-control window in bytes.
 const CONNECTION_WINDOW: u32 = 256 * 1024;
 const MAX_FRAME_BYTES: u32 = 16 * 1024;
-/// Frames a second that an authoriser may send without a call's part, and resets.
+/// Frames a second that an authorizer may send without a call's part, and resets.
 const FRAME_LIMITS: FrameLimits = FrameLimits { resets: 2_000.0, control: 2_000.0 };
 
 /// A connection that check requests may go over.
@@ -39,9 +39,9 @@
     pub last_read: Rc<Cell<Instant>>,
 }
 
-/// The connections to one authoriser, opened as they are needed.
+/// The connections to one authorizer, opened as they are needed.
 pub(super) struct ConnectionPool {
-    settings: Rc<AuthoriserSettings>,
+    settings: Rc<AuthorizerSettings>,
     connections: RefCell<Vec<PooledConnection>>,
     connecting: Cell<usize>,
     /// Notified when a connection came up or failed to.
@@ -50,7 +50,7 @@
 }
 
 impl ConnectionPool {
-    pub(super) fn new(settings: Rc<AuthoriserSettings>) -> Rc<Self> {
+    pub(super) fn new(settings: Rc<AuthorizerSettings>) -> Rc<Self> {
         Rc::new(ConnectionPool {
             settings,
             connections: RefCell::default(),
--- a/crates/daemon/src/authoriser/settings.rs
+++ b/crates/daemon/src/authorizer/settings.rs
@@ -1,11 +1,11 @@
-//! The operator's settings of an authoriser.
+//! The operator's settings of an authorizer.
 
 use liftrouter_authz::BreakerPolicy;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What becomes of a request whose authoriser gave no usable decision.
+/// What becomes of a request whose authorizer gave no usable decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenUnsure {
     /// It goes on (fail open).
@@ -14,9 +14,9 @@
     Refuse,
 }
 
-/// An authoriser as the operator names it.
+/// An authorizer as the operator names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AuthoriserSettings {
+pub struct AuthorizerSettings {
     /// Its name in the log.
     pub name: String,
     /// Where it listens.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,7 +3,7 @@
 //! by themselves.
 #![forbid(unsafe_code)]
 
-pub mod authoriser;
+pub mod authorizer;
 pub mod cli;
 pub mod cluster;
 pub mod config;
--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -5,7 +5,7 @@
 
 use super::body_budget::{BodyBudget, BodyReservation};
 use super::open_ids::{OpenRequestId, OpenRequestIds};
-use crate::authoriser::{Authorisation, AuthorisationRequest, Authoriser, Authorisers, WhenUnsure};
+use crate::authorizer::{Authorization, AuthorizationRequest, Authorizer, Authorizers, WhenUnsure};
 use crate::count::Count;
 use crate::events::{Answer, DisconnectGuard, EventQueue, IncomingRequest, Rejection, RequestKind};
 use crate::upstream::headers::OWN;
@@ -26,15 +26,15 @@
     events: Rc<EventQueue>,
     body_budget: BodyBudget,
     open_ids: OpenRequestIds,
-    authorisers: Authorisers,
+    authorizers: Authorizers,
     /// Requests that wait for an authoriser; the event queue does not count them yet.
-    awaiting_authorisation: Cell<usize>,
+    awaiting_authorization: Cell<usize>,
     /// When the last answers are written, once the process shuts down.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
 /// Whether a request may be submitted to the host.
-enum Authorised {
+enum Authorized {
     /// It may, with these changes to its headers.
     Yes(Changes),
     /// This is its answer.
@@ -47,15 +47,15 @@
         events: Rc<EventQueue>,
         settings: Settings,
         body_budget: usize,
-        authorisers: Authorisers,
+        authorizers: Authorizers,
     ) -> Rc<Self> {
         Rc::new(Admission {
             settings,
             events,
             body_budget: BodyBudget::new(body_budget),
             open_ids: OpenRequestIds::default(),
-            authorisers,
-            awaiting_authorisation: Cell::new(0),
+            authorizers,
+            awaiting_authorization: Cell::new(0),
             shutdown_deadline: Cell::new(None),
         })
     }
@@ -84,7 +84,7 @@
             0 => MAX_OPEN_REQUESTS,
             limit => MAX_OPEN_REQUESTS.min(limit as usize),
         };
-        self.events.open_requests() + self.awaiting_authorisation.get() >= limit
+        self.events.open_requests() + self.awaiting_authorization.get() >= limit
     }
 
     /// Marks a request id as open; `None` where it is open already, over whatever listener.
@@ -100,14 +100,14 @@
     pub async fn answer(
         &self,
         mut request: IncomingRequest,
-        authorisation: &AuthorisationRequest<'_>,
+        authorization: &AuthorizationRequest<'_>,
     ) -> (Answer, Changes) {
-        let Some((authoriser, when_unsure)) = self.authorisers.for_class(&request.class) else {
+        let Some((authorizer, when_unsure)) = self.authorizers.for_class(&request.class) else {
             return (self.submit(request).await, Changes::default());
         };
-        let changes = match self.authorise(authoriser, when_unsure, authorisation).await {
-            Authorised::Yes(changes) => changes,
-            Authorised::No(answer) => return (answer, Changes::default()),
+        let changes = match self.authorize(authorizer, when_unsure, authorization).await {
+            Authorized::Yes(changes) => changes,
+            Authorized::No(answer) => return (answer, Changes::default()),
         };
         if let RequestKind::Forward(forward) = &mut request.kind {
             // The request is shared only once it is submitted.
@@ -118,31 +118,31 @@
         (self.submit(request).await, changes)
     }
 
-    async fn authorise(
+    async fn authorize(
         &self,
-        authoriser: &Authoriser,
+        authorizer: &Authorizer,
         when_unsure: WhenUnsure,
-        request: &AuthorisationRequest<'_>,
-    ) -> Authorised {
-        let authorisation = {
-            let _awaiting = Count::new(&self.awaiting_authorisation);
-            self.authorisers.authorise(authoriser, request).await
+        request: &AuthorizationRequest<'_>,
+    ) -> Authorized {
+        let authorization = {
+            let _awaiting = Count::new(&self.awaiting_authorization);
+            self.authorizers.authorize(authorizer, request).await
         };
-        let changes = match (authorisation, when_unsure) {
-            (Authorisation::Decided(Verdict::Allow(changes)), _) => changes,
-            (Authorisation::Decided(Verdict::Deny(denial)), _) => {
-                return Authorised::No(Answer::Denied(denial));
+        let changes = match (authorization, when_unsure) {
+            (Authorization::Decided(Verdict::Allow(changes)), _) => changes,
+            (Authorization::Decided(Verdict::Deny(denial)), _) => {
+                return Authorized::No(Answer::Denied(denial));
             }
-            (Authorisation::Undecided { .. }, WhenUnsure::Pass) => Changes::default(),
+            (Authorization::Undecided { .. }, WhenUnsure::Pass) => Changes::default(),
             // Nothing was forwarded, so a retry is harmless.
-            (Authorisation::Undecided { retry_after }, WhenUnsure::Refuse) => {
-                return Authorised::No(Answer::Rejected(Rejection::limit(retry_after)));
+            (Authorization::Undecided { retry_after }, WhenUnsure::Refuse) => {
+                return Authorized::No(Answer::Rejected(Rejection::limit(retry_after)));
             }
         };
         if Instant::now() >= request.deadline {
-            return Authorised::No(Answer::Rejected(Rejection::limit(0.0)));
+            return Authorized::No(Answer::Rejected(Rejection::limit(0.0)));
         }
-        Authorised::Yes(changes)
+        Authorized::Yes(changes)
     }
 
     async fn submit(&self, request: IncomingRequest) -> Answer {
--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -2,7 +2,7 @@
 
 use super::context::CallContext;
 use super::unary::{deadline_exceeded, invalid_argument, read_deadline, read_message, MAX_WAIT};
-use crate::authoriser::{AuthorisationRequest, VIA};
+use crate::authorizer::{AuthorizationRequest, VIA};
 use crate::events::{Answer, DisconnectGuard, IncomingRequest, RequestKind};
 use crate::listeners::fields::{self, MAX_ID_BYTES};
 use crate::number::read_number;
@@ -86,8 +86,8 @@
         kind: RequestKind::Authorization { deadline: now + checked.call_duration },
     };
     let build = || check.clone();
-    let authorisation = AuthorisationRequest { build: &build, via: &via, deadline };
-    match timeout_at(deadline, admission.answer(request, &authorisation)).await {
+    let authorization = AuthorizationRequest { build: &build, via: &via, deadline };
+    match timeout_at(deadline, admission.answer(request, &authorization)).await {
         Ok((Answer::Authorized(disconnect), changes)) => {
             let response = permitted(&changes, &OWN, fields.add);
             Ok(Decision { response, disconnect: Some(disconnect) })
--- a/crates/daemon/src/listeners/http/request.rs
+++ b/crates/daemon/src/listeners/http/request.rs
@@ -7,7 +7,7 @@
 use super::rejection::RequestError;
 use super::reply::{self, Reply};
 use super::{body, HttpServer};
-use crate::authoriser::AuthorisationRequest;
+use crate::authorizer::AuthorizationRequest;
 use crate::events::{ForwardedRequest, IncomingRequest, RequestKind};
 use crate::upstream::headers::IDEMPOTENCY_KEY;
 use bytes::Bytes;
@@ -59,9 +59,9 @@
         let _open_id = open_id.ok_or(RequestError::DuplicateId)?;
         let request = incoming_request(&head, checked, body, deadline)?;
         let build = || check_request(&head, size);
-        let authorisation = AuthorisationRequest { build: &build, via: &[], deadline };
+        let authorization = AuthorizationRequest { build: &build, via: &[], deadline };
         connection.awaiting_answer.set(true);
-        let (answer, changes) = admission.answer(request, &authorisation).await;
+        let (answer, changes) = admission.answer(request, &authorization).await;
         connection.awaiting_answer.set(false);
         Ok(reply::from_answer(answer, &changes))
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -4,7 +4,7 @@
 //! Each section has a module that reads and checks it. The keys of the file keep their names; fields here have the
 //! field's terms, mapped by `serde`.
 
-mod authoriser;
+mod authorizer;
 mod cluster;
 mod counter;
 mod error;
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::authoriser::AuthoriserSettings;
+use crate::authorizer::AuthorizerSettings;
 use crate::cluster::Setup;
 use crate::discovery::inventory_file::InventorySource;
 pub use counter::CounterSettings;
@@ -35,7 +35,7 @@
     inventory: Option<Spanned<inventory::InventorySection>>,
     grpc: Option<grpc::GrpcSection>,
     #[serde(default, rename = "authoriser")]
-    authorisers: Vec<authoriser::AuthoriserSection>,
+    authorizers: Vec<authorizer::AuthorizerSection>,
     #[serde(rename = "keeper")]
     counter: Option<counter::CounterSection>,
     #[serde(rename = "members")]
@@ -51,7 +51,7 @@
     /// The gRPC listener.
     pub grpc: Option<Grpc>,
     /// The services that authorise requests first; their classes are still to be checked.
-    pub authorisers: Vec<AuthoriserSettings>,
+    pub authorizers: Vec<AuthorizerSettings>,
     /// How counter services are validated and followed, if they are.
     pub counter: Option<CounterSettings>,
     /// How this limiter is a member of a cluster, if it is.
@@ -59,7 +59,7 @@
     /// The relays that the endpoint list comes through, in place of discovery.
     pub relays: Option<Relays>,
     /// Where each class of an authoriser stands.
-    authorised_classes: Vec<ClassLocation>,
+    authorized_classes: Vec<ClassLocation>,
 }
 
 /// A class that an authoriser is named for, and where it stands.
@@ -75,7 +75,7 @@
     /// `file:line:column`, what was found and what was expected.
     pub fn check(&self, settings: &Settings) -> Result<(), OperatorError> {
         let is_known = |name: &str| settings.classes.iter().any(|class| class.name == name);
-        let unknown = self.authorised_classes.iter().find(|authorised| !is_known(&authorised.class));
+        let unknown = self.authorized_classes.iter().find(|authorized| !is_known(&authorized.class));
         let Some(ClassLocation { class, location }) = unknown else { return Ok(()) };
         let expected = settings.classes.iter().map(|class| class.name.clone()).collect();
         let fault = Fault::UnknownClass { found: class.clone(), expected };
@@ -101,16 +101,16 @@
         let offset = error.span().map_or(0, |span| span.start);
         source.error(offset, Fault::Syntax(error.message().to_string()))
     })?;
-    let mut authorised_classes = Vec::new();
+    let mut authorized_classes = Vec::new();
     let has_inventory = file.inventory.is_some();
     let relays = file.relays.map(|section| relays::check(&source, section, has_inventory)).transpose()?;
-    let authorisers = file
-        .authorisers
+    let authorizers = file
+        .authorizers
         .into_iter()
-        .map(|section| authoriser::check(&source, section, &mut authorised_classes));
+        .map(|section| authorizer::check(&source, section, &mut authorized_classes));
     Ok(Operator {
-        authorisers: authorisers.collect::<Result<_, _>>()?,
-        authorised_classes,
+        authorizers: authorizers.collect::<Result<_, _>>()?,
+        authorized_classes,
         counter: file.counter.map(|section| counter::check(&source, section)).transpose()?,
         cluster: file.cluster.map(|section| cluster::check(&source, section)).transpose()?,
         inventory: file.inventory.map(|section| inventory::check(&source, section)).transpose()?,
--- a/crates/daemon/src/operator/authoriser.rs
+++ b/crates/daemon/src/operator/authorizer.rs
@@ -1,9 +1,9 @@
-//! `[[authoriser]]`: a service that authorises requests of some classes before they are admitted.
+//! `[[authoriser]]`: a service that authorizes requests of some classes before they are admitted.
 
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
 use super::ClassLocation;
-use crate::authoriser::{AuthoriserSettings, WhenUnsure};
+use crate::authorizer::{AuthorizerSettings, WhenUnsure};
 use liftrouter_authz::BreakerPolicy;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -13,7 +13,7 @@
 /// The section as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct AuthoriserSection {
+pub(super) struct AuthorizerSection {
     name: String,
     address: Spanned<String>,
     classes: BTreeMap<Spanned<String>, Spanned<String>>,
@@ -32,17 +32,17 @@
 /// Checks the section; notes where each class stands.
 pub(super) fn check(
     source: &SourceText,
-    section: AuthoriserSection,
-    authorised: &mut Vec<ClassLocation>,
-) -> Result<AuthoriserSettings, OperatorError> {
+    section: AuthorizerSection,
+    authorized: &mut Vec<ClassLocation>,
+) -> Result<AuthorizerSettings, OperatorError> {
     let address = source.address("address is", &section.address)?;
-    let classes = check_classes(source, section.classes, authorised)?;
+    let classes = check_classes(source, section.classes, authorized)?;
     let milliseconds =
         |value, key, default| source.number(value, NumberKey::milliseconds(key), 1..=600_000, default);
     let count =
         |value, key, unit, most, default| source.number(value, NumberKey::new(key, unit), 1..=most, default);
     let open_ms = milliseconds(section.open_ms, "rest_ms", 500)?;
-    Ok(AuthoriserSettings {
+    Ok(AuthorizerSettings {
         name: section.name,
         address,
         connections: count(section.connections, "connections", "connections", 64, 1)? as usize,
@@ -58,17 +58,17 @@
     })
 }
 
-/// What becomes of the requests of each class without an answer. A class has one authoriser.
+/// What becomes of the requests of each class without an answer. A class has one authorizer.
 fn check_classes(
     source: &SourceText,
     classes: BTreeMap<Spanned<String>, Spanned<String>>,
-    authorised: &mut Vec<ClassLocation>,
+    authorized: &mut Vec<ClassLocation>,
 ) -> Result<HashMap<String, WhenUnsure>, OperatorError> {
     let mut fallbacks = HashMap::new();
     for (class, fallback) in classes {
         let offset = class.span().start;
         let class = class.into_inner();
-        if let Some(first) = authorised.iter().find(|first| first.class == class) {
+        if let Some(first) = authorized.iter().find(|first| first.class == class) {
             let first = first.location.clone();
             return Err(source.error(offset, Fault::RepeatedClass { class, first }));
         }
@@ -80,7 +80,7 @@
                 return Err(source.error(fallback.span().start, Fault::UnknownFallback { class, found }));
             }
         };
-        authorised.push(ClassLocation { class: class.clone(), location: source.location(offset) });
+        authorized.push(ClassLocation { class: class.clone(), location: source.location(offset) });
         fallbacks.insert(class, when_unsure);
     }
     Ok(fallbacks)
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -1,7 +1,7 @@
 //! The operator's file: every key is read, and every fault is located.
 
 use super::*;
-use crate::authoriser::WhenUnsure;
+use crate::authorizer::WhenUnsure;
 use crate::listeners::grpc::Limits;
 use liftrouter_authz::{BreakerPolicy, FrameLimits, Mapping, Rules};
 use liftrouter_catalog::Subscription;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn faulty_authoriser_sections_are_located() {
+fn faulty_authorizer_sections_are_located() {
     assert_errors(&[
         (
             "[[authoriser]]\nname = 'a'\naddress = 'x'\nclasses = {}\n",
@@ -222,8 +222,8 @@
 }
 
 #[test]
-fn every_key_of_an_authoriser_section_is_read() {
-    let expected = AuthoriserSettings {
+fn every_key_of_an_authorizer_section_is_read() {
+    let expected = AuthorizerSettings {
         name: "risk".into(),
         address: address("127.0.0.1:9102"),
         connections: 2,
@@ -233,7 +233,7 @@
         breaker: BreakerPolicy { failures: 24, rest: 0.025, most_rest: 0.026 },
         classes: HashMap::from([("bind".into(), WhenUnsure::Refuse), ("quote".into(), WhenUnsure::Pass)]),
     };
-    assert_eq!(every_key().authorisers, [expected]);
+    assert_eq!(every_key().authorizers, [expected]);
 }
 
 #[test]
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -9,7 +9,7 @@
 
 pub use error::ServeError;
 
-use crate::authoriser::Authorisers;
+use crate::authorizer::Authorizers;
 use crate::config::{read_file, Addresses, Setup};
 use crate::counter::client::CounterClient;
 use crate::counter::pool::CounterPool;
@@ -77,7 +77,7 @@
     let clients = Clients { servers: servers.clone(), counters: counters.clone() };
     let mut host = Host::new(settings.clone(), seed, events.clone(), clients);
     let name = grpc::instance_name();
-    let authorisers = Authorisers::new(operator.authorisers, name.clone());
+    let authorizers = Authorizers::new(operator.authorizers, name.clone());
     if let Some(CounterSettings { validation, failover, .. }) = operator.counter {
         let (counters, events) = (counters.clone(), events.clone());
         let validation = CounterValidation::new(counters, events, &validation, failover, &settings, seed);
@@ -85,7 +85,7 @@
         host = host.watch_pauses();
     }
     let longest_deadline = longest_deadline(&settings);
-    let admission = Admission::new(events.clone(), settings, body_budget(&config.limits), authorisers);
+    let admission = Admission::new(events.clone(), settings, body_budget(&config.limits), authorizers);
 
     spawn_local(host.run());
     let cluster = cluster_node.map(|node| node.start(&servers));
--- a/crates/daemon/src/serve/resources.rs
+++ b/crates/daemon/src/serve/resources.rs
@@ -27,10 +27,10 @@
 impl SocketBudget {
     /// Divides what is left once every other part has its sockets.
     pub fn new(limits: &Limits, operator: &Operator, listeners: &BoundListeners) -> Self {
-        let authorisers = operator.authorisers.iter().map(|authoriser| authoriser.connections).sum::<usize>();
+        let authorizers = operator.authorizers.iter().map(|authorizer| authorizer.connections).sum::<usize>();
         let fallback_counters = operator.counter.as_ref().map_or(0, |counter| counter.fallbacks.len());
         let counters = client::MAX_CONCURRENT_CALLS * (1 + fallback_counters);
-        let taken = RESERVED_SOCKETS + counters + listeners.grpc_sockets() + authorisers;
+        let taken = RESERVED_SOCKETS + counters + listeners.grpc_sockets() + authorizers;
         // Each request may hold two sockets, one to its client and one to a server.
         let left = limits.sockets.unwrap_or(DEFAULT_SOCKETS).saturating_sub(taken).max(2);
         SocketBudget { clients: left - left / 2, servers: left / 2 }
--- a/crates/daemon/src/upstream/headers.rs
+++ b/crates/daemon/src/upstream/headers.rs
@@ -29,5 +29,5 @@
     HeaderName::from_static("x-metering"),
     HeaderName::from_static("x-contract"),
     HeaderName::from_static("x-repeat"),
-    crate::authoriser::VIA,
+    crate::authorizer::VIA,
 ];
--- a/crates/daemon/tests/authoriser.rs
+++ b/crates/daemon/tests/authorizer.rs
@@ -1,8 +1,8 @@
-//! The real binary as the client of an authoriser whose frames are written by hand.
+//! The real binary as the client of an authorizer whose frames are written by hand.
 mod common;
-#[path = "authoriser/connections.rs"]
+#[path = "authorizer/connections.rs"]
 mod connections;
-#[path = "authoriser/unusable.rs"]
+#[path = "authorizer/unusable.rs"]
 mod unusable;
 
 use common::grpc::*;
@@ -34,8 +34,8 @@
     HeaderValueOption { header: Some(header), append: Some(append), ..HeaderValueOption::default() }
 }
 
-fn always(message: CheckResponse) -> FakeAuthoriser {
-    FakeAuthoriser::new(move |received| vec![Action::Write(answer(received.stream, &message))])
+fn always(message: CheckResponse) -> FakeAuthorizer {
+    FakeAuthorizer::new(move |received| vec![Action::Write(answer(received.stream, &message))])
 }
 
 /// `quote` goes on where there is no answer to go by, `bind` is refused.
@@ -46,8 +46,8 @@
     )
 }
 
-fn limiter(authoriser: &FakeAuthoriser, more: &str, server: &Fake) -> Limiter {
-    Limiter::with_operator_text(&operator_text(authoriser.address, more), settings(), &[server])
+fn limiter(authorizer: &FakeAuthorizer, more: &str, server: &Fake) -> Limiter {
+    Limiter::with_operator_text(&operator_text(authorizer.address, more), settings(), &[server])
 }
 
 fn server() -> Fake {
@@ -84,9 +84,9 @@
             header_option("retry-after", "9", false),
         ],
     };
-    let authoriser = always(response(0, Some(HttpResponse::OkResponse(ok))));
+    let authorizer = always(response(0, Some(HttpResponse::OkResponse(ok))));
     let server = server();
-    let limiter = limiter(&authoriser, "", &server);
+    let limiter = limiter(&authorizer, "", &server);
     let answer = limiter.client().ask(&post("bind", "{}"));
     assert_eq!((answer.status(), answer.header("x-risk")), (200, Some("told")));
     assert_eq!(answer.header("retry-after"), None);
@@ -103,7 +103,7 @@
         assert!(matches!(all(own).as_slice(), [one] if one != "evil"), "{own}: {:?}", all(own));
     }
     // And what it was asked is the request.
-    let question = authoriser.check_requests().pop().expect("a check request");
+    let question = authorizer.check_requests().pop().expect("a check request");
     let http = question.attributes.and_then(|a| a.request).and_then(|r| r.http).expect("a request");
     assert_eq!((http.method.as_str(), http.path.as_str()), ("POST", "/bind/00000000b4d65521"));
     assert_eq!((http.size, http.host.as_str(), http.protocol.as_str()), (2, "api.internal", "HTTP/1.1"));
@@ -121,12 +121,12 @@
     let denying = Arc::new(AtomicBool::new(true));
     let rule = denying.clone();
     let no = response(7, Some(HttpResponse::DeniedResponse(denied)));
-    let authoriser = FakeAuthoriser::new(move |received| {
+    let authorizer = FakeAuthorizer::new(move |received| {
         let message = if rule.load(Ordering::SeqCst) { no.clone() } else { allow() };
         vec![Action::Write(answer(received.stream, &message))]
     });
     let server = server();
-    let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{}", operator_text(authoriser.address, ""));
+    let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{}", operator_text(authorizer.address, ""));
     let mut small = settings();
     small["family-info"]["has-counter"] = json!(false);
     small["tariffs"] = json!([{"name": "roomy", "rate": 0.0001, "depth": 4.0, "pays": 1.0}]);
@@ -148,14 +148,14 @@
 }
 
 #[test]
-fn a_silent_authoriser_costs_its_timeout_and_no_more() {
-    let authoriser = FakeAuthoriser::new(|_| Vec::new());
+fn a_silent_authorizer_costs_its_timeout_and_no_more() {
+    let authorizer = FakeAuthorizer::new(|_| Vec::new());
     let server = server();
-    let limiter = limiter(&authoriser, "timeout_ms = 50\n", &server);
+    let limiter = limiter(&authorizer, "timeout_ms = 50\n", &server);
     assert_eq!(ask_quote_and_bind(&limiter), (200, 429));
-    wait_until("both check requests are taken back", || authoriser.resets().len() == 2);
+    wait_until("both check requests are taken back", || authorizer.resets().len() == 2);
     // A request that has less time than a question: one answer, and nothing is sent after it.
-    let slow = FakeAuthoriser::new(|_| Vec::new());
+    let slow = FakeAuthorizer::new(|_| Vec::new());
     let limiter = self::limiter(&slow, "timeout_ms = 5000\n", &server);
     let sent = server.count();
     assert_eq!(limiter.client().ask(&quote("roomy", 200)).status(), 429);
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_client_disconnect_resets_its_check_request_and_a_late_response_is_ignored() {
-    let authoriser = FakeAuthoriser::new(|received| {
+    let authorizer = FakeAuthorizer::new(|received| {
         let late = Action::Wait(Duration::from_millis(if received.number == 0 { 300 } else { 0 }));
         vec![late, Action::Write(answer(received.stream, &allow()))]
     });
@@ -172,24 +172,24 @@
     let mut small = settings();
     small["family-info"]["has-counter"] = json!(false);
     small["tariffs"] = json!([{"name": "roomy", "rate": 0.0001, "depth": 1.0, "pays": 1.0}]);
-    let text = operator_text(authoriser.address, "timeout_ms = 5000\n");
+    let text = operator_text(authorizer.address, "timeout_ms = 5000\n");
     let limiter = Limiter::with_operator_text(&text, small, &[&server]);
     let mut leaving = limiter.client();
     leaving.send(&quote("roomy", 1_900));
-    wait_until("it is asked", || authoriser.count() == 1);
+    wait_until("it is asked", || authorizer.count() == 1);
     leaving.close();
-    wait_until("the question is taken back", || !authoriser.resets().is_empty());
+    wait_until("the question is taken back", || !authorizer.resets().is_empty());
     assert_eq!(server.count(), 0);
     // The bucket's one unit was not drawn, and the connection is still good.
     assert_eq!(limiter.client().ask(&quote("roomy", 1_900)).status(), 200);
-    assert_eq!((server.count(), authoriser.connections()), (1, 1));
+    assert_eq!((server.count(), authorizer.connections()), (1, 1));
 }
 
 #[test]
 fn a_stream_reset_during_a_decision_uses_no_quota() {
     let silent = Arc::new(AtomicBool::new(true));
     let rule = silent.clone();
-    let authoriser = FakeAuthoriser::new(move |received| {
+    let authorizer = FakeAuthorizer::new(move |received| {
         let say = !rule.load(Ordering::SeqCst);
         say.then(|| Action::Write(answer(received.stream, &allow()))).into_iter().collect()
     });
@@ -197,7 +197,7 @@
     let mut small = settings();
     small["family-info"]["has-counter"] = json!(false);
     small["tariffs"] = json!([{"name": "roomy", "rate": 0.0001, "depth": 4.0, "open": 1, "pays": 1.0}]);
-    let text = operator_text(authoriser.address, "timeout_ms = 10000\n");
+    let text = operator_text(authorizer.address, "timeout_ms = 10000\n");
     let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{text}");
     let limiter = Limiter::with_operator_text(&text, small, &[&server]);
     let address = limiter.grpc.expect("a gRPC listener");
@@ -205,45 +205,45 @@
     for n in 0..3 {
         let stream = 2 * n + 1;
         raw.ask(stream, &check_request("quote", "roomy", 4));
-        wait_until("it is asked", || authoriser.count() == n as usize + 1);
+        wait_until("it is asked", || authorizer.count() == n as usize + 1);
         raw.send(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
-        wait_until("the question is taken back", || authoriser.resets().len() == n as usize + 1);
+        wait_until("the question is taken back", || authorizer.resets().len() == n as usize + 1);
     }
     // The same with the whole connection.
     raw.ask(7, &check_request("quote", "roomy", 4));
-    wait_until("it is asked", || authoriser.count() == 4);
+    wait_until("it is asked", || authorizer.count() == 4);
     drop(raw);
-    wait_until("the question is taken back", || authoriser.resets().len() == 4);
+    wait_until("the question is taken back", || authorizer.resets().len() == 4);
     silent.store(false, Ordering::SeqCst);
     // Neither its units nor its place under the cap are gone.
     assert!(GrpcClient::new(address).permitted(&check_request("quote", "roomy", 4)));
 }
 
 #[test]
-fn a_request_id_is_not_open_twice_while_the_authoriser_decides() {
-    let authoriser = FakeAuthoriser::new(|_| Vec::new());
+fn a_request_id_is_not_open_twice_while_the_authorizer_decides() {
+    let authorizer = FakeAuthorizer::new(|_| Vec::new());
     let server = server();
-    let text = operator_text(authoriser.address, "timeout_ms = 10000\n");
+    let text = operator_text(authorizer.address, "timeout_ms = 10000\n");
     let text = format!("[grpc]\nlisten = '127.0.0.1:0'\n{text}");
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
     let mut raw = RawConnection::new(limiter.grpc.expect("a gRPC listener"), &[]);
     let q = check_request("quote", "roomy", 1);
     raw.ask(1, &q);
-    wait_until("it is asked", || authoriser.count() == 1);
+    wait_until("it is asked", || authorizer.count() == 1);
     let http = q.attributes.and_then(|a| a.request).and_then(|r| r.http).expect("a request");
     let text = quote("roomy", 500);
     let own =
         text.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.split("\r\n").next()).expect("an id");
     let copy = text.replace(own, &http.headers["x-correlation-id"]);
     assert_eq!(limiter.client().ask(&copy).status(), 409);
-    assert_eq!(authoriser.count(), 1);
+    assert_eq!(authorizer.count(), 1);
 }
 
 #[test]
-fn the_circuit_breaker_opens_for_a_failing_authoriser_and_closes_again() {
+fn the_circuit_breaker_opens_for_a_failing_authorizer_and_closes_again() {
     let down = Arc::new(AtomicBool::new(true));
     let rule = down.clone();
-    let authoriser = FakeAuthoriser::new(move |received| {
+    let authorizer = FakeAuthorizer::new(move |received| {
         if rule.load(Ordering::SeqCst) {
             return vec![Action::Write(
                 [answer_head(received.stream), answer_status(received.stream, "14")].concat(),
@@ -253,7 +253,7 @@
     });
     let server = server();
     let more = "failures = 3\nrest_ms = 2000\nmost_rest_ms = 2000\ntimeout_ms = 5000\n";
-    let limiter = limiter(&authoriser, more, &server);
+    let limiter = limiter(&authorizer, more, &server);
     let mut client = limiter.client();
     for n in 0..20 {
         let refused = client.ask(&post("bind", "{}"));
@@ -261,7 +261,7 @@
         // While it is left alone, clients are told when it is tried again.
         assert_eq!(refused.header("retry-after").is_some(), n >= 3, "{n}: {:?}", refused.headers);
     }
-    assert_eq!(authoriser.count(), 3);
+    assert_eq!(authorizer.count(), 3);
     down.store(false, Ordering::SeqCst);
     wait_until("it is tried again", || client.ask(&post("bind", "{}")).status() == 200);
     assert!(limiter
@@ -271,14 +271,14 @@
 
 #[test]
 fn a_breaker_trial_whose_client_disconnects_does_not_delay_the_next() {
-    let authoriser = FakeAuthoriser::new(|received| match received.number {
+    let authorizer = FakeAuthorizer::new(|received| match received.number {
         0 => vec![Action::Write(wire::trailers_only(received.stream, "14"))],
         // The try.
         1 => Vec::new(),
         _ => vec![Action::Write(answer(received.stream, &allow()))],
     });
     let server = server();
-    let limiter = limiter(&authoriser, "failures = 1\nrest_ms = 100\ntimeout_ms = 60000\n", &server);
+    let limiter = limiter(&authorizer, "failures = 1\nrest_ms = 100\ntimeout_ms = 60000\n", &server);
     let mut client = limiter.client();
     assert_eq!(client.ask(&post("bind", "{}")).status(), 429);
     // Refused while it is left alone; then one goes out as the try, and its client leaves.
@@ -287,16 +287,16 @@
         leaving.send(&post("bind", "{}"));
         wait_until("it is told or its question is out", || {
             leaving.patience(Duration::from_millis(20));
-            leaving.has_been_told() || authoriser.count() == 2
+            leaving.has_been_told() || authorizer.count() == 2
         });
         leaving.close();
-        authoriser.count() == 2
+        authorizer.count() == 2
     });
     wait_until("it is tried again", || client.ask(&post("bind", "{}")).status() == 200);
 }
 
 #[test]
-fn an_authoriser_that_does_not_listen_is_like_a_silent_one() {
+fn an_authorizer_that_does_not_listen_is_like_a_silent_one() {
     let free = TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     let server = server();
     let limiter =
@@ -306,21 +306,21 @@
 
 #[test]
 fn check_requests_beyond_the_limit_are_not_sent() {
-    let authoriser = FakeAuthoriser::new(|_| Vec::new());
+    let authorizer = FakeAuthorizer::new(|_| Vec::new());
     let server = server();
-    let limiter = limiter(&authoriser, "timeout_ms = 60000\nquestions = 2\n", &server);
+    let limiter = limiter(&authorizer, "timeout_ms = 60000\nquestions = 2\n", &server);
     let mut waiting: Vec<Client> = (0..2).map(|_| limiter.client()).collect();
     for client in &mut waiting {
         client.send(&quote("roomy", 1_900));
     }
-    wait_until("both are asked", || authoriser.count() == 2);
-    // At once, by class; and nothing is held against the authoriser.
+    wait_until("both are asked", || authorizer.count() == 2);
+    // At once, by class; and nothing is held against the authorizer.
     assert_eq!(ask_quote_and_bind(&limiter), (200, 429));
-    assert_eq!(authoriser.count(), 2);
+    assert_eq!(authorizer.count(), 2);
 }
 
 #[test]
-fn a_limiter_that_is_its_own_authoriser_detects_the_loop() {
+fn a_limiter_that_is_its_own_authorizer_detects_the_loop() {
     let free = TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     let server = server();
     let text = operator_text(free, "timeout_ms = 5000\nfailures = 4\n");
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn one_limiter_may_authorise_for_another() {
+fn one_limiter_may_authorize_for_another() {
     let server = server();
     let second = Limiter::with_operator_text("[grpc]\nlisten = '127.0.0.1:0'\n", settings(), &[&server]);
     let address = second.grpc.expect("a gRPC listener");
@@ -353,21 +353,21 @@
 }
 
 #[test]
-fn graceful_shutdown_waits_for_the_authorisers_decision() {
-    let authoriser = FakeAuthoriser::new(|received| {
+fn graceful_shutdown_waits_for_the_authorizers_decision() {
+    let authorizer = FakeAuthorizer::new(|received| {
         vec![Action::Wait(Duration::from_millis(900)), Action::Write(answer(received.stream, &allow()))]
     });
     let server = server();
     let text = format!(
         "[grpc]\nlisten = '127.0.0.1:0'\n{}",
-        operator_text(authoriser.address, "timeout_ms = 5000\n")
+        operator_text(authorizer.address, "timeout_ms = 5000\n")
     );
     let mut limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
     let mut raw = RawConnection::new(limiter.grpc.expect("a gRPC listener"), &[]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 9_000));
     raw.ask(1, &check_request("bind", "roomy", 1));
-    wait_until("one is asked", || authoriser.count() >= 1);
+    wait_until("one is asked", || authorizer.count() >= 1);
     limiter.terminate();
     assert_eq!(client.answer().expect("an answer").status(), 200);
     let trailers = |f: &RawFrame| f.kind == HEADERS && f.flags & END_STREAM != 0 && f.stream == 1;
--- a/crates/daemon/tests/authoriser/connections.rs
+++ b/crates/daemon/tests/authorizer/connections.rs
@@ -1,28 +1,28 @@
-//! The connections to an authoriser: their number, their loss, and retries of what was not seen.
+//! The connections to an authorizer: their number, their loss, and retries of what was not seen.
 
 use super::*;
 
 #[test]
 fn a_check_request_that_was_not_seen_is_retried_once() {
-    let refused = FakeAuthoriser::new(|received| {
+    let refused = FakeAuthorizer::new(|received| {
         let refusal = raw_frame(RST_STREAM, 0, received.stream, &REFUSED_STREAM.to_be_bytes());
         vec![Action::Write(if received.number == 0 { refusal } else { answer(received.stream, &allow()) })]
     });
     // Above the last id of a GOAWAY: those were not seen (RFC 9113, 6.8).
-    let above = FakeAuthoriser::new(|received| {
+    let above = FakeAuthorizer::new(|received| {
         vec![Action::Write(if received.number == 0 { goaway(0) } else { answer(received.stream, &allow()) })]
     });
-    for (authoriser, connections) in [(refused, 1), (above, 2)] {
+    for (authorizer, connections) in [(refused, 1), (above, 2)] {
         let server = server();
-        let limiter = limiter(&authoriser, "timeout_ms = 5000\n", &server);
+        let limiter = limiter(&authorizer, "timeout_ms = 5000\n", &server);
         assert_eq!(limiter.client().ask(&post("bind", "{}")).status(), 200);
-        assert_eq!((authoriser.count(), authoriser.connections()), (2, connections));
+        assert_eq!((authorizer.count(), authorizer.connections()), (2, connections));
     }
 }
 
 #[test]
 fn a_stream_up_to_the_last_id_of_a_goaway_is_awaited_and_not_retried() {
-    let comes = FakeAuthoriser::new(|received| {
+    let comes = FakeAuthorizer::new(|received| {
         let pause = Action::Wait(Duration::from_millis(50));
         vec![Action::Write(goaway(received.stream)), pause, Action::Write(answer(received.stream, &allow()))]
     });
@@ -33,7 +33,7 @@
     assert_eq!(limiter.client().ask(&post("bind", "{}")).status(), 200);
     assert_eq!((comes.count(), comes.connections()), (2, 2));
     // It may have run: whoever ends the connection then is not asked again.
-    let dies = FakeAuthoriser::new(|received| vec![Action::Write(goaway(received.stream)), Action::Close]);
+    let dies = FakeAuthorizer::new(|received| vec![Action::Write(goaway(received.stream)), Action::Close]);
     let limiter = self::limiter(&dies, "timeout_ms = 5000\n", &server);
     assert_eq!(limiter.client().ask(&post("bind", "{}")).status(), 429);
     assert_eq!(dies.count(), 1);
@@ -41,10 +41,10 @@
 
 #[test]
 fn a_lost_connection_leaves_each_of_a_hundred_requests_with_one_answer() {
-    let authoriser =
-        FakeAuthoriser::new(|received| if received.number == 99 { vec![Action::Close] } else { Vec::new() });
+    let authorizer =
+        FakeAuthorizer::new(|received| if received.number == 99 { vec![Action::Close] } else { Vec::new() });
     let server = server();
-    let text = operator_text(authoriser.address, "timeout_ms = 10000\nquestions = 200\n");
+    let text = operator_text(authorizer.address, "timeout_ms = 10000\nquestions = 200\n");
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
     let mut clients: Vec<Client> = (0..100).map(|_| limiter.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -55,32 +55,32 @@
     // Fifty at once go on, of which the module sends as many as one server may have.
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!(served > 0 && statuses.iter().all(|status| matches!(status, 200 | 429)), "{statuses:?}");
-    assert_eq!((authoriser.count(), server.count()), (100, served));
+    assert_eq!((authorizer.count(), server.count()), (100, served));
 }
 
 #[test]
 fn connections_are_opened_up_to_the_limit_while_all_are_busy() {
-    let authoriser = FakeAuthoriser::new(|_| Vec::new());
+    let authorizer = FakeAuthorizer::new(|_| Vec::new());
     let server = server();
-    let limiter = limiter(&authoriser, "timeout_ms = 60000\nconnections = 3\n", &server);
+    let limiter = limiter(&authorizer, "timeout_ms = 60000\nconnections = 3\n", &server);
     let mut waiting: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
     for (n, client) in waiting.iter_mut().enumerate() {
         client.send(&quote("roomy", 1_900));
-        wait_until("it is asked", || authoriser.count() == n + 1);
+        wait_until("it is asked", || authorizer.count() == n + 1);
     }
-    assert_eq!(authoriser.connections(), 3);
+    assert_eq!(authorizer.connections(), 3);
 }
 
 #[test]
 fn a_silent_connection_is_replaced() {
     // The first connection takes everything and says nothing, like one whose other end vanished.
-    let authoriser = FakeAuthoriser::new(|received| {
+    let authorizer = FakeAuthorizer::new(|received| {
         let says = received.connection > 0;
         says.then(|| Action::Write(answer(received.stream, &allow()))).into_iter().collect()
     });
     let server = server();
-    let limiter = limiter(&authoriser, "timeout_ms = 50\nfailures = 1000\n", &server);
+    let limiter = limiter(&authorizer, "timeout_ms = 50\nfailures = 1000\n", &server);
     let mut client = limiter.client();
     wait_until("another connection is used", || client.ask(&post("bind", "{}")).status() == 200);
-    assert!(authoriser.connections() >= 2);
+    assert!(authorizer.connections() >= 2);
 }
--- a/crates/daemon/tests/authoriser/unusable.rs
+++ b/crates/daemon/tests/authorizer/unusable.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The frames with which an authoriser answers a stream.
+/// The frames with which an authorizer answers a stream.
 type Rule = fn(u32) -> Vec<Action>;
 
 fn say(parts: &[Vec<u8>]) -> Vec<Action> {
@@ -83,11 +83,11 @@
 #[test]
 fn every_unusable_response_passes_or_refuses_by_class() {
     for (name, rule) in UNUSABLE_RESPONSES {
-        let authoriser = FakeAuthoriser::new(move |received| rule(received.stream));
+        let authorizer = FakeAuthorizer::new(move |received| rule(received.stream));
         let server = server();
-        let limiter = limiter(&authoriser, "timeout_ms = 5000\n", &server);
+        let limiter = limiter(&authorizer, "timeout_ms = 5000\n", &server);
         assert_eq!(ask_quote_and_bind(&limiter), (200, 429), "{name}");
-        assert_eq!(authoriser.count(), 2, "{name}: each is asked once");
+        assert_eq!(authorizer.count(), 2, "{name}: each is asked once");
         assert_eq!(server.count(), 1, "{name}");
     }
 }
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -305,22 +305,22 @@
 
 /// An authoriser whose frames are written by hand, by a rule.
 #[derive(Clone)]
-pub struct FakeAuthoriser {
+pub struct FakeAuthorizer {
     pub address: SocketAddr,
     record: Arc<Record>,
 }
 
-impl FakeAuthoriser {
-    pub fn new(rule: impl Fn(&ReceivedCheck) -> Vec<Action> + Send + Sync + 'static) -> FakeAuthoriser {
+impl FakeAuthorizer {
+    pub fn new(rule: impl Fn(&ReceivedCheck) -> Vec<Action> + Send + Sync + 'static) -> FakeAuthorizer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let (record, rule) = (Arc::<Record>::default(), Arc::new(rule));
-        let fake = FakeAuthoriser { address, record: record.clone() };
+        let fake = FakeAuthorizer { address, record: record.clone() };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (record, rule) = (record.clone(), rule.clone());
                 let connection = record.connections.fetch_add(1, Ordering::SeqCst) as usize;
-                std::thread::spawn(move || authorise(stream, connection, &record, &*rule));
+                std::thread::spawn(move || authorize(stream, connection, &record, &*rule));
             }
         });
         fake
@@ -344,7 +344,7 @@
     }
 }
 
-fn authorise(
+fn authorize(
     mut stream: TcpStream,
     connection: usize,
     record: &Record,
