--- a/crates/authz/src/breaker.rs
+++ b/crates/authz/src/breaker.rs
@@ -5,11 +5,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BreakerPolicy {
     /// Failures in a row that open it, 1 or more.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// Seconds that it stays open at first.
-    pub rest: f64,
+    pub open_s: f64,
     /// And at most; each try that fails doubles them.
-    pub most_rest: f64,
+    pub max_open_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,26 +35,26 @@
 /// Leave to ask once; handed back with how it went.
 #[derive(Debug)]
 #[must_use = "without its end the breaker waits for it"]
-pub struct Leave {
+pub struct Permit {
     round: u64,
 }
 
 impl Breaker {
     /// One that is closed.
     pub fn new(policy: BreakerPolicy) -> Breaker {
-        Breaker { policy, state: State::Closed(0), rest: policy.rest, round: 0 }
+        Breaker { policy, state: State::Closed(0), rest: policy.open_s, round: 0 }
     }
 
     /// Leave to ask, or for how many seconds there is none.
     ///
     /// # Errors
     /// Seconds until the next try may be made; those of a whole rest while one is out.
-    pub fn leave(&mut self, now: f64) -> Result<Leave, f64> {
+    pub fn acquire(&mut self, now: f64) -> Result<Permit, f64> {
         match self.state {
-            State::Closed(_) => Ok(Leave { round: self.round }),
+            State::Closed(_) => Ok(Permit { round: self.round }),
             State::Open(until) if now >= until => {
                 self.state = State::Trying;
-                Ok(Leave { round: self.round })
+                Ok(Permit { round: self.round })
             }
             State::Open(until) => Err(until - now),
             State::Trying => Err(self.rest),
@@ -62,25 +62,27 @@
     }
 
     /// How it went; `None` if nothing was learnt, for its client left.
-    pub fn ended(&mut self, now: f64, leave: Leave, good: Option<bool>) {
-        if leave.round != self.round {
+    pub fn release(&mut self, now: f64, permit: Permit, success: Option<bool>) {
+        if permit.round != self.round {
             // Asked before the breaker opened or closed: an old answer says nothing of now. So while one tries
             // it, only that one counts.
             return;
         }
-        match (self.state, good) {
+        match (self.state, success) {
             (State::Trying, None) => self.state = State::Open(now),
             (State::Trying, Some(true)) => {
                 self.state = State::Closed(0);
-                self.rest = self.policy.rest;
+                self.rest = self.policy.open_s;
                 self.round += 1;
             }
             (State::Trying, Some(false)) => {
-                self.rest = (self.rest * 2.0).min(self.policy.most_rest);
+                self.rest = (self.rest * 2.0).min(self.policy.max_open_s);
                 self.open(now);
             }
             (State::Closed(_), Some(true)) => self.state = State::Closed(0),
-            (State::Closed(failures), Some(false)) if failures + 1 >= self.policy.failures => self.open(now),
+            (State::Closed(failures), Some(false)) if failures + 1 >= self.policy.failure_threshold => {
+                self.open(now)
+            }
             (State::Closed(failures), Some(false)) => self.state = State::Closed(failures + 1),
             (State::Closed(_), None) | (State::Open(_), _) => {}
         }
--- a/crates/authz/src/check.rs
+++ b/crates/authz/src/check.rs
@@ -1,6 +1,6 @@
 //! Answers to `Check`: those that the limiter gives, and what those of an authoriser mean.
 
-use crate::headers::{is_hop, Changes, Own};
+use crate::headers::{is_hop, HeaderChanges, ReservedHeaders};
 use crate::messages::envoy::config::core::v3::header_value_option::HeaderAppendAction;
 use crate::messages::envoy::config::core::v3::{HeaderValue, HeaderValueOption};
 use crate::messages::envoy::r#type::v3::HttpStatus;
@@ -34,8 +34,12 @@
 }
 
 /// The call may be made, with the changes that an authoriser wants and then these headers set on it.
-pub fn permitted(changes: &Changes, own: Own, headers: Vec<(String, String)>) -> CheckResponse {
-    let mut ok = changes.pass_on(own);
+pub fn ok_response(
+    changes: &HeaderChanges,
+    own: ReservedHeaders,
+    headers: Vec<(String, String)>,
+) -> CheckResponse {
+    let mut ok = changes.to_ok_response(own);
     ok.headers.extend(options(headers));
     CheckResponse {
         status: Some(rpc::Status { code: Code::Ok as i32, message: String::new() }),
@@ -44,7 +48,7 @@
 }
 
 /// The call may not be made, and its client is told so.
-pub fn denied(denial: Denial) -> CheckResponse {
+pub fn denied_response(denial: Denial) -> CheckResponse {
     CheckResponse {
         status: Some(rpc::Status { code: denial.code, message: denial.body.trim_end().to_string() }),
         http_response: Some(HttpResponse::DeniedResponse(DeniedHttpResponse {
@@ -59,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The request may go on, changed so.
-    Allow(Changes),
+    Allow(HeaderChanges),
     /// It may not.
     Deny(Denial),
 }
@@ -72,14 +76,14 @@
 ///
 /// # Errors
 /// What was found and what was expected.
-pub fn verdict(answer: CheckResponse) -> Result<Verdict, String> {
+pub fn parse_verdict(answer: CheckResponse) -> Result<Verdict, String> {
     let status = answer.status.unwrap_or_default();
     match (status.code, answer.http_response) {
         (0, Some(HttpResponse::DeniedResponse(_))) => {
             Err("denied_response beside status OK, expected ok_response or none".into())
         }
-        (0, Some(HttpResponse::OkResponse(ok))) => Ok(Verdict::Allow(Changes::read(ok)?)),
-        (0, None) => Ok(Verdict::Allow(Changes::default())),
+        (0, Some(HttpResponse::OkResponse(ok))) => Ok(Verdict::Allow(HeaderChanges::parse(ok)?)),
+        (0, None) => Ok(Verdict::Allow(HeaderChanges::default())),
         (code, Some(HttpResponse::OkResponse(_))) => {
             Err(format!("ok_response beside status {code}, expected denied_response or none"))
         }
--- a/crates/authz/src/flood.rs
+++ b/crates/authz/src/flood.rs
@@ -10,10 +10,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FrameLimits {
     /// RST_STREAM frames a second; twice as many at once.
-    pub resets: f64,
+    pub resets_per_s: f64,
     /// Frames a second that carry no part of a call (SETTINGS, PING, PRIORITY, WINDOW_UPDATE, empty DATA,
     /// CONTINUATION, unknown ones); twice as many at once.
-    pub control: f64,
+    pub control_per_s: f64,
 }
 
 /// Of control frames each call may bring so many on top: window updates, mostly.
@@ -55,8 +55,8 @@
     pub fn server(limits: FrameLimits, now: f64) -> FrameMeter {
         FrameMeter {
             limits,
-            resets: limits.resets * 2.0,
-            control: limits.control * 2.0,
+            resets: limits.resets_per_s * 2.0,
+            control: limits.control_per_s * 2.0,
             at: now,
             skip: PREFACE.len(),
             header: [0; HEAD],
@@ -76,8 +76,9 @@
     pub fn read(&mut self, mut bytes: &[u8], now: f64) -> Result<(), Flood> {
         let passed = (now - self.at).max(0.0);
         self.at = now;
-        self.resets = (self.resets + passed * self.limits.resets).min(self.limits.resets * 2.0);
-        self.control = (self.control + passed * self.limits.control).min(self.limits.control * 2.0);
+        self.resets = (self.resets + passed * self.limits.resets_per_s).min(self.limits.resets_per_s * 2.0);
+        self.control =
+            (self.control + passed * self.limits.control_per_s).min(self.limits.control_per_s * 2.0);
         while !bytes.is_empty() {
             let skipped = self.skip.min(bytes.len());
             self.skip -= skipped;
@@ -102,7 +103,7 @@
         self.skip = usize::from(a) << 16 | usize::from(b) << 8 | usize::from(c);
         let (left, flood) = match kind {
             HEADERS => {
-                self.control = (self.control + PER_CALL).min(self.limits.control * 2.0);
+                self.control = (self.control + PER_CALL).min(self.limits.control_per_s * 2.0);
                 return Ok(());
             }
             DATA if self.skip > 0 => return Ok(()),
--- a/crates/authz/src/framing.rs
+++ b/crates/authz/src/framing.rs
@@ -7,11 +7,11 @@
 use std::fmt;
 
 /// Bytes before each message.
-pub const PREFIX: usize = 5;
+pub const PREFIX_LEN: usize = 5;
 
 /// What is wrong with a sequence of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WrongFrame {
+pub enum FrameError {
     /// The first byte says that it is compressed, and no compression was agreed on.
     Compressed,
     /// The first byte is neither 0 nor 1.
@@ -21,27 +21,27 @@
         /// What was announced.
         found: usize,
         /// The limit.
-        most: usize,
+        max: usize,
     },
     /// It ended within a message.
-    Half,
+    Truncated,
     /// A second message, or bytes of one, where one is due.
-    Twice,
+    MultipleMessages,
     /// It ended before any message.
-    Nothing,
+    NoMessage,
 }
 
-impl fmt::Display for WrongFrame {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WrongFrame::Compressed => f.write_str("the message is compressed, expected none to be"),
-            WrongFrame::Flag(found) => write!(f, "the message's first byte is {found}, expected 0"),
-            WrongFrame::TooLarge { found, most } => {
-                write!(f, "the message announces {found} bytes, expected {most} at most")
+            FrameError::Compressed => f.write_str("the message is compressed, expected none to be"),
+            FrameError::Flag(found) => write!(f, "the message's first byte is {found}, expected 0"),
+            FrameError::TooLarge { found, max } => {
+                write!(f, "the message announces {found} bytes, expected {max} at most")
             }
-            WrongFrame::Half => f.write_str("the stream ended within a message"),
-            WrongFrame::Twice => f.write_str("a second message, expected one"),
-            WrongFrame::Nothing => f.write_str("the stream ended without a message"),
+            FrameError::Truncated => f.write_str("the stream ended within a message"),
+            FrameError::MultipleMessages => f.write_str("a second message, expected one"),
+            FrameError::NoMessage => f.write_str("the stream ended without a message"),
         }
     }
 }
@@ -49,7 +49,7 @@
 /// A message with its prefix; lengths are below 4 GiB.
 pub fn frame(message: &impl prost::Message) -> Bytes {
     let length = message.encoded_len();
-    let mut buffer = BytesMut::with_capacity(PREFIX + length);
+    let mut buffer = BytesMut::with_capacity(PREFIX_LEN + length);
     buffer.put_u8(0);
     buffer.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
     // Encoding into a buffer that grows cannot fail.
@@ -59,15 +59,15 @@
 
 /// Cuts a stream into messages.
 #[derive(Debug)]
-pub struct Splitter {
+pub struct MessageDecoder {
     buffer: BytesMut,
-    most: usize,
+    max: usize,
 }
 
-impl Splitter {
+impl MessageDecoder {
     /// With the most bytes of one message.
-    pub fn new(most: usize) -> Splitter {
-        Splitter { buffer: BytesMut::new(), most }
+    pub fn new(max: usize) -> MessageDecoder {
+        MessageDecoder { buffer: BytesMut::new(), max }
     }
 
     /// Takes in what came.
@@ -79,22 +79,22 @@
     ///
     /// # Errors
     /// Its prefix is wrong; nothing after it can be read.
-    pub fn next_message(&mut self) -> Result<Option<Bytes>, WrongFrame> {
+    pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(flag) = self.buffer.first().copied() else { return Ok(None) };
         match flag {
             0 => {}
-            1 => return Err(WrongFrame::Compressed),
-            other => return Err(WrongFrame::Flag(other)),
+            1 => return Err(FrameError::Compressed),
+            other => return Err(FrameError::Flag(other)),
         }
-        let Some(mut prefix) = self.buffer.get(1..PREFIX) else { return Ok(None) };
+        let Some(mut prefix) = self.buffer.get(1..PREFIX_LEN) else { return Ok(None) };
         let found = prefix.get_u32() as usize;
-        if found > self.most {
-            return Err(WrongFrame::TooLarge { found, most: self.most });
+        if found > self.max {
+            return Err(FrameError::TooLarge { found, max: self.max });
         }
-        if self.buffer.len() < PREFIX + found {
+        if self.buffer.len() < PREFIX_LEN + found {
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_LEN);
         Ok(Some(self.buffer.split_to(found).freeze()))
     }
 
@@ -106,31 +106,31 @@
 
 /// Reads a stream that is to hold exactly one message.
 #[derive(Debug)]
-pub struct Unary {
-    splitter: Splitter,
+pub struct UnaryDecoder {
+    decoder: MessageDecoder,
     message: Option<Bytes>,
 }
 
-impl Unary {
+impl UnaryDecoder {
     /// With the most bytes of the message.
-    pub fn new(most: usize) -> Unary {
-        Unary { splitter: Splitter::new(most), message: None }
+    pub fn new(max: usize) -> UnaryDecoder {
+        UnaryDecoder { decoder: MessageDecoder::new(max), message: None }
     }
 
     /// Takes in what came.
     ///
     /// # Errors
     /// As soon as the stream cannot be right any more.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), WrongFrame> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), FrameError> {
         if self.message.is_some() && !bytes.is_empty() {
-            return Err(WrongFrame::Twice);
+            return Err(FrameError::MultipleMessages);
         }
-        self.splitter.push(bytes);
+        self.decoder.push(bytes);
         if self.message.is_none() {
-            self.message = self.splitter.next_message()?;
+            self.message = self.decoder.next_message()?;
         }
-        if self.message.is_some() && !self.splitter.is_empty() {
-            return Err(WrongFrame::Twice);
+        if self.message.is_some() && !self.decoder.is_empty() {
+            return Err(FrameError::MultipleMessages);
         }
         Ok(())
     }
@@ -139,8 +139,8 @@
     ///
     /// # Errors
     /// It is not whole.
-    pub fn finish(self) -> Result<Bytes, WrongFrame> {
-        let nothing = self.splitter.is_empty();
-        self.message.ok_or(if nothing { WrongFrame::Nothing } else { WrongFrame::Half })
+    pub fn finish(self) -> Result<Bytes, FrameError> {
+        let nothing = self.decoder.is_empty();
+        self.message.ok_or(if nothing { FrameError::NoMessage } else { FrameError::Truncated })
     }
 }
--- a/crates/authz/src/headers.rs
+++ b/crates/authz/src/headers.rs
@@ -11,7 +11,7 @@
 const MOST_BYTES: usize = 8 * 1_024;
 
 /// Headers that no authoriser touches, beside those that belong to the connection: the limiter's own.
-pub type Own<'a> = &'a [HeaderName];
+pub type ReservedHeaders<'a> = &'a [HeaderName];
 
 /// Those of one hop, or of the message's own length: RFC 9110, 7.6.1, and RFC 9112.
 const HOP: [&str; 11] = [
@@ -33,7 +33,7 @@
     HOP.iter().any(|hop| hop.eq_ignore_ascii_case(name))
 }
 
-fn is_free(name: &HeaderName, own: Own) -> bool {
+fn is_free(name: &HeaderName, own: ReservedHeaders) -> bool {
     !own.contains(name) && !is_hop(name.as_str())
 }
 
@@ -42,7 +42,7 @@
 
 /// Changes to headers, in the order in which they are made: removed first, as the protocol has it, then set.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changes {
+pub struct HeaderChanges {
     remove: Vec<HeaderName>,
     set: Vec<Set>,
     /// Set on the answer to the client.
@@ -95,7 +95,7 @@
 }
 
 /// Sets those that are free; the others come into `left`.
-fn set_all(sets: &[Set], headers: &mut HeaderMap, own: Own, left: &mut Vec<HeaderName>) {
+fn set_all(sets: &[Set], headers: &mut HeaderMap, own: ReservedHeaders, left: &mut Vec<HeaderName>) {
     for (name, value, action) in sets {
         if !is_free(name, own) {
             left.push(name.clone());
@@ -111,13 +111,13 @@
     }
 }
 
-impl Changes {
+impl HeaderChanges {
     /// Reads them. A name or value that HTTP cannot carry makes the whole answer wrong: a part of what an
     /// authoriser asked for could let through what the whole would not.
     ///
     /// # Errors
     /// What was found and what was expected.
-    pub fn read(ok: OkHttpResponse) -> Result<Changes, String> {
+    pub fn parse(ok: OkHttpResponse) -> Result<HeaderChanges, String> {
         let sets = || ok.headers.iter().chain(&ok.response_headers_to_add);
         let count = sets().count() + ok.headers_to_remove.len();
         if count > MOST {
@@ -130,7 +130,7 @@
         if bytes > MOST_BYTES {
             return Err(format!("headers of {bytes} bytes, expected {MOST_BYTES} at most"));
         }
-        Ok(Changes {
+        Ok(HeaderChanges {
             remove: ok.headers_to_remove.iter().map(|text| name(text)).collect::<Result<_, _>>()?,
             set: read_all(ok.headers)?,
             answer: read_all(ok.response_headers_to_add)?,
@@ -138,7 +138,7 @@
     }
 
     /// The same changes for a further reader, but for the `own` headers and those of one hop.
-    pub fn pass_on(&self, own: Own) -> OkHttpResponse {
+    pub fn to_ok_response(&self, own: ReservedHeaders) -> OkHttpResponse {
         let free = |sets: &[Set]| sets.iter().filter(|(name, ..)| is_free(name, own)).map(option).collect();
         let remove = self.remove.iter().filter(|name| is_free(name, own)).map(ToString::to_string);
         OkHttpResponse {
@@ -150,7 +150,7 @@
 
     /// Makes them on a request, but for the limiter's `own` headers and those of one hop; gives the names that
     /// were left alone.
-    pub fn apply(&self, headers: &mut HeaderMap, own: Own) -> Vec<HeaderName> {
+    pub fn apply(&self, headers: &mut HeaderMap, own: ReservedHeaders) -> Vec<HeaderName> {
         let mut left = Vec::new();
         for name in &self.remove {
             if is_free(name, own) {
@@ -164,7 +164,7 @@
     }
 
     /// Sets those meant for the answer to the client, within the same bounds.
-    pub fn apply_to_answer(&self, headers: &mut HeaderMap, own: Own) -> Vec<HeaderName> {
+    pub fn apply_to_response(&self, headers: &mut HeaderMap, own: ReservedHeaders) -> Vec<HeaderName> {
         let mut left = Vec::new();
         set_all(&self.answer, headers, own, &mut left);
         left
--- a/crates/authz/src/lib.rs
+++ b/crates/authz/src/lib.rs
@@ -22,15 +22,15 @@
     include!(concat!(env!("OUT_DIR"), "/messages.rs"));
 }
 
-pub use breaker::{Breaker, BreakerPolicy, Leave};
-pub use check::{denied, permitted, verdict, Denial, Verdict};
+pub use breaker::{Breaker, BreakerPolicy, Permit};
+pub use check::{denied_response, ok_response, parse_verdict, Denial, Verdict};
 pub use flood::{Flood, FrameLimits, FrameMeter};
-pub use framing::{frame, Splitter, Unary, WrongFrame, PREFIX};
-pub use headers::{Changes, Own};
-pub use mapping::{Asked, BadMapping, Mapping, Missing, Rules};
+pub use framing::{frame, FrameError, MessageDecoder, UnaryDecoder, PREFIX_LEN};
+pub use headers::{HeaderChanges, ReservedHeaders};
+pub use mapping::{Mapping, MappingError, MappingRules, MissingField, RequestFields};
 pub use prost::Message;
 pub use reflection::reflect;
-pub use status::{read_timeout, Code, Status};
+pub use status::{parse_timeout, Code, Status};
 
 /// Full names of the services that the limiter answers.
 pub const SERVICES: [&str; 3] = [AUTHORIZATION, HEALTH, REFLECTION];
--- a/crates/authz/src/mapping.rs
+++ b/crates/authz/src/mapping.rs
@@ -12,7 +12,7 @@
 /// Where each part of a request comes from, as the operator wrote it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Rules {
+pub struct MappingRules {
     pub class: String,
     pub customer: String,
     pub plan: String,
@@ -26,10 +26,10 @@
     pub add: Vec<(String, String)>,
 }
 
-impl Default for Rules {
+impl Default for MappingRules {
     /// The words of the HTTP front.
-    fn default() -> Rules {
-        Rules {
+    fn default() -> MappingRules {
+        MappingRules {
             class: "path:1".into(),
             customer: "path:2".into(),
             plan: "header:x-contract".into(),
@@ -67,14 +67,14 @@
 
 /// A rule that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadMapping {
+pub struct MappingError {
     /// The key, as `class`.
     pub key: &'static str,
     /// What was found and what was expected.
     pub reason: String,
 }
 
-impl fmt::Display for BadMapping {
+impl fmt::Display for MappingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} is {}", self.key, self.reason)
     }
@@ -185,7 +185,7 @@
 /// A question's parts as text; their form is for the fronts to check, as it is for all of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct Asked {
+pub struct RequestFields {
     pub class: String,
     pub customer: String,
     pub plan: String,
@@ -203,9 +203,9 @@
 
 /// A question lacks a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Missing(pub &'static str);
+pub struct MissingField(pub &'static str);
 
-impl fmt::Display for Missing {
+impl fmt::Display for MissingField {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the question has no {}", self.0)
     }
@@ -231,25 +231,25 @@
     ///
     /// # Errors
     /// The first rule that cannot be read, or whose constant can never be right.
-    pub fn new(rules: &Rules, classes: &[&str], plans: &[&str]) -> Result<Mapping, BadMapping> {
-        let read = |key, text: &str| Source::read(text).map_err(|reason| BadMapping { key, reason });
+    pub fn new(rules: &MappingRules, classes: &[&str], plans: &[&str]) -> Result<Mapping, MappingError> {
+        let read = |key, text: &str| Source::read(text).map_err(|reason| MappingError { key, reason });
         let one_of = |key, source: &Source, names: &[&str]| match &source.place {
             Place::Value(value) if !names.contains(&value.as_str()) => {
                 let reason = format!("\"value:{value}\", expected one of {}", names.join(", "));
-                Err(BadMapping { key, reason })
+                Err(MappingError { key, reason })
             }
             _ => Ok(()),
         };
         let number = |key, source: &Source| match &source.place {
             Place::Value(value) if !value.parse::<f64>().is_ok_and(|n| n > 0.0 && n.is_finite()) => {
-                Err(BadMapping { key, reason: format!("\"value:{value}\", expected a number above 0") })
+                Err(MappingError { key, reason: format!("\"value:{value}\", expected a number above 0") })
             }
             _ => Ok(()),
         };
         let add = rules.add.iter().map(|(name, text)| {
             if http::HeaderName::from_bytes(name.as_bytes()).is_err() {
                 let reason = format!("{name:?}, expected a header's name");
-                return Err(BadMapping { key: "add", reason });
+                return Err(MappingError { key: "add", reason });
             }
             Ok((name.to_ascii_lowercase(), read("add", text)?))
         });
@@ -272,7 +272,7 @@
         number("width", &mapping.width)?;
         if matches!(mapping.id.place, Place::Value(_)) {
             let reason = format!("{:?}, expected a source that differs with each call", rules.id);
-            return Err(BadMapping { key: "id", reason });
+            return Err(MappingError { key: "id", reason });
         }
         Ok(mapping)
     }
@@ -281,13 +281,14 @@
     ///
     /// # Errors
     /// The first part that it lacks.
-    pub fn read(&self, question: &CheckRequest) -> Result<Asked, Missing> {
-        let attributes = question.attributes.as_ref().ok_or(Missing("attributes"))?;
-        let http = attributes.request.as_ref().and_then(|r| r.http.as_ref()).ok_or(Missing("request"))?;
+    pub fn read(&self, question: &CheckRequest) -> Result<RequestFields, MissingField> {
+        let attributes = question.attributes.as_ref().ok_or(MissingField("attributes"))?;
+        let http =
+            attributes.request.as_ref().and_then(|r| r.http.as_ref()).ok_or(MissingField("request"))?;
         let question = Question { attributes, http };
         let find = |source: &Source| source.find(&question).map(Cow::into_owned);
-        let need = |part, source: &Source| find(source).ok_or(Missing(part));
-        Ok(Asked {
+        let need = |part, source: &Source| find(source).ok_or(MissingField(part));
+        Ok(RequestFields {
             class: need("class", &self.class)?,
             customer: need("customer", &self.customer)?,
             plan: need("plan", &self.plan)?,
--- a/crates/authz/src/status.rs
+++ b/crates/authz/src/status.rs
@@ -51,7 +51,7 @@
 }
 
 /// Reads `grpc-timeout`: one to eight digits and a unit (`H`, `M`, `S`, `m`, `u`, `n`); `None` for all else.
-pub fn read_timeout(text: &str) -> Option<Duration> {
+pub fn parse_timeout(text: &str) -> Option<Duration> {
     let unit = text.chars().next_back().filter(char::is_ascii)?;
     let digits = &text[..text.len() - 1];
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_digit()) {
--- a/crates/authz/tests/answers.rs
+++ b/crates/authz/tests/answers.rs
@@ -8,7 +8,9 @@
     CheckResponse, DeniedHttpResponse, OkHttpResponse,
 };
 use liftrouter_authz::messages::google::rpc::Status;
-use liftrouter_authz::{denied, permitted, verdict, Breaker, BreakerPolicy, Changes, Denial, Verdict};
+use liftrouter_authz::{
+    denied_response, ok_response, parse_verdict, Breaker, BreakerPolicy, Denial, HeaderChanges, Verdict,
+};
 use proptest::prelude::*;
 
 /// APPEND_IF_EXISTS_OR_ADD and so on, as the published enumeration numbers them.
@@ -33,7 +35,7 @@
 
 /// The headers after an OK, sorted as `name: value`, and the names that were left alone.
 fn after(response: CheckResponse, before: &[(&'static str, &'static str)]) -> (Vec<String>, Vec<String>) {
-    let Ok(Verdict::Allow(changes)) = verdict(response) else { panic!("not allowed") };
+    let Ok(Verdict::Allow(changes)) = parse_verdict(response) else { panic!("not allowed") };
     let mut headers = HeaderMap::new();
     for (name, value) in before {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
@@ -82,15 +84,15 @@
     };
     let response = answer(0, Some(HttpResponse::OkResponse(ok)));
     assert_eq!(after(response.clone(), &[("x-a", "1")]).0, ["x-a: 1"]);
-    let Ok(Verdict::Allow(changes)) = verdict(response) else { panic!("not allowed") };
+    let Ok(Verdict::Allow(changes)) = parse_verdict(response) else { panic!("not allowed") };
     let mut headers = HeaderMap::new();
     headers.insert("x-a", HeaderValue::from_static("1"));
-    let left = changes.apply_to_answer(&mut headers, &[http::header::RETRY_AFTER]);
+    let left = changes.apply_to_response(&mut headers, &[http::header::RETRY_AFTER]);
     assert_eq!(left, ["retry-after", "connection"]);
     let all: Vec<_> = headers.iter().map(|(n, v)| format!("{n}: {}", v.to_str().unwrap_or("?"))).collect();
     assert_eq!(all, ["x-a: 1", "x-a: 2", "x-b: 2"]);
     // And for a platform that asked the limiter, they are passed on.
-    assert_eq!(changes.pass_on(&[]).response_headers_to_add.len(), 3);
+    assert_eq!(changes.to_ok_response(&[]).response_headers_to_add.len(), 3);
 }
 
 #[test]
@@ -122,17 +124,17 @@
         (ok(vec![option("x-a", &"1".repeat(8_190), None, 0)], &[]), "headers of 8193 bytes, expected 8192"),
         (ok(vec![option("x-a", "1", None, 0); 65], &[]), "65 headers, expected 64 at most"),
     ] {
-        let found = verdict(response).err().unwrap_or_default();
+        let found = parse_verdict(response).err().unwrap_or_default();
         assert!(found.contains(expected), "{found:?} holds no {expected:?}");
     }
 }
 
 #[test]
 fn a_denial_without_a_status_is_403_and_an_answer_without_anything_allows() {
-    let Ok(Verdict::Deny(plain)) = verdict(answer(7, None)) else { panic!("allowed") };
+    let Ok(Verdict::Deny(plain)) = parse_verdict(answer(7, None)) else { panic!("allowed") };
     assert_eq!((plain.status, plain.code), (403, 7));
     // Proto3: an absent status is code 0, which is OK.
-    assert!(matches!(verdict(CheckResponse::default()), Ok(Verdict::Allow(_))));
+    assert!(matches!(parse_verdict(CheckResponse::default()), Ok(Verdict::Allow(_))));
 }
 
 #[test]
@@ -143,9 +145,10 @@
         headers: vec![("retry-after".into(), "0.250".into())],
         body: "refused\n".into(),
     };
-    assert_eq!(verdict(denied(denial.clone())), Ok(Verdict::Deny(denial)));
+    assert_eq!(parse_verdict(denied_response(denial.clone())), Ok(Verdict::Deny(denial)));
     assert_eq!(
-        after(permitted(&Changes::default(), &[], vec![("x-a".into(), "1".into())]), &[("x-a", "0")]).0,
+        after(ok_response(&HeaderChanges::default(), &[], vec![("x-a".into(), "1".into())]), &[("x-a", "0")])
+            .0,
         ["x-a: 1"]
     );
 }
@@ -162,9 +165,9 @@
         ],
         &["x-e", "x-correlation-id"],
     );
-    let Ok(Verdict::Allow(changes)) = verdict(first.clone()) else { panic!("not allowed") };
+    let Ok(Verdict::Allow(changes)) = parse_verdict(first.clone()) else { panic!("not allowed") };
     let own = [HeaderName::from_static("x-correlation-id")];
-    let second = permitted(&changes, &own, Vec::new());
+    let second = ok_response(&changes, &own, Vec::new());
     for before in [
         &[][..],
         &[("x-a", "1"), ("x-b", "1"), ("x-c", "1"), ("x-d", "1"), ("x-e", "1"), ("x-correlation-id", "1")],
@@ -176,12 +179,12 @@
 }
 
 fn breaker() -> Breaker {
-    Breaker::new(BreakerPolicy { failures: 3, rest: 1.0, most_rest: 4.0 })
+    Breaker::new(BreakerPolicy { failure_threshold: 3, open_s: 1.0, max_open_s: 4.0 })
 }
 
 fn fail(b: &mut Breaker, now: f64) {
-    let leave = b.leave(now).expect("leave");
-    b.ended(now, leave, Some(false));
+    let permit = b.acquire(now).expect("a permit");
+    b.release(now, permit, Some(false));
 }
 
 #[test]
@@ -189,35 +192,35 @@
     let mut b = breaker();
     fail(&mut b, 0.0);
     fail(&mut b, 0.0);
-    let leave = b.leave(0.0).expect("leave");
-    b.ended(0.0, leave, Some(true));
+    let permit = b.acquire(0.0).expect("a permit");
+    b.release(0.0, permit, Some(true));
     for _ in 0..3 {
         assert!(b.is_closed());
         fail(&mut b, 0.0);
     }
-    assert_eq!(b.leave(0.25).err(), Some(0.75));
-    let try_it = b.leave(1.0).expect("a try");
-    assert!(b.leave(1.0).is_err(), "one at a time");
-    b.ended(1.1, try_it, Some(false));
-    assert_eq!(b.leave(1.1).err().map(|s| (s * 10.0).round()), Some(20.0), "twice as long");
-    let try_it = b.leave(3.2).expect("a try");
-    b.ended(3.2, try_it, None);
-    let try_it = b.leave(3.2).expect("nothing was learnt: another try");
-    b.ended(3.2, try_it, Some(true));
+    assert_eq!(b.acquire(0.25).err(), Some(0.75));
+    let try_it = b.acquire(1.0).expect("a try");
+    assert!(b.acquire(1.0).is_err(), "one at a time");
+    b.release(1.1, try_it, Some(false));
+    assert_eq!(b.acquire(1.1).err().map(|s| (s * 10.0).round()), Some(20.0), "twice as long");
+    let try_it = b.acquire(3.2).expect("a try");
+    b.release(3.2, try_it, None);
+    let try_it = b.acquire(3.2).expect("nothing was learnt: another try");
+    b.release(3.2, try_it, Some(true));
     assert!(b.is_closed());
     (0..3).for_each(|_| fail(&mut b, 4.0));
-    assert_eq!(b.leave(4.0).err(), Some(1.0), "the rest begins anew");
+    assert_eq!(b.acquire(4.0).err(), Some(1.0), "the rest begins anew");
 }
 
 #[test]
 fn answers_to_questions_of_before_change_nothing() {
     let mut b = breaker();
-    let old: Vec<_> = (0..2).map(|_| b.leave(0.0).expect("leave")).collect();
+    let old: Vec<_> = (0..2).map(|_| b.acquire(0.0).expect("a permit")).collect();
     (0..3).for_each(|_| fail(&mut b, 0.0));
-    for leave in old {
-        b.ended(0.5, leave, Some(true));
+    for permit in old {
+        b.release(0.5, permit, Some(true));
     }
-    assert!(b.leave(0.5).is_err());
+    assert!(b.acquire(0.5).is_err());
 }
 
 proptest! {
@@ -233,19 +236,19 @@
             match step {
                 0 | 1 => {
                     let closed = b.is_closed();
-                    if let Ok(leave) = b.leave(now) {
-                        out.push(leave);
-                        prop_assert!(closed || b.leave(now).is_err());
+                    if let Ok(permit) = b.acquire(now) {
+                        out.push(permit);
+                        prop_assert!(closed || b.acquire(now).is_err());
                     }
                 }
-                2 | 3 if !out.is_empty() => b.ended(now, out.remove(0), Some(step == 3)),
-                4 if !out.is_empty() => b.ended(now, out.remove(0), None),
+                2 | 3 if !out.is_empty() => b.release(now, out.remove(0), Some(step == 3)),
+                4 if !out.is_empty() => b.release(now, out.remove(0), None),
                 _ => {}
             }
         }
-        for leave in out.drain(..) {
-            b.ended(now, leave, Some(false));
+        for permit in out.drain(..) {
+            b.release(now, permit, Some(false));
         }
-        prop_assert!(b.leave(now + 4.0).is_ok());
+        prop_assert!(b.acquire(now + 4.0).is_ok());
     }
 }
--- a/crates/authz/tests/framing.rs
+++ b/crates/authz/tests/framing.rs
@@ -1,12 +1,14 @@
 //! Messages and their prefixes, from the text of "gRPC over HTTP/2", and the bytes that break it.
 
 use liftrouter_authz::messages::grpc::health::v1::HealthCheckRequest;
-use liftrouter_authz::{frame, read_timeout, Code, Message, Splitter, Status, Unary, WrongFrame};
+use liftrouter_authz::{
+    frame, parse_timeout, Code, FrameError, Message, MessageDecoder, Status, UnaryDecoder,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
-fn unary(pieces: &[&[u8]]) -> Result<Vec<u8>, WrongFrame> {
-    let mut reader = Unary::new(100);
+fn unary(pieces: &[&[u8]]) -> Result<Vec<u8>, FrameError> {
+    let mut reader = UnaryDecoder::new(100);
     for piece in pieces {
         reader.push(piece)?;
     }
@@ -25,17 +27,17 @@
 #[test]
 fn what_breaks_the_form_is_named() {
     for (pieces, expected) in [
-        (&[b"\x01\0\0\0\x01a".as_slice()][..], WrongFrame::Compressed),
-        (&[b"\x07\0\0\0\x01a"], WrongFrame::Flag(7)),
-        (&[b"\0\xff\xff\xff\xff"], WrongFrame::TooLarge { found: 0xffff_ffff, most: 100 }),
-        (&[b"\0\0\0\0\x65"], WrongFrame::TooLarge { found: 101, most: 100 }),
-        (&[b"\0\0\0\0\x03ab"], WrongFrame::Half),
-        (&[b"\0\0\0"], WrongFrame::Half),
-        (&[], WrongFrame::Nothing),
-        (&[b""], WrongFrame::Nothing),
-        (&[b"\0\0\0\0\x01ab"], WrongFrame::Twice),
-        (&[b"\0\0\0\0\x01a", b"\0\0\0\0\x01a"], WrongFrame::Twice),
-        (&[b"\0\0\0\0\x01a", b"\0"], WrongFrame::Twice),
+        (&[b"\x01\0\0\0\x01a".as_slice()][..], FrameError::Compressed),
+        (&[b"\x07\0\0\0\x01a"], FrameError::Flag(7)),
+        (&[b"\0\xff\xff\xff\xff"], FrameError::TooLarge { found: 0xffff_ffff, max: 100 }),
+        (&[b"\0\0\0\0\x65"], FrameError::TooLarge { found: 101, max: 100 }),
+        (&[b"\0\0\0\0\x03ab"], FrameError::Truncated),
+        (&[b"\0\0\0"], FrameError::Truncated),
+        (&[], FrameError::NoMessage),
+        (&[b""], FrameError::NoMessage),
+        (&[b"\0\0\0\0\x01ab"], FrameError::MultipleMessages),
+        (&[b"\0\0\0\0\x01a", b"\0\0\0\0\x01a"], FrameError::MultipleMessages),
+        (&[b"\0\0\0\0\x01a", b"\0"], FrameError::MultipleMessages),
     ] {
         assert_eq!(unary(pieces), Err(expected), "{pieces:?}");
     }
@@ -63,7 +65,7 @@
         ("5s", None),
         ("5é", None),
     ] {
-        assert_eq!(read_timeout(text), expected, "{text:?}");
+        assert_eq!(parse_timeout(text), expected, "{text:?}");
     }
 }
 
@@ -88,7 +90,7 @@
             stream.extend_from_slice(&(message.len() as u32).to_be_bytes());
             stream.extend_from_slice(message);
         }
-        let mut splitter = Splitter::new(40);
+        let mut splitter = MessageDecoder::new(40);
         let mut found = Vec::new();
         let mut rest = stream.as_slice();
         for cut in cuts.iter().cycle() {
@@ -110,11 +112,11 @@
     fn no_bytes_panic_and_none_are_kept_beyond_what_is_announced(
         bytes in prop::collection::vec(any::<u8>(), 0..300)
     ) {
-        let mut reader = Unary::new(64);
+        let mut reader = UnaryDecoder::new(64);
         if reader.push(&bytes).is_ok() {
             let _ = reader.finish();
         }
         let _ = liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest::decode(bytes.as_slice());
-        let _ = read_timeout(&String::from_utf8_lossy(&bytes));
+        let _ = parse_timeout(&String::from_utf8_lossy(&bytes));
     }
 }
--- a/crates/authz/tests/mapping.rs
+++ b/crates/authz/tests/mapping.rs
@@ -2,7 +2,7 @@
 
 use liftrouter_authz::messages::envoy::service::auth::v3::attribute_context::{HttpRequest, Peer, Request};
 use liftrouter_authz::messages::envoy::service::auth::v3::{AttributeContext, CheckRequest};
-use liftrouter_authz::{Mapping, Missing, Rules};
+use liftrouter_authz::{Mapping, MappingRules, MissingField};
 
 const CLASSES: &[&str] = &["quote", "bind"];
 const PLANS: &[&str] = &["roomy"];
@@ -46,7 +46,7 @@
 
 #[test]
 fn without_rules_a_question_reads_as_the_http_front_reads_the_call() {
-    let mapping = Mapping::new(&Rules::default(), CLASSES, PLANS).expect("good");
+    let mapping = Mapping::new(&MappingRules::default(), CLASSES, PLANS).expect("good");
     let asked = mapping.read(&usual()).expect("whole");
     assert_eq!((asked.class.as_str(), asked.customer.as_str()), ("quote", "000000000000002a"));
     assert_eq!((asked.plan.as_str(), asked.units.as_str(), asked.width.as_str()), ("roomy", "2", "1"));
@@ -70,7 +70,7 @@
         ("value:a#b", "a#b"),
         ("header:x-metering#spread", "1"),
     ] {
-        let rules = Rules { customer: rule.into(), ..Rules::default() };
+        let rules = MappingRules { customer: rule.into(), ..MappingRules::default() };
         let mapping = Mapping::new(&rules, CLASSES, PLANS).expect(rule);
         assert_eq!(mapping.read(&usual()).expect(rule).customer, expected, "{rule}");
     }
@@ -78,10 +78,10 @@
 
 #[test]
 fn what_a_question_lacks_is_named() {
-    let mapping = Mapping::new(&Rules::default(), CLASSES, PLANS).expect("good");
-    assert_eq!(mapping.read(&CheckRequest::default()), Err(Missing("attributes")));
+    let mapping = Mapping::new(&MappingRules::default(), CLASSES, PLANS).expect("good");
+    assert_eq!(mapping.read(&CheckRequest::default()), Err(MissingField("attributes")));
     let empty = CheckRequest { attributes: Some(AttributeContext::default()) };
-    assert_eq!(mapping.read(&empty), Err(Missing("request")));
+    assert_eq!(mapping.read(&empty), Err(MissingField("request")));
     for (path, headers, part) in [
         ("", &[][..], "class"),
         ("/quote", &[], "customer"),
@@ -92,14 +92,14 @@
         ("/quote/1", &[("x-contract", "roomy"), ("x-metering", "units=1")], "width"),
         ("/quote/1", &[("x-contract", "roomy"), ("x-metering", "units=1,spread=1")], "id"),
     ] {
-        assert_eq!(mapping.read(&question(path, headers)), Err(Missing(part)), "{path} {headers:?}");
+        assert_eq!(mapping.read(&question(path, headers)), Err(MissingField(part)), "{path} {headers:?}");
     }
 }
 
 #[test]
 fn rules_that_cannot_be_right_are_refused_at_the_start() {
-    let with = |change: fn(&mut Rules)| {
-        let mut rules = Rules::default();
+    let with = |change: fn(&mut MappingRules)| {
+        let mut rules = MappingRules::default();
         change(&mut rules);
         Mapping::new(&rules, CLASSES, PLANS).err().map(|e| e.to_string()).unwrap_or_default()
     };
--- a/crates/authz/tests/peers.rs
+++ b/crates/authz/tests/peers.rs
@@ -16,7 +16,7 @@
 }
 
 fn meter() -> FrameMeter {
-    let mut meter = FrameMeter::server(FrameLimits { resets: 10.0, control: 50.0 }, 0.0);
+    let mut meter = FrameMeter::server(FrameLimits { resets_per_s: 10.0, control_per_s: 50.0 }, 0.0);
     meter.read(PREFACE, 0.0).expect("the preface");
     meter
 }
--- a/crates/daemon/src/authorizer/client.rs
+++ b/crates/daemon/src/authorizer/client.rs
@@ -8,7 +8,7 @@
 use crate::count::Count;
 use crate::log::log;
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
-use liftrouter_authz::{frame, verdict, Breaker, Leave, Verdict};
+use liftrouter_authz::{frame, parse_verdict, Breaker, Permit, Verdict};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
@@ -44,16 +44,16 @@
 
     /// Sends a check request and waits for the decision until `deadline`, or as long as the settings allow.
     pub(super) async fn check(&self, request: &CheckRequest, via: &str, deadline: Instant) -> Authorization {
-        if self.open_checks.get() >= self.settings.questions {
+        if self.open_checks.get() >= self.settings.max_open_checks {
             // Busy with others, not down: that does not count as a failure.
             return Authorization::Undecided { retry_after: 0.0 };
         }
-        let leave = match self.breaker.borrow_mut().leave(self.seconds()) {
-            Ok(leave) => leave,
+        let breaker_permit = match self.breaker.borrow_mut().acquire(self.seconds()) {
+            Ok(permit) => permit,
             Err(retry_after) => return Authorization::Undecided { retry_after },
         };
         let _open = Count::new(&self.open_checks);
-        let mut permit = BreakerPermit { authorizer: self, leave: Some(leave) };
+        let mut permit = BreakerPermit { authorizer: self, permit: Some(breaker_permit) };
         let until = deadline.min(Instant::now() + self.settings.timeout);
         let result = timeout_at(until, self.check_with_retry(request, via, until)).await;
         let error = match result {
@@ -86,10 +86,10 @@
             let _open = Count::new(connection.open_checks.clone());
             let silence = SilenceGuard::new(&self.pool, &connection);
             let http_request = build_request(&self.settings, body.clone(), via, deadline);
-            let response = exchange(connection.sender, http_request, self.settings.message).await;
+            let response = exchange(connection.sender, http_request, self.settings.max_message_bytes).await;
             silence.disarm();
             match response {
-                Ok(response) => return verdict(response).map_err(CheckError::Verdict),
+                Ok(response) => return parse_verdict(response).map_err(CheckError::Verdict),
                 Err(AttemptError::StreamRefused) => {}
                 Err(AttemptError::ConnectionClosed) => self.pool.remove(connection.number),
                 Err(AttemptError::Failed(error)) => return Err(error),
@@ -102,7 +102,7 @@
 /// The circuit breaker's permission for one check request, given back without a result if the client disconnects.
 struct BreakerPermit<'a> {
     authorizer: &'a Authorizer,
-    leave: Option<Leave>,
+    permit: Option<Permit>,
 }
 
 impl BreakerPermit<'_> {
@@ -111,8 +111,8 @@
     }
 
     fn release(&mut self, success: Option<bool>) {
-        if let Some(leave) = self.leave.take() {
-            self.authorizer.breaker.borrow_mut().ended(self.authorizer.seconds(), leave, success);
+        if let Some(permit) = self.permit.take() {
+            self.authorizer.breaker.borrow_mut().release(self.authorizer.seconds(), permit, success);
         }
     }
 }
--- a/crates/daemon/src/authorizer/error.rs
+++ b/crates/daemon/src/authorizer/error.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use hyper::header::{HeaderMap, HeaderValue};
-use liftrouter_authz::WrongFrame;
+use liftrouter_authz::FrameError;
 use std::error::Error;
 use thiserror::Error;
 
@@ -24,7 +24,7 @@
     #[error("no grpc-status, expected 0")]
     NoGrpcStatus,
     #[error("{0}")]
-    Frame(WrongFrame),
+    Frame(FrameError),
     #[error("the answer is malformed: {0}")]
     Malformed(String),
     /// The response is well formed and contradicts itself.
@@ -57,8 +57,8 @@
     }
 }
 
-impl From<WrongFrame> for AttemptError {
-    fn from(error: WrongFrame) -> Self {
+impl From<FrameError> for AttemptError {
+    fn from(error: FrameError) -> Self {
         AttemptError::Failed(CheckError::Frame(error))
     }
 }
--- a/crates/daemon/src/authorizer/error/tests.rs
+++ b/crates/daemon/src/authorizer/error/tests.rs
@@ -11,7 +11,7 @@
         (CheckError::Compressed, "a compressed answer, and none was offered to be"),
         (CheckError::GrpcStatus("14".into()), "grpc-status 14, expected 0"),
         (CheckError::NoGrpcStatus, "no grpc-status, expected 0"),
-        (CheckError::Frame(WrongFrame::Half), "the stream ended within a message"),
+        (CheckError::Frame(FrameError::Truncated), "the stream ended within a message"),
         (CheckError::Malformed("buffer underflow".into()), "the answer is malformed: buffer underflow"),
         (CheckError::RefusedTwice, "refused twice, unseen"),
         (CheckError::Timeout, "no answer in time"),
--- a/crates/daemon/src/authorizer/exchange.rs
+++ b/crates/daemon/src/authorizer/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::http::response::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckResponse;
-use liftrouter_authz::{Message, Unary};
+use liftrouter_authz::{Message, UnaryDecoder};
 use tokio::time::Instant;
 
 /// The limiters that a check request came through, by name, separated by commas.
@@ -67,7 +67,7 @@
 ) -> Result<CheckResponse, AttemptError> {
     let (head, mut body) = response.into_parts();
     check_head(&head)?;
-    let mut unary = Unary::new(max_message_bytes);
+    let mut unary = UnaryDecoder::new(max_message_bytes);
     let mut trailers = None;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| AttemptError::from(&error))?;
--- a/crates/daemon/src/authorizer/mod.rs
+++ b/crates/daemon/src/authorizer/mod.rs
@@ -12,7 +12,7 @@
 
 pub use client::Authorizer;
 pub use exchange::VIA;
-pub use settings::{AuthorizerSettings, WhenUnsure};
+pub use settings::{AuthorizerSettings, Fallback};
 
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
 use liftrouter_authz::Verdict;
@@ -54,7 +54,7 @@
     }
 
     /// The authorizer that a class names, and what becomes of a request that it does not decide.
-    pub fn for_class(&self, class: &str) -> Option<(&Authorizer, WhenUnsure)> {
+    pub fn for_class(&self, class: &str) -> Option<(&Authorizer, Fallback)> {
         self.list.iter().find_map(|authorizer| Some((authorizer, *authorizer.settings.classes.get(class)?)))
     }
 
--- a/crates/daemon/src/authorizer/pool.rs
+++ b/crates/daemon/src/authorizer/pool.rs
@@ -26,7 +26,7 @@
 const CONNECTION_WINDOW: u32 = 256 * 1024;
 const MAX_FRAME_BYTES: u32 = 16 * 1024;
 /// Frames a second that an authorizer may send without a call's part, and resets.
-const FRAME_LIMITS: FrameLimits = FrameLimits { resets: 2_000.0, control: 2_000.0 };
+const FRAME_LIMITS: FrameLimits = FrameLimits { resets_per_s: 2_000.0, control_per_s: 2_000.0 };
 
 /// A connection that check requests may go over.
 #[derive(Clone)]
@@ -78,7 +78,7 @@
         let least_loaded = connections.iter().min_by_key(|connection| connection.open_checks.get());
         // A further one is opened only where all that are there are busy.
         let all_busy = least_loaded.is_none_or(|connection| connection.open_checks.get() > 0);
-        if count < self.settings.connections && all_busy {
+        if count < self.settings.max_connections && all_busy {
             self.connecting.set(self.connecting.get() + 1);
             tokio::task::spawn_local(self.clone().connect());
         }
@@ -111,10 +111,12 @@
         let mut builder = http2::Builder::new(Local);
         builder
             .timer(TokioTimer::new())
-            .initial_stream_window_size((self.settings.message as u32).saturating_add(MAX_FRAME_BYTES))
+            .initial_stream_window_size(
+                (self.settings.max_message_bytes as u32).saturating_add(MAX_FRAME_BYTES),
+            )
             .initial_connection_window_size(CONNECTION_WINDOW)
             .max_frame_size(MAX_FRAME_BYTES)
-            .max_concurrent_reset_streams(self.settings.questions)
+            .max_concurrent_reset_streams(self.settings.max_open_checks)
             .keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT);
         let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.ok()?;
--- a/crates/daemon/src/authorizer/settings.rs
+++ b/crates/daemon/src/authorizer/settings.rs
@@ -7,7 +7,7 @@
 
 /// What becomes of a request whose authorizer gave no usable decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenUnsure {
+pub enum Fallback {
     /// It goes on (fail open).
     Pass,
     /// It is rejected (fail closed).
@@ -22,15 +22,15 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The most connections to it.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The most check requests open at once.
-    pub questions: usize,
+    pub max_open_checks: usize,
     /// The longest wait for a response.
     pub timeout: Duration,
     /// The most bytes of a response.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// When it is left alone after failures.
     pub breaker: BreakerPolicy,
     /// The classes whose requests it is asked about, and what becomes of them without a decision.
-    pub classes: HashMap<String, WhenUnsure>,
+    pub classes: HashMap<String, Fallback>,
 }
--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -5,12 +5,12 @@
 
 use super::body_budget::{BodyBudget, BodyReservation};
 use super::open_ids::{OpenRequestId, OpenRequestIds};
-use crate::authorizer::{Authorization, AuthorizationRequest, Authorizer, Authorizers, WhenUnsure};
+use crate::authorizer::{Authorization, AuthorizationRequest, Authorizer, Authorizers, Fallback};
 use crate::count::Count;
 use crate::events::{Answer, DisconnectGuard, EventQueue, IncomingRequest, Rejection, RequestKind};
 use crate::upstream::headers::OWN;
 use hyper::header::HeaderValue;
-use liftrouter_authz::{Changes, Verdict};
+use liftrouter_authz::{HeaderChanges, Verdict};
 use liftrouter_decision::Settings;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -36,7 +36,7 @@
 /// Whether a request may be submitted to the host.
 enum Authorized {
     /// It may, with these changes to its headers.
-    Yes(Changes),
+    Yes(HeaderChanges),
     /// This is its answer.
     No(Answer),
 }
@@ -101,13 +101,13 @@
         &self,
         mut request: IncomingRequest,
         authorization: &AuthorizationRequest<'_>,
-    ) -> (Answer, Changes) {
-        let Some((authorizer, when_unsure)) = self.authorizers.for_class(&request.class) else {
-            return (self.submit(request).await, Changes::default());
+    ) -> (Answer, HeaderChanges) {
+        let Some((authorizer, fallback)) = self.authorizers.for_class(&request.class) else {
+            return (self.submit(request).await, HeaderChanges::default());
         };
-        let changes = match self.authorize(authorizer, when_unsure, authorization).await {
+        let changes = match self.authorize(authorizer, fallback, authorization).await {
             Authorized::Yes(changes) => changes,
-            Authorized::No(answer) => return (answer, Changes::default()),
+            Authorized::No(answer) => return (answer, HeaderChanges::default()),
         };
         if let RequestKind::Forward(forward) = &mut request.kind {
             // The request is shared only once it is submitted.
@@ -121,21 +121,21 @@
     async fn authorize(
         &self,
         authorizer: &Authorizer,
-        when_unsure: WhenUnsure,
+        fallback: Fallback,
         request: &AuthorizationRequest<'_>,
     ) -> Authorized {
         let authorization = {
             let _awaiting = Count::new(&self.awaiting_authorization);
             self.authorizers.authorize(authorizer, request).await
         };
-        let changes = match (authorization, when_unsure) {
+        let changes = match (authorization, fallback) {
             (Authorization::Decided(Verdict::Allow(changes)), _) => changes,
             (Authorization::Decided(Verdict::Deny(denial)), _) => {
                 return Authorized::No(Answer::Denied(denial));
             }
-            (Authorization::Undecided { .. }, WhenUnsure::Pass) => Changes::default(),
+            (Authorization::Undecided { .. }, Fallback::Pass) => HeaderChanges::default(),
             // Nothing was forwarded, so a retry is harmless.
-            (Authorization::Undecided { retry_after }, WhenUnsure::Refuse) => {
+            (Authorization::Undecided { retry_after }, Fallback::Refuse) => {
                 return Authorized::No(Answer::Rejected(Rejection::limit(retry_after)));
             }
         };
--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -11,7 +11,7 @@
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::StatusCode;
 use liftrouter_authz::messages::envoy::service::auth::v3::{CheckRequest, CheckResponse};
-use liftrouter_authz::{denied, permitted, Asked, Code, Denial, Status};
+use liftrouter_authz::{denied_response, ok_response, Code, Denial, RequestFields, Status};
 use liftrouter_decision::{Class, Idempotency, Settings};
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
@@ -30,7 +30,7 @@
 
 impl Decision {
     fn denied(denial: Denial) -> Decision {
-        Decision { response: denied(denial), disconnect: None }
+        Decision { response: denied_response(denial), disconnect: None }
     }
 }
 
@@ -89,7 +89,7 @@
     let authorization = AuthorizationRequest { build: &build, via: &via, deadline };
     match timeout_at(deadline, admission.answer(request, &authorization)).await {
         Ok((Answer::Authorized(disconnect), changes)) => {
-            let response = permitted(&changes, &OWN, fields.add);
+            let response = ok_response(&changes, &OWN, fields.add);
             Ok(Decision { response, disconnect: Some(disconnect) })
         }
         Ok((Answer::Denied(denial), _)) => Ok(Decision::denied(denial)),
@@ -109,7 +109,7 @@
 
 /// Checks the fields of a check request as the HTTP listener checks a head.
 fn check_fields(
-    fields: &Asked,
+    fields: &RequestFields,
     settings: &Settings,
     hold: Option<Duration>,
 ) -> Result<CheckedFields, Status> {
@@ -142,7 +142,7 @@
 }
 
 /// The time left to the call; without one of its own, the deadline of its class.
-fn read_time_left(fields: &Asked, class: &Class) -> Result<Duration, Status> {
+fn read_time_left(fields: &RequestFields, class: &Class) -> Result<Duration, Status> {
     match &fields.time_left {
         Some(text) => {
             fields::read_time_left(text, class).ok_or_else(|| invalid_argument("the time left is malformed"))
--- a/crates/daemon/src/listeners/grpc/reflection.rs
+++ b/crates/daemon/src/listeners/grpc/reflection.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::Response;
 use liftrouter_authz::messages::grpc::reflection::v1::ServerReflectionRequest;
-use liftrouter_authz::{frame, reflect, Code, Message, Splitter, Status, WrongFrame};
+use liftrouter_authz::{frame, reflect, Code, FrameError, Message, MessageDecoder, Status};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -30,7 +30,7 @@
 }
 
 async fn answer_requests(mut body: Incoming, sender: mpsc::Sender<Result<Bytes, Status>>) {
-    let mut splitter = Splitter::new(MAX_MESSAGE_BYTES);
+    let mut splitter = MessageDecoder::new(MAX_MESSAGE_BYTES);
     for _ in 0..MAX_REQUESTS {
         let Some(request) = next_request(&mut body, &mut splitter).await else { return };
         let response = request.map(|request| frame(&reflect(request)));
@@ -45,7 +45,7 @@
 /// The next request, or the status that ends the stream; `None` if the client ended it.
 async fn next_request(
     body: &mut Incoming,
-    splitter: &mut Splitter,
+    splitter: &mut MessageDecoder,
 ) -> Option<Result<ServerReflectionRequest, Status>> {
     loop {
         match splitter.next_message() {
@@ -59,7 +59,7 @@
         match timeout(IDLE_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => splitter.push(frame.data_ref().map_or(&[][..], |data| data)),
             Ok(None) if splitter.is_empty() => return None,
-            Ok(None) => return Some(Err(frame_error(WrongFrame::Half))),
+            Ok(None) => return Some(Err(frame_error(FrameError::Truncated))),
             Ok(Some(Err(_))) => return None,
             Err(_) => return Some(Err(Status::new(Code::DeadlineExceeded, "no question came"))),
         }
--- a/crates/daemon/src/listeners/grpc/serve.rs
+++ b/crates/daemon/src/listeners/grpc/serve.rs
@@ -43,7 +43,7 @@
         .initial_connection_window_size(CONNECTION_WINDOW)
         .max_send_buf_size(SEND_BUFFER_BYTES)
         // The meter bounds how often streams are reset; hyper must not be stricter (CVE-2023-44487).
-        .max_pending_accept_reset_streams(limits.frames.resets as usize * 2)
+        .max_pending_accept_reset_streams(limits.frames.resets_per_s as usize * 2)
         .keep_alive_interval(PING_INTERVAL)
         .keep_alive_timeout(PING_TIMEOUT);
     let socket = Metered::new(stream, FrameMeter::server(limits.frames, 0.0));
--- a/crates/daemon/src/listeners/grpc/unary.rs
+++ b/crates/daemon/src/listeners/grpc/unary.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderName};
-use liftrouter_authz::{read_timeout, Code, Message, Status, Unary, WrongFrame};
+use liftrouter_authz::{parse_timeout, Code, FrameError, Message, Status, UnaryDecoder};
 use std::borrow::Cow;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
@@ -24,11 +24,11 @@
 }
 
 /// The status of a call whose framing is wrong.
-pub(super) fn frame_error(error: WrongFrame) -> Status {
+pub(super) fn frame_error(error: FrameError) -> Status {
     let code = match error {
         // "If the flag is set and no grpc-encoding was given, INTERNAL."
-        WrongFrame::Compressed => Code::Internal,
-        WrongFrame::TooLarge { .. } => Code::ResourceExhausted,
+        FrameError::Compressed => Code::Internal,
+        FrameError::TooLarge { .. } => Code::ResourceExhausted,
         _ => Code::InvalidArgument,
     };
     Status::new(code, error.to_string())
@@ -42,7 +42,7 @@
 /// When the call is over, by its `grpc-timeout`.
 pub(super) fn read_deadline(headers: &HeaderMap, received_at: Instant) -> Result<Instant, Status> {
     let Some(value) = headers.get(GRPC_TIMEOUT) else { return Ok(received_at + MAX_WAIT) };
-    let timeout = value.to_str().ok().and_then(read_timeout);
+    let timeout = value.to_str().ok().and_then(parse_timeout);
     let timeout =
         timeout.ok_or_else(|| invalid_argument("grpc-timeout is malformed, expected digits and a unit"))?;
     Ok(received_at + timeout.min(MAX_WAIT))
@@ -60,7 +60,7 @@
     }
     let no_memory = || Status::new(Code::ResourceExhausted, "too much is open");
     let mut reservation = context.admission.reserve_body(0).ok_or_else(no_memory)?;
-    let mut unary = Unary::new(context.limits.message);
+    let mut unary = UnaryDecoder::new(context.limits.message);
     let until = deadline.min(Instant::now() + MESSAGE_TIMEOUT);
     loop {
         let frame = match timeout_at(until, body.frame()).await {
--- a/crates/daemon/src/listeners/http/reply.rs
+++ b/crates/daemon/src/listeners/http/reply.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Method, Response, StatusCode};
-use liftrouter_authz::{Changes, Denial};
+use liftrouter_authz::{Denial, HeaderChanges};
 
 pub(super) type Reply = Response<Full<Bytes>>;
 
@@ -30,7 +30,7 @@
 }
 
 /// The reply to an answered request. `changes` are the authoriser's changes to the headers of a served answer.
-pub(super) fn from_answer(answer: Answer, changes: &Changes) -> Reply {
+pub(super) fn from_answer(answer: Answer, changes: &HeaderChanges) -> Reply {
     match answer {
         Answer::Served(answer) => served(answer, changes),
         Answer::Rejected(rejection) => rejected(&rejection),
@@ -50,13 +50,13 @@
     reply
 }
 
-fn served(answer: Response<Bytes>, changes: &Changes) -> Reply {
+fn served(answer: Response<Bytes>, changes: &HeaderChanges) -> Reply {
     let (head, body) = answer.into_parts();
     let mut reply = Response::new(Full::new(body));
     if let Some(content_type) = head.headers.get(CONTENT_TYPE) {
         reply.headers_mut().insert(CONTENT_TYPE, content_type.clone());
     }
-    changes.apply_to_answer(reply.headers_mut(), &[RETRY_AFTER]);
+    changes.apply_to_response(reply.headers_mut(), &[RETRY_AFTER]);
     reply
 }
 
--- a/crates/daemon/src/operator/authorizer.rs
+++ b/crates/daemon/src/operator/authorizer.rs
@@ -3,7 +3,7 @@
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
 use super::ClassLocation;
-use crate::authorizer::{AuthorizerSettings, WhenUnsure};
+use crate::authorizer::{AuthorizerSettings, Fallback};
 use liftrouter_authz::BreakerPolicy;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -45,14 +45,14 @@
     Ok(AuthorizerSettings {
         name: section.name,
         address,
-        connections: count(section.connections, "connections", "connections", 64, 1)? as usize,
-        questions: count(section.max_in_flight, "questions", "questions", 10_000, 100)? as usize,
+        max_connections: count(section.connections, "connections", "connections", 64, 1)? as usize,
+        max_open_checks: count(section.max_in_flight, "questions", "questions", 10_000, 100)? as usize,
         timeout: Duration::from_millis(milliseconds(section.timeout_ms, "timeout_ms", 100)?),
-        message: 1_024 * count(section.message_kb, "message_kb", "kilobytes", 1_024, 64)? as usize,
+        max_message_bytes: 1_024 * count(section.message_kb, "message_kb", "kilobytes", 1_024, 64)? as usize,
         breaker: BreakerPolicy {
-            failures: count(section.failures, "failures", "failures in a row", 1_000, 5)? as u32,
-            rest: open_ms as f64 / 1e3,
-            most_rest: milliseconds(section.max_open_ms, "most_rest_ms", 10_000)?.max(open_ms) as f64 / 1e3,
+            failure_threshold: count(section.failures, "failures", "failures in a row", 1_000, 5)? as u32,
+            open_s: open_ms as f64 / 1e3,
+            max_open_s: milliseconds(section.max_open_ms, "most_rest_ms", 10_000)?.max(open_ms) as f64 / 1e3,
         },
         classes,
     })
@@ -63,7 +63,7 @@
     source: &SourceText,
     classes: BTreeMap<Spanned<String>, Spanned<String>>,
     authorized: &mut Vec<ClassLocation>,
-) -> Result<HashMap<String, WhenUnsure>, OperatorError> {
+) -> Result<HashMap<String, Fallback>, OperatorError> {
     let mut fallbacks = HashMap::new();
     for (class, fallback) in classes {
         let offset = class.span().start;
@@ -72,16 +72,16 @@
             let first = first.location.clone();
             return Err(source.error(offset, Fault::RepeatedClass { class, first }));
         }
-        let when_unsure = match fallback.get_ref().as_str() {
-            "pass" => WhenUnsure::Pass,
-            "refuse" => WhenUnsure::Refuse,
+        let fallback = match fallback.get_ref().as_str() {
+            "pass" => Fallback::Pass,
+            "refuse" => Fallback::Refuse,
             found => {
                 let found = found.to_string();
                 return Err(source.error(fallback.span().start, Fault::UnknownFallback { class, found }));
             }
         };
         authorized.push(ClassLocation { class: class.clone(), location: source.location(offset) });
-        fallbacks.insert(class, when_unsure);
+        fallbacks.insert(class, fallback);
     }
     Ok(fallbacks)
 }
--- a/crates/daemon/src/operator/error.rs
+++ b/crates/daemon/src/operator/error.rs
@@ -2,7 +2,7 @@
 
 use super::counter::MAX_FALLBACK_COUNTERS;
 use super::relays::MAX_NAME_BYTES;
-use liftrouter_authz::BadMapping;
+use liftrouter_authz::MappingError;
 use std::fmt;
 use std::io;
 use std::ops::RangeInclusive;
@@ -114,7 +114,7 @@
     UnknownRule(String),
     /// A rule of the gRPC mapping that cannot be read, or does not fit the settings.
     #[error("{0}")]
-    Rule(BadMapping),
+    Rule(MappingError),
     /// No inventory file is named.
     #[error("inventory names no file, expected csv or yaml")]
     NoInventoryFile,
--- a/crates/daemon/src/operator/grpc.rs
+++ b/crates/daemon/src/operator/grpc.rs
@@ -3,7 +3,7 @@
 use super::error::{Fault, Location, OperatorError};
 use super::source::{NumberKey, SourceText};
 use crate::listeners::grpc::Limits;
-use liftrouter_authz::{FrameLimits, Mapping, Rules};
+use liftrouter_authz::{FrameLimits, Mapping, MappingRules};
 use liftrouter_decision::Settings;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
 pub struct Grpc {
     /// What the listener takes.
     pub limits: Limits,
-    rules: Rules,
+    rules: MappingRules,
     /// Where each rule stands, by its key.
     locations: BTreeMap<String, Location>,
     /// The file, for rules that it does not have.
@@ -69,7 +69,7 @@
 /// Checks the section.
 pub(super) fn check(source: &SourceText, section: GrpcSection) -> Result<Grpc, OperatorError> {
     let limits = check_limits(source, &section)?;
-    let mut rules = Rules::default();
+    let mut rules = MappingRules::default();
     let mut locations = BTreeMap::new();
     for (key, rule) in section.rules {
         locations.insert(key.get_ref().clone(), source.location(rule.span().start));
@@ -103,9 +103,13 @@
         idle: seconds(&section.idle_timeout_s, "idle_s", 60)?,
         age: seconds(&section.max_age_s, "age_s", 600)?,
         frames: FrameLimits {
-            resets: count(&section.resets_per_s, "resets_per_s", "a second", 1_000_000, 100)? as f64,
-            control: source.number(section.control_frames_per_s.clone(), control_key, 10..=1_000_000, 500)?
-                as f64,
+            resets_per_s: count(&section.resets_per_s, "resets_per_s", "a second", 1_000_000, 100)? as f64,
+            control_per_s: source.number(
+                section.control_frames_per_s.clone(),
+                control_key,
+                10..=1_000_000,
+                500,
+            )? as f64,
         },
         hold: match &section.max_hold_ms {
             None => None,
@@ -122,7 +126,7 @@
 }
 
 /// The rule that a key of the mapping sets.
-fn rule_of_key<'a>(rules: &'a mut Rules, key: &str) -> Option<&'a mut String> {
+fn rule_of_key<'a>(rules: &'a mut MappingRules, key: &str) -> Option<&'a mut String> {
     Some(match key {
         "class" => &mut rules.class,
         "customer" => &mut rules.customer,
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -1,9 +1,9 @@
 //! The operator's file: every key is read, and every fault is located.
 
 use super::*;
-use crate::authorizer::WhenUnsure;
+use crate::authorizer::Fallback;
 use crate::listeners::grpc::Limits;
-use liftrouter_authz::{BreakerPolicy, FrameLimits, Mapping, Rules};
+use liftrouter_authz::{BreakerPolicy, FrameLimits, Mapping, MappingRules};
 use liftrouter_catalog::Subscription;
 use liftrouter_inventory::Form;
 use std::collections::HashMap;
@@ -199,14 +199,14 @@
         header_list: 14 * 1_024,
         idle: Duration::from_secs(15),
         age: Duration::from_secs(16),
-        frames: FrameLimits { resets: 17.0, control: 18.0 },
+        frames: FrameLimits { resets_per_s: 17.0, control_per_s: 18.0 },
         hold: Some(Duration::from_millis(19)),
     };
     assert_eq!(grpc.limits, expected);
     let settings: Settings =
         serde_json::from_str(r#"{"classes": [{"name": "quote"}], "tariffs": [{"name": "roomy"}]}"#)
             .expect("settings");
-    let rules = Rules {
+    let rules = MappingRules {
         class: "path:3".into(),
         customer: "header:x-customer".into(),
         plan: "header:x-plan".into(),
@@ -226,12 +226,12 @@
     let expected = AuthorizerSettings {
         name: "risk".into(),
         address: address("127.0.0.1:9102"),
-        connections: 2,
-        questions: 21,
+        max_connections: 2,
+        max_open_checks: 21,
         timeout: Duration::from_millis(22),
-        message: 23 * 1_024,
-        breaker: BreakerPolicy { failures: 24, rest: 0.025, most_rest: 0.026 },
-        classes: HashMap::from([("bind".into(), WhenUnsure::Refuse), ("quote".into(), WhenUnsure::Pass)]),
+        max_message_bytes: 23 * 1_024,
+        breaker: BreakerPolicy { failure_threshold: 24, open_s: 0.025, max_open_s: 0.026 },
+        classes: HashMap::from([("bind".into(), Fallback::Refuse), ("quote".into(), Fallback::Pass)]),
     };
     assert_eq!(every_key().authorizers, [expected]);
 }
--- a/crates/daemon/src/serve/resources.rs
+++ b/crates/daemon/src/serve/resources.rs
@@ -27,7 +27,8 @@
 impl SocketBudget {
     /// Divides what is left once every other part has its sockets.
     pub fn new(limits: &Limits, operator: &Operator, listeners: &BoundListeners) -> Self {
-        let authorizers = operator.authorizers.iter().map(|authorizer| authorizer.connections).sum::<usize>();
+        let authorizers =
+            operator.authorizers.iter().map(|authorizer| authorizer.max_connections).sum::<usize>();
         let fallback_counters = operator.counter.as_ref().map_or(0, |counter| counter.fallbacks.len());
         let counters = client::MAX_CONCURRENT_CALLS * (1 + fallback_counters);
         let taken = RESERVED_SOCKETS + counters + listeners.grpc_sockets() + authorizers;
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -19,7 +19,7 @@
     Frame as RawFrame, ACK, CANCEL, CONTINUATION, DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, PING,
     REFUSED_STREAM, RST_STREAM, SETTINGS, WINDOW_UPDATE,
 };
-use liftrouter_authz::{frame, Message, Unary};
+use liftrouter_authz::{frame, Message, UnaryDecoder};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -78,7 +78,7 @@
 impl CallResult {
     pub fn read<M: Message + Default>(&self) -> M {
         assert_eq!((self.http, self.status), (200, Some(0)), "{self:?}");
-        let mut unary = Unary::new(1 << 20);
+        let mut unary = UnaryDecoder::new(1 << 20);
         unary.push(&self.body).expect("one message");
         M::decode(unary.finish().expect("whole")).expect("a message")
     }
@@ -368,7 +368,7 @@
                 if frame.flags & END_STREAM == 0 {
                     continue;
                 }
-                let mut unary = Unary::new(1 << 20);
+                let mut unary = UnaryDecoder::new(1 << 20);
                 unary.push(body).expect("one message");
                 let request = CheckRequest::decode(unary.finish().expect("whole")).expect("a check request");
                 let number = {
--- a/crates/daemon/tests/grpc.rs
+++ b/crates/daemon/tests/grpc.rs
@@ -8,7 +8,7 @@
 use liftrouter_authz::messages::grpc::reflection::v1::server_reflection_request::MessageRequest;
 use liftrouter_authz::messages::grpc::reflection::v1::server_reflection_response::MessageResponse;
 use liftrouter_authz::messages::grpc::reflection::v1::{ServerReflectionRequest, ServerReflectionResponse};
-use liftrouter_authz::{frame, Message, Splitter};
+use liftrouter_authz::{frame, Message, MessageDecoder};
 use serde_json::{json, Value};
 
 const FRONT: &str = "[grpc]\nlisten = '127.0.0.1:0'\n";
@@ -235,7 +235,7 @@
         let twice = [frame(&request), frame(&request)].concat();
         let result = grpc_client.send(GrpcClient::request(&path, &[], twice.into())).expect("an answer");
         assert_eq!(result.status, Some(0));
-        let mut splitter = Splitter::new(1 << 20);
+        let mut splitter = MessageDecoder::new(1 << 20);
         splitter.push(&result.body);
         for _ in 0..2 {
             let message = splitter.next_message().expect("well-formed").expect("a message");
--- a/crates/rehearsal/src/standin/authoriser.rs
+++ b/crates/rehearsal/src/standin/authoriser.rs
@@ -10,7 +10,7 @@
 use liftrouter_authz::messages::envoy::service::auth::v3::{CheckRequest, CheckResponse, DeniedHttpResponse};
 use liftrouter_authz::messages::google::rpc::Status;
 use liftrouter_authz::wire::{self, Frame};
-use liftrouter_authz::{frame, Message, Unary};
+use liftrouter_authz::{frame, Message, UnaryDecoder};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use std::net::SocketAddr;
@@ -183,7 +183,7 @@
 
     /// A question gets its answer, after its time.
     async fn take(self: Arc<Self>, stream: u32, body: Vec<u8>, answers: mpsc::UnboundedSender<Ruled>) {
-        let mut unary = Unary::new(LARGEST);
+        let mut unary = UnaryDecoder::new(LARGEST);
         let question = unary.push(&body).and_then(|()| unary.finish()).ok();
         let Some(question) = question.and_then(|q| CheckRequest::decode(q).ok()) else {
             let say = Say::Write(wire::trailers_only(stream, "3"));
--- a/crates/rehearsal/src/standin/platform.rs
+++ b/crates/rehearsal/src/standin/platform.rs
@@ -10,7 +10,7 @@
 use liftrouter_authz::messages::envoy::service::auth::v3::attribute_context::{self, HttpRequest};
 use liftrouter_authz::messages::envoy::service::auth::v3::check_response::HttpResponse;
 use liftrouter_authz::messages::envoy::service::auth::v3::{AttributeContext, CheckRequest, CheckResponse};
-use liftrouter_authz::{frame, wire, Message, Splitter, PREFIX};
+use liftrouter_authz::{frame, wire, Message, MessageDecoder, PREFIX_LEN};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -155,10 +155,10 @@
 
 /// A permission is 200; a denial has its own status. What is neither is no answer that a platform could use.
 fn read(body: &[u8]) -> Said {
-    let mut messages = Splitter::new(LARGEST);
+    let mut messages = MessageDecoder::new(LARGEST);
     messages.push(body);
     let message = messages.next_message().ok().flatten();
-    let behind = body.len().saturating_sub(message.as_ref().map_or(0, |m| PREFIX + m.len()));
+    let behind = body.len().saturating_sub(message.as_ref().map_or(0, |m| PREFIX_LEN + m.len()));
     let answer = |status, advice| match behind {
         0 => Said::Answer(status, advice),
         bytes => Said::Surplus(status, advice, bytes as u32),
--- a/crates/rehearsal/src/standin/rogue/grpc.rs
+++ b/crates/rehearsal/src/standin/rogue/grpc.rs
@@ -5,7 +5,7 @@
 use liftrouter_authz::messages::envoy::service::auth::v3::check_response::HttpResponse;
 use liftrouter_authz::messages::envoy::service::auth::v3::{CheckRequest, CheckResponse};
 use liftrouter_authz::wire::{self, Frame};
-use liftrouter_authz::{Message, Splitter};
+use liftrouter_authz::{Message, MessageDecoder};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
 
 async fn questions(mut reader: OwnedReadHalf, mut writer: OwnedWriteHalf, asked: &Streams) {
     let (mut buffer, mut greeted) = (Vec::new(), false);
-    let mut bodies: HashMap<u32, Splitter> = HashMap::new();
+    let mut bodies: HashMap<u32, MessageDecoder> = HashMap::new();
     loop {
         let before = buffer.len();
         if !matches!(reader.read_buf(&mut buffer).await, Ok(read) if read > 0) {
@@ -74,7 +74,7 @@
             if frame.kind != wire::DATA {
                 continue;
             }
-            let body = bodies.entry(frame.stream).or_insert_with(|| Splitter::new(LARGEST));
+            let body = bodies.entry(frame.stream).or_insert_with(|| MessageDecoder::new(LARGEST));
             body.push(&frame.payload);
             if let Some(question) = body.next_message().ok().flatten().and_then(|m| read(&m)) {
                 asked.borrow_mut().insert(frame.stream, question);
@@ -127,7 +127,7 @@
 
 /// Whether a frame holds a whole answer that permits.
 fn permits(payload: &[u8]) -> bool {
-    let mut messages = Splitter::new(LARGEST);
+    let mut messages = MessageDecoder::new(LARGEST);
     messages.push(payload);
     let response = messages.next_message().ok().flatten().and_then(|m| CheckResponse::decode(m).ok());
     response.is_some_and(|r| matches!(r.http_response, Some(HttpResponse::OkResponse(_))))
