--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -63,7 +63,7 @@
     }
     let fields = context.mapping.read(&check).map_err(|missing| invalid_argument(missing.to_string()))?;
     let admission = &context.admission;
-    let checked = check_fields(&fields, &admission.settings, context.limits.hold)?;
+    let checked = check_fields(&fields, &admission.settings, context.limits.max_hold)?;
     if admission.is_full() {
         return Err(Status::new(Code::ResourceExhausted, "too many requests are open"));
     }
--- a/crates/daemon/src/listeners/grpc/context.rs
+++ b/crates/daemon/src/listeners/grpc/context.rs
@@ -13,21 +13,21 @@
     /// The address to listen on.
     pub listen: SocketAddr,
     /// Streams that a connection may have open at once.
-    pub streams: u32,
+    pub max_streams: u32,
     /// The most connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The most bytes of one message.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// The most bytes of a header list, counted as in RFC 9113, section 10.5.1.
-    pub header_list: u32,
+    pub max_header_list_bytes: u32,
     /// A connection without a call for so long is closed with GOAWAY.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A connection of this age is closed with GOAWAY.
-    pub age: Duration,
+    pub max_age: Duration,
     /// The rates of frames that a client may send.
-    pub frames: FrameLimits,
+    pub frame_limits: FrameLimits,
     /// How long a permitted call counts as in flight at most.
-    pub hold: Option<Duration>,
+    pub max_hold: Option<Duration>,
 }
 
 /// What every call reads.
--- a/crates/daemon/src/listeners/grpc/mod.rs
+++ b/crates/daemon/src/listeners/grpc/mod.rs
@@ -72,7 +72,7 @@
     /// Accepts connections for as long as it is polled.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
         let full = || {
-            let full = self.connections.borrow().len() >= self.context.limits.connections;
+            let full = self.connections.borrow().len() >= self.context.limits.max_connections;
             if full {
                 self.close_idlest();
             }
--- a/crates/daemon/src/listeners/grpc/serve.rs
+++ b/crates/daemon/src/listeners/grpc/serve.rs
@@ -36,21 +36,21 @@
     let mut builder = http2::Builder::new(Local);
     builder
         .timer(TokioTimer::new())
-        .max_concurrent_streams(limits.streams)
-        .max_header_list_size(limits.header_list)
+        .max_concurrent_streams(limits.max_streams)
+        .max_header_list_size(limits.max_header_list_bytes)
         .max_frame_size(MAX_FRAME_BYTES)
-        .initial_stream_window_size((limits.message as u32).saturating_add(MAX_FRAME_BYTES))
+        .initial_stream_window_size((limits.max_message_bytes as u32).saturating_add(MAX_FRAME_BYTES))
         .initial_connection_window_size(CONNECTION_WINDOW)
         .max_send_buf_size(SEND_BUFFER_BYTES)
         // The meter bounds how often streams are reset; hyper must not be stricter (CVE-2023-44487).
-        .max_pending_accept_reset_streams(limits.frames.resets_per_s as usize * 2)
+        .max_pending_accept_reset_streams(limits.frame_limits.resets_per_s as usize * 2)
         .keep_alive_interval(PING_INTERVAL)
         .keep_alive_timeout(PING_TIMEOUT);
-    let socket = Metered::new(stream, FrameMeter::server(limits.frames, 0.0));
+    let socket = Metered::new(stream, FrameMeter::server(limits.frame_limits, 0.0));
     let mut http = pin!(builder.serve_connection::<_, _, Reply>(TokioIo::new(socket), service));
     let mut shutdown_started = false;
     loop {
-        let wake = match connection.next(Instant::now(), limits.idle, limits.age) {
+        let wake = match connection.next(Instant::now(), limits.idle_timeout, limits.max_age) {
             Next::Close => return,
             Next::GoAway => {
                 connection.go_away();
--- a/crates/daemon/src/listeners/grpc/unary.rs
+++ b/crates/daemon/src/listeners/grpc/unary.rs
@@ -60,7 +60,7 @@
     }
     let no_memory = || Status::new(Code::ResourceExhausted, "too much is open");
     let mut reservation = context.admission.reserve_body(0).ok_or_else(no_memory)?;
-    let mut unary = UnaryDecoder::new(context.limits.message);
+    let mut unary = UnaryDecoder::new(context.limits.max_message_bytes);
     let until = deadline.min(Instant::now() + MESSAGE_TIMEOUT);
     loop {
         let frame = match timeout_at(until, body.frame()).await {
--- a/crates/daemon/src/operator/grpc.rs
+++ b/crates/daemon/src/operator/grpc.rs
@@ -96,13 +96,14 @@
     let control_key = NumberKey::new("control_per_s", "a second");
     Ok(Limits {
         listen: source.address("listen is", &section.listen)?,
-        streams: count(&section.max_streams, "streams", "streams", 10_000, 100)? as u32,
-        connections: count(&section.max_connections, "connections", "connections", 10_000, 32)? as usize,
-        message: bytes(count(&section.message_kb, "message_kb", "kilobytes", 1_024, 64)?),
-        header_list: bytes(count(&section.header_list_kb, "header_list_kb", "kilobytes", 64, 16)?) as u32,
-        idle: seconds(&section.idle_timeout_s, "idle_s", 60)?,
-        age: seconds(&section.max_age_s, "age_s", 600)?,
-        frames: FrameLimits {
+        max_streams: count(&section.max_streams, "streams", "streams", 10_000, 100)? as u32,
+        max_connections: count(&section.max_connections, "connections", "connections", 10_000, 32)? as usize,
+        max_message_bytes: bytes(count(&section.message_kb, "message_kb", "kilobytes", 1_024, 64)?),
+        max_header_list_bytes: bytes(count(&section.header_list_kb, "header_list_kb", "kilobytes", 64, 16)?)
+            as u32,
+        idle_timeout: seconds(&section.idle_timeout_s, "idle_s", 60)?,
+        max_age: seconds(&section.max_age_s, "age_s", 600)?,
+        frame_limits: FrameLimits {
             resets_per_s: count(&section.resets_per_s, "resets_per_s", "a second", 1_000_000, 100)? as f64,
             control_per_s: source.number(
                 section.control_frames_per_s.clone(),
@@ -111,7 +112,7 @@
                 500,
             )? as f64,
         },
-        hold: match &section.max_hold_ms {
+        max_hold: match &section.max_hold_ms {
             None => None,
             some => {
                 let hold = count(some, "hold_ms", "milliseconds", 600_000, 0)?;
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -22,7 +22,7 @@
     let source = parse("o.toml", sample).expect("good").inventory.expect("a file");
     assert_eq!((source.form, source.poll_interval), (Form::Csv, Duration::from_millis(50)));
     let grpc = parse("o.toml", sample).expect("good").grpc.expect("a front");
-    assert_eq!((grpc.limits.listen.port(), grpc.limits.streams), (9001, 100));
+    assert_eq!((grpc.limits.listen.port(), grpc.limits.max_streams), (9001, 100));
 }
 
 #[test]
@@ -193,14 +193,14 @@
     let grpc = every_key().grpc.expect("a gRPC listener");
     let expected = Limits {
         listen: address("127.0.0.1:9101"),
-        streams: 11,
-        connections: 12,
-        message: 13 * 1_024,
-        header_list: 14 * 1_024,
-        idle: Duration::from_secs(15),
-        age: Duration::from_secs(16),
-        frames: FrameLimits { resets_per_s: 17.0, control_per_s: 18.0 },
-        hold: Some(Duration::from_millis(19)),
+        max_streams: 11,
+        max_connections: 12,
+        max_message_bytes: 13 * 1_024,
+        max_header_list_bytes: 14 * 1_024,
+        idle_timeout: Duration::from_secs(15),
+        max_age: Duration::from_secs(16),
+        frame_limits: FrameLimits { resets_per_s: 17.0, control_per_s: 18.0 },
+        max_hold: Some(Duration::from_millis(19)),
     };
     assert_eq!(grpc.limits, expected);
     let settings: Settings =
--- a/crates/daemon/src/serve/listeners.rs
+++ b/crates/daemon/src/serve/listeners.rs
@@ -49,7 +49,7 @@
 
     /// Sockets that the gRPC listener may take.
     pub fn grpc_sockets(&self) -> usize {
-        self.grpc.as_ref().map_or(0, |grpc| grpc.limits.connections + 1)
+        self.grpc.as_ref().map_or(0, |grpc| grpc.limits.max_connections + 1)
     }
 }
 
