--- a/crates/daemon/src/listeners/accept.rs
+++ b/crates/daemon/src/listeners/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, the same way for every listener: within a connection limit, and through passing failures.
+//! The accept loop that all listeners share. It enforces the connection limit and continues after transient errors.
 
 use crate::log::log;
 use std::time::Duration;
@@ -6,27 +6,28 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Pause before accepting is tried again, after a failure (most likely no descriptor was left) and while every
-/// allowed connection is busy.
+/// Pause before the next attempt to accept: after a failed accept (most often because the process is out of file
+/// descriptors) and while the connection limit is reached.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as it is polled, and hands each to `take`.
+/// Accepts connections until the future is dropped, and passes each to `on_connection`.
 ///
-/// While `full` returns true, further clients wait in the kernel's backlog until `closed` is notified: an accepted
-/// connection may carry a request, and closing it would lose that request. `full` may ask an idle connection to close.
+/// While `is_full` returns true, further clients wait in the kernel's backlog until `closed` is notified: an accepted
+/// connection may already carry a request, and closing it would lose that request. `is_full` may ask an idle
+/// connection to close.
 pub async fn accept(
     listener: TcpListener,
     log_part: &str,
     closed: &Notify,
-    full: impl Fn() -> bool,
-    take: impl Fn(TcpStream),
+    is_full: impl Fn() -> bool,
+    on_connection: impl Fn(TcpStream),
 ) {
     loop {
-        while full() {
+        while is_full() {
             let _ = timeout(ACCEPT_PAUSE, closed.notified()).await;
         }
         match listener.accept().await {
-            Ok((stream, _)) => take(stream),
+            Ok((stream, _)) => on_connection(stream),
             Err(error) => {
                 log(log_part, format_args!("cannot accept: {error}"));
                 tokio::time::sleep(ACCEPT_PAUSE).await;
--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -1,7 +1,7 @@
-//! Request admission: the way of a request from any listener to the host.
+//! Request admission: submits the requests of all listeners to the host.
 //!
-//! Holds what the listeners share: the limit of open requests, their ids, the memory of their bodies, and the
-//! authorisers that are asked first.
+//! Holds the state that the listeners share: the limit on open requests, their ids, the memory budget for their
+//! bodies, and the authorizers that are called before a request is submitted.
 
 use super::body_budget::{BodyBudget, BodyReservation};
 use super::open_ids::{OpenRequestId, OpenRequestIds};
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The most requests open at once, whatever the settings say.
+/// The maximum number of open requests, even if the settings allow more.
 const MAX_OPEN_REQUESTS: usize = 1_000;
 
 /// Request admission, shared by all listeners.
@@ -27,22 +27,22 @@
     body_budget: BodyBudget,
     open_ids: OpenRequestIds,
     authorizers: Authorizers,
-    /// Requests that wait for an authoriser; the event queue does not count them yet.
+    /// The number of requests that wait for an authorizer. The event queue does not count them yet.
     awaiting_authorization: Cell<usize>,
-    /// When the last answers are written, once the process shuts down.
+    /// The time by which all requests must be answered, set once the process shuts down.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
-/// Whether a request may be submitted to the host.
-enum Authorized {
-    /// It may, with these changes to its headers.
-    Yes(HeaderChanges),
-    /// This is its answer.
-    No(Answer),
+/// The result of calling an authorizer about a request.
+enum AuthorizationResult {
+    /// The request may be submitted to the host, with these header changes.
+    Allowed(HeaderChanges),
+    /// The request is not submitted; this is its answer.
+    Answered(Answer),
 }
 
 impl Admission {
-    /// Admission with `body_budget` bytes for the bodies of all open requests.
+    /// Creates an admission with `body_budget` bytes for the bodies of all open requests.
     pub fn new(
         events: Rc<EventQueue>,
         settings: Settings,
@@ -60,12 +60,14 @@
         })
     }
 
-    /// From now on no request is taken that cannot be answered before `deadline`.
+    /// Caps the deadlines of requests at `deadline` from now on. Requests that arrive after `deadline` are not
+    /// admitted.
     pub fn set_shutdown_deadline(&self, deadline: Instant) {
         self.shutdown_deadline.set(Some(deadline));
     }
 
-    /// When a request with this deadline has to be answered; `None` where the process ends before that.
+    /// Returns `deadline`, capped at the shutdown deadline. `None` if the process is shutting down and the capped
+    /// deadline has passed.
     pub fn answer_deadline(&self, deadline: Instant) -> Option<Instant> {
         match self.shutdown_deadline.get() {
             None => Some(deadline),
@@ -73,12 +75,12 @@
         }
     }
 
-    /// Reserves memory for a body, if it is left.
+    /// Reserves memory for a body; `None` if the budget has too little left.
     pub fn reserve_body(&self, bytes: usize) -> Option<BodyReservation<'_>> {
         self.body_budget.reserve(bytes)
     }
 
-    /// Whether the limit of open requests is reached.
+    /// Whether the limit on open requests is reached.
     pub fn is_full(&self) -> bool {
         let limit = match self.settings.max_in_flight {
             0 => MAX_OPEN_REQUESTS,
@@ -87,16 +89,16 @@
         self.events.open_requests() + self.awaiting_authorization.get() >= limit
     }
 
-    /// Marks a request id as open; `None` where it is open already, over whatever listener.
+    /// Registers a request id as open; `None` if a request with this id is already open on any listener.
     pub fn open_request_id(&self, id: &HeaderValue) -> Option<OpenRequestId<'_>> {
         self.open_ids.open(id)
     }
 
-    /// Asks the authoriser that the class of the request names, if it names one, and then submits the request to the
-    /// host. Dropping the future before it is ready means that the client disconnected.
+    /// Calls the authorizer that the request's class names, if any, and then submits the request to the host.
+    /// Dropping the future before it completes means that the client disconnected.
     ///
-    /// Returns the answer, and the header changes that the authoriser wants; to a forwarded request they have been
-    /// made.
+    /// Returns the answer and the header changes that the authorizer requested. They have already been applied to the
+    /// headers of a forwarded request.
     pub async fn answer(
         &self,
         mut request: IncomingRequest,
@@ -106,11 +108,11 @@
             return (self.submit(request).await, HeaderChanges::default());
         };
         let changes = match self.authorize(authorizer, fallback, authorization).await {
-            Authorized::Yes(changes) => changes,
-            Authorized::No(answer) => return (answer, HeaderChanges::default()),
+            AuthorizationResult::Allowed(changes) => changes,
+            AuthorizationResult::Answered(answer) => return (answer, HeaderChanges::default()),
         };
         if let RequestKind::Forward(forward) = &mut request.kind {
-            // The request is shared only once it is submitted.
+            // `get_mut` succeeds, since the request is not shared before it is submitted.
             if let Some(forward) = Rc::get_mut(forward) {
                 changes.apply(&mut forward.headers, &OWN);
             }
@@ -123,7 +125,7 @@
         authorizer: &Authorizer,
         fallback: Fallback,
         request: &AuthorizationRequest<'_>,
-    ) -> Authorized {
+    ) -> AuthorizationResult {
         let authorization = {
             let _awaiting = Count::new(&self.awaiting_authorization);
             self.authorizers.authorize(authorizer, request).await
@@ -131,18 +133,18 @@
         let changes = match (authorization, fallback) {
             (Authorization::Decided(Verdict::Allow(changes)), _) => changes,
             (Authorization::Decided(Verdict::Deny(denial)), _) => {
-                return Authorized::No(Answer::Denied(denial));
+                return AuthorizationResult::Answered(Answer::Denied(denial));
             }
             (Authorization::Undecided { .. }, Fallback::Pass) => HeaderChanges::default(),
-            // Nothing was forwarded, so a retry is harmless.
+            // Nothing was forwarded, so the client may safely retry.
             (Authorization::Undecided { retry_after }, Fallback::Refuse) => {
-                return Authorized::No(Answer::Rejected(Rejection::limit(retry_after)));
+                return AuthorizationResult::Answered(Answer::Rejected(Rejection::limit(retry_after)));
             }
         };
         if Instant::now() >= request.deadline {
-            return Authorized::No(Answer::Rejected(Rejection::limit(0.0)));
+            return AuthorizationResult::Answered(Answer::Rejected(Rejection::limit(0.0)));
         }
-        Authorized::Yes(changes)
+        AuthorizationResult::Allowed(changes)
     }
 
     async fn submit(&self, request: IncomingRequest) -> Answer {
--- a/crates/daemon/src/listeners/body_budget.rs
+++ b/crates/daemon/src/listeners/body_budget.rs
@@ -2,33 +2,33 @@
 
 use std::cell::Cell;
 
-/// Bytes that request bodies may take in all.
+/// Limits the total size of all request bodies in memory, in bytes.
 pub struct BodyBudget {
     capacity: usize,
     reserved: Cell<usize>,
 }
 
 impl BodyBudget {
-    /// A budget of `capacity` bytes, none of them reserved.
+    /// Creates a budget of `capacity` bytes, none of them reserved.
     pub fn new(capacity: usize) -> Self {
         BodyBudget { capacity, reserved: Cell::new(0) }
     }
 
-    /// Reserves `bytes`, if that many are left.
+    /// Reserves `bytes`; `None` if the budget has fewer left.
     pub fn reserve(&self, bytes: usize) -> Option<BodyReservation<'_>> {
         let mut reservation = BodyReservation { budget: self, bytes: 0 };
         reservation.try_grow(bytes).then_some(reservation)
     }
 }
 
-/// Bytes of one body, given back to the budget on drop.
+/// Bytes reserved for one body, returned to the budget on drop.
 pub struct BodyReservation<'a> {
     budget: &'a BodyBudget,
     bytes: usize,
 }
 
 impl BodyReservation<'_> {
-    /// Reserves `bytes` more; false, and nothing is reserved, if they are not left.
+    /// Reserves `bytes` more. Returns false, and reserves nothing, if the budget has fewer left.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let total = self.budget.reserved.get() + bytes;
         let fits = total <= self.budget.capacity;
--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -1,7 +1,7 @@
-//! `envoy.service.auth.v3.Authorization/Check`: one request, one decision, one response.
+//! `envoy.service.auth.v3.Authorization/Check`: decides a check request.
 
 use super::context::CallContext;
-use super::unary::{deadline_exceeded, invalid_argument, read_deadline, read_message, MAX_WAIT};
+use super::unary::{deadline_exceeded, invalid_argument, parse_deadline, read_message, MAX_WAIT};
 use crate::authorizer::{AuthorizationRequest, VIA};
 use crate::events::{Answer, DisconnectGuard, IncomingRequest, RequestKind};
 use crate::listeners::fields::{self, MAX_ID_BYTES};
@@ -16,15 +16,15 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The most limiters that a check request may have come through.
+/// The maximum number of limiters that a check request may have passed through.
 const MAX_VIA: usize = 8;
-/// The longest that a permitted call counts as in flight, whatever its class says.
+/// The maximum time that a permitted call counts as in flight, even if its class allows more.
 const MAX_CALL_DURATION: Duration = Duration::from_secs(3_600);
 
 /// The decision about a check request.
 pub(super) struct Decision {
     pub response: CheckResponse,
-    /// With a permission: reports that the client disconnected if it never takes the response.
+    /// Present if the call is permitted: reports a disconnect if the response is never sent.
     pub disconnect: Option<DisconnectGuard>,
 }
 
@@ -34,31 +34,31 @@
     }
 }
 
-/// The fields of a check request that need more than a lookup.
+/// The validated and converted fields of a check request.
 struct CheckedFields {
     id: HeaderValue,
     customer: String,
     units: f64,
     reachable_instances: u32,
-    /// How long the call may be in flight.
+    /// The maximum time that the call counts as in flight.
     call_duration: Duration,
 }
 
 /// Decides a check request.
 ///
 /// # Errors
-/// The status of a call without a decision.
+/// The status for a call that ends without a decision.
 pub(super) async fn check(
     context: &CallContext,
     headers: &HeaderMap,
     body: Incoming,
     received_at: Instant,
 ) -> Result<Decision, Status> {
-    let deadline = read_deadline(headers, received_at)?;
+    let deadline = parse_deadline(headers, received_at)?;
     let (check, _reservation) = read_message::<CheckRequest>(context, headers, body, deadline).await?;
-    let via = read_via(headers);
+    let via = parse_via(headers);
     if via.contains(&context.instance_name) || via.len() > MAX_VIA {
-        // Asked about its own check request, the limiter would ask again for ever.
+        // Without this check, a limiter that received its own check request would send it around the loop forever.
         return Err(Status::new(Code::FailedPrecondition, "the question has come in a loop"));
     }
     let fields = context.mapping.read(&check).map_err(|missing| invalid_argument(missing.to_string()))?;
@@ -94,28 +94,28 @@
         }
         Ok((Answer::Denied(denial), _)) => Ok(Decision::denied(denial)),
         Ok((Answer::Rejected(rejection), _)) => Ok(Decision::denied(rejected(rejection.retry_after))),
-        // An authorisation is never served, and the host fails none.
+        // The host never answers an authorization request with a served response or a failure.
         Ok((Answer::Failed | Answer::Served(_), _)) => Err(Status::new(Code::Unavailable, "no decision")),
         Err(_) => Err(deadline_exceeded()),
     }
 }
 
-/// The limiters that the check request has come through.
-fn read_via(headers: &HeaderMap) -> Vec<String> {
+/// The names of the limiters that the check request has passed through.
+fn parse_via(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(VIA).iter().filter_map(|value| value.to_str().ok());
     let names = values.flat_map(|value| value.split(',')).map(|name| name.trim().to_string());
     names.filter(|name| !name.is_empty()).collect()
 }
 
-/// Checks the fields of a check request as the HTTP listener checks a head.
+/// Validates the fields of a check request, as the HTTP listener validates a request head.
 fn check_fields(
     fields: &RequestFields,
     settings: &Settings,
-    hold: Option<Duration>,
+    max_hold: Option<Duration>,
 ) -> Result<CheckedFields, Status> {
     let class = settings.classes.iter().find(|class| class.name == fields.class);
     let class = class.ok_or_else(|| invalid_argument("the class is unknown"))?;
-    let customer = fields::read_customer(&fields.customer);
+    let customer = fields::parse_customer(&fields.customer);
     let customer = customer.ok_or_else(|| invalid_argument("the customer is malformed"))?;
     if !settings.plans.iter().any(|plan| plan.name == fields.plan) {
         return Err(invalid_argument("the plan is unknown"));
@@ -133,19 +133,19 @@
     if class.idempotency == Idempotency::IdempotencyKey && key.is_none() {
         return Err(invalid_argument("the key is missing or malformed"));
     }
-    let time_left = read_time_left(fields, class)?;
+    let time_left = call_time_left(fields, class)?;
     if fields.add.iter().any(|(_, value)| HeaderValue::from_str(value).is_err()) {
         return Err(invalid_argument("a header to add would be malformed"));
     }
-    let call_duration = hold.map_or(time_left, |hold| hold.min(time_left)).min(MAX_CALL_DURATION);
+    let call_duration = max_hold.map_or(time_left, |max_hold| max_hold.min(time_left)).min(MAX_CALL_DURATION);
     Ok(CheckedFields { id, customer, units, reachable_instances, call_duration })
 }
 
-/// The time left to the call; without one of its own, the deadline of its class.
-fn read_time_left(fields: &RequestFields, class: &Class) -> Result<Duration, Status> {
+/// The time left to the call: its own if given, else the deadline of its class, else [`MAX_WAIT`].
+fn call_time_left(fields: &RequestFields, class: &Class) -> Result<Duration, Status> {
     match &fields.time_left {
         Some(text) => {
-            fields::read_time_left(text, class).ok_or_else(|| invalid_argument("the time left is malformed"))
+            fields::parse_time_left(text, class).ok_or_else(|| invalid_argument("the time left is malformed"))
         }
         None if class.deadline > 0.0 => {
             Ok(Duration::try_from_secs_f64(class.deadline).unwrap_or(MAX_CALL_DURATION))
@@ -155,11 +155,12 @@
 }
 
 fn rejected(retry_after: f64) -> Denial {
-    let advice = (retry_after > 0.0).then(|| (RETRY_AFTER.to_string(), format!("{retry_after:.3}")));
+    let retry_after_header =
+        (retry_after > 0.0).then(|| (RETRY_AFTER.to_string(), format!("{retry_after:.3}")));
     Denial {
         status: StatusCode::TOO_MANY_REQUESTS.as_u16(),
         code: Code::ResourceExhausted as i32,
-        headers: advice.into_iter().collect(),
+        headers: retry_after_header.into_iter().collect(),
         body: "refused: trying again is harmless\n".into(),
     }
 }
--- a/crates/daemon/src/listeners/grpc/call.rs
+++ b/crates/daemon/src/listeners/grpc/call.rs
@@ -1,4 +1,4 @@
-//! One call: finds its method, and writes its one reply.
+//! Dispatches a call to its method, and builds its reply.
 
 use super::authorization::{self, Decision};
 use super::connection::OpenCall;
@@ -12,11 +12,12 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Tools that are older than the first stable version of reflection ask the same under its earlier name.
+/// The earlier name of the reflection service, with the same messages. Tools that predate its first stable version use
+/// it.
 const REFLECTION_ALPHA: &str = "grpc.reflection.v1alpha.ServerReflection";
 
-/// Answers a call. If the future is dropped, its stream was reset or its connection ended: with it goes whatever it
-/// waits for, and the host is told.
+/// Answers a call. The future is dropped if the stream is reset or the connection ends. This cancels what the call
+/// waits for, and reports the disconnect to the host.
 pub(super) async fn respond(
     context: &Rc<CallContext>,
     open_call: OpenCall,
@@ -36,13 +37,13 @@
         (AUTHORIZATION, "Check") => {
             let decision = authorization::check(context, headers, body, received_at).await;
             decision.map(|Decision { response, disconnect }| {
-                let reply = reply::message(&response, open_call.replied());
+                let reply = reply::message(&response, open_call.track_reply());
                 reply.map(|reply| reply.with_disconnect_guard(disconnect))
             })
         }
         (HEALTH, "Check") => {
             let response = health::check(context, headers, body, received_at).await;
-            response.map(|response| reply::message(&response, open_call.replied()))
+            response.map(|response| reply::message(&response, open_call.track_reply()))
         }
         (HEALTH, "Watch") => health::watch(context, headers, body, received_at, open_call).await,
         (REFLECTION | REFLECTION_ALPHA, "ServerReflectionInfo") => Ok(reflection::serve(body, open_call)),
@@ -51,7 +52,7 @@
     result.unwrap_or_else(|status| reply::status(&status))
 }
 
-/// Whether the content type is that of gRPC; for any other, servers should answer 415 ("gRPC over HTTP/2").
+/// Whether the content type is gRPC. The specification "gRPC over HTTP/2" asks servers to answer any other with 415.
 fn is_grpc(headers: &HeaderMap) -> bool {
     let content_type = headers.get(CONTENT_TYPE).map_or(&b""[..], HeaderValue::as_bytes);
     let suffix = content_type.strip_prefix(b"application/grpc");
--- a/crates/daemon/src/listeners/grpc/connection/mod.rs
+++ b/crates/daemon/src/listeners/grpc/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: its open calls and undelivered replies, and when it is closed.
+//! The state of one connection: its open calls and undelivered replies, and when to close it.
 
 #[cfg(test)]
 mod tests;
@@ -10,46 +10,47 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// From its accept a connection must bring its first call within this time.
+/// The first call of a connection must arrive within this time after accept.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A reply that is not taken for so long closes its connection: a client that opens no flow-control window would
-/// hold it, and one of the streams, for good.
+/// A connection is closed if a reply stays undelivered for this long: a client that opens no flow-control window would
+/// otherwise hold the reply, and one of the streams, forever.
 const UNDELIVERED_REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// After GOAWAY a client may bring the calls that crossed it for so long; then, without a call, it is closed.
+/// A connection that is going away is closed after this time without an open call, so that calls that crossed the
+/// GOAWAY on the wire are still served.
 const GO_AWAY_GRACE: Duration = Duration::from_millis(500);
-/// The longest time between two checks of a connection.
+/// The maximum time between two checks of a connection.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known of a connection.
+/// The state of a connection.
 pub(super) struct Connection {
     accepted_at: Instant,
-    /// Whether it has brought a call.
+    /// Whether a call was received.
     used: Cell<bool>,
     open_calls: Cell<usize>,
     idle_since: Cell<Instant>,
-    /// Replies that the client has not taken, by number, and since when.
+    /// Replies that were not sent completely, by number, with the time when each was ready.
     undelivered_replies: RefCell<BTreeMap<u64, Instant>>,
     next_reply: Cell<u64>,
     going_away_since: Cell<Option<Instant>>,
     /// Wakes the task that serves the connection.
     changed: Notify,
-    /// Wakes the calls that end with the connection.
-    went_away: Notify,
+    /// Wakes the calls that end when the connection is going away.
+    go_away_started: Notify,
 }
 
-/// What is to be done about a connection now.
+/// The action to take on a connection.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Next {
-    /// Nothing before this time.
+pub(super) enum ConnectionAction {
+    /// Check the connection again at this time.
     Wait(Instant),
     /// Send GOAWAY.
     GoAway,
-    /// Close it.
+    /// Close the connection.
     Close,
 }
 
 impl Connection {
-    /// A connection accepted now. If `going_away`, the calls that it brings are served, and it is closed with GOAWAY.
+    /// The state of a connection accepted now. If `going_away`, it is closed with GOAWAY after its calls are served.
     pub(super) fn new(going_away: bool) -> Rc<Self> {
         let now = Instant::now();
         let connection = Connection {
@@ -61,7 +62,7 @@
             next_reply: Cell::new(0),
             going_away_since: Cell::new(None),
             changed: Notify::new(),
-            went_away: Notify::new(),
+            go_away_started: Notify::new(),
         };
         if going_away {
             connection.go_away();
@@ -69,12 +70,12 @@
         Rc::new(connection)
     }
 
-    /// Closes it with GOAWAY once the calls that are on their way have come.
+    /// Begins to close the connection with GOAWAY. Calls that are already on their way are still served.
     pub(super) fn go_away(&self) {
         if self.going_away_since.get().is_none() {
             self.going_away_since.set(Some(Instant::now()));
             self.changed.notify_one();
-            self.went_away.notify_waiters();
+            self.go_away_started.notify_waiters();
         }
     }
 
@@ -82,53 +83,58 @@
         self.going_away_since.get().is_some()
     }
 
-    /// Waits until [`Connection::next`] may have another answer.
+    /// Waits until [`Connection::next_action`] may return another action.
     pub(super) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Since when no call is open on it; `None` if one is, or if it is going away.
+    /// Since when the connection has no open call and no undelivered reply; `None` if it has one or is going away.
     pub(super) fn idle_since(&self) -> Option<Instant> {
-        let idle = self.is_empty() && !self.is_going_away();
+        let idle = self.has_nothing_open() && !self.is_going_away();
         idle.then(|| self.idle_since.get())
     }
 
-    fn is_empty(&self) -> bool {
+    fn has_nothing_open(&self) -> bool {
         self.open_calls.get() == 0 && self.undelivered_replies.borrow().is_empty()
     }
 
-    /// What is to be done now, with these limits of idle time and age.
-    pub(super) fn next(&self, now: Instant, idle_timeout: Duration, max_age: Duration) -> Next {
+    /// The action to take now, with these limits on idle time and age.
+    pub(super) fn next_action(
+        &self,
+        now: Instant,
+        idle_timeout: Duration,
+        max_age: Duration,
+    ) -> ConnectionAction {
         let mut wake = now + CHECK_INTERVAL;
         let mut is_due = |at: Instant| {
             wake = wake.min(at);
             now >= at
         };
-        let is_empty = self.is_empty();
+        let nothing_open = self.has_nothing_open();
         let oldest_reply = self.undelivered_replies.borrow().values().next().copied();
         if oldest_reply.is_some_and(|since| is_due(since + UNDELIVERED_REPLY_TIMEOUT)) {
-            return Next::Close;
+            return ConnectionAction::Close;
         }
         if let Some(since) = self.going_away_since.get() {
-            if is_empty && is_due(since.max(self.idle_since.get()) + GO_AWAY_GRACE) {
-                return Next::Close;
+            if nothing_open && is_due(since.max(self.idle_since.get()) + GO_AWAY_GRACE) {
+                return ConnectionAction::Close;
             }
-            return Next::Wait(wake);
+            return ConnectionAction::Wait(wake);
         }
         let is_used = self.used.get();
         if !is_used && is_due(self.accepted_at + FIRST_CALL_TIMEOUT) {
-            return Next::Close;
+            return ConnectionAction::Close;
         }
         if is_due(self.accepted_at + max_age)
-            || (is_empty && is_used && is_due(self.idle_since.get() + idle_timeout))
+            || (nothing_open && is_used && is_due(self.idle_since.get() + idle_timeout))
         {
-            return Next::GoAway;
+            return ConnectionAction::GoAway;
         }
-        Next::Wait(wake)
+        ConnectionAction::Wait(wake)
     }
 }
 
-/// A call while it is open.
+/// Guard that counts a call as open until it is dropped.
 pub(super) struct OpenCall {
     connection: Rc<Connection>,
 }
@@ -140,21 +146,21 @@
         OpenCall { connection: connection.clone() }
     }
 
-    /// Whether its connection is going away.
+    /// Whether the call's connection is going away.
     pub(super) fn is_going_away(&self) -> bool {
         self.connection.is_going_away()
     }
 
-    /// Waits until its connection is going away.
+    /// Waits until the call's connection is going away.
     pub(super) async fn going_away(&self) {
-        let went_away = self.connection.went_away.notified();
+        let started = self.connection.go_away_started.notified();
         if !self.is_going_away() {
-            went_away.await;
+            started.await;
         }
     }
 
-    /// Its reply is given, and counts until the client takes it.
-    pub(super) fn replied(&self) -> UndeliveredReply {
+    /// Counts the call's reply as undelivered until the returned guard is dropped.
+    pub(super) fn track_reply(&self) -> UndeliveredReply {
         let connection = self.connection.clone();
         let number = connection.next_reply.replace(connection.next_reply.get() + 1);
         connection.undelivered_replies.borrow_mut().insert(number, Instant::now());
@@ -169,7 +175,7 @@
     }
 }
 
-/// A reply that its client has not taken yet.
+/// Guard that counts a reply as undelivered until it is dropped.
 pub(super) struct UndeliveredReply {
     connection: Rc<Connection>,
     number: u64,
--- a/crates/daemon/src/listeners/grpc/context.rs
+++ b/crates/daemon/src/listeners/grpc/context.rs
@@ -1,4 +1,4 @@
-//! What the calls of the gRPC listener share.
+//! The settings and state that the calls of the gRPC listener share.
 
 use crate::listeners::admission::Admission;
 use liftrouter_authz::{FrameLimits, Mapping};
@@ -12,31 +12,31 @@
 pub struct Limits {
     /// The address to listen on.
     pub listen: SocketAddr,
-    /// Streams that a connection may have open at once.
+    /// The maximum number of streams that a connection may have open at once.
     pub max_streams: u32,
-    /// The most connections.
+    /// The maximum number of connections.
     pub max_connections: usize,
-    /// The most bytes of one message.
+    /// The maximum size of one message.
     pub max_message_bytes: usize,
-    /// The most bytes of a header list, counted as in RFC 9113, section 10.5.1.
+    /// The maximum size of a header list, counted as in RFC 9113, section 10.5.1.
     pub max_header_list_bytes: u32,
-    /// A connection without a call for so long is closed with GOAWAY.
+    /// A connection without a call for this long is closed with GOAWAY.
     pub idle_timeout: Duration,
     /// A connection of this age is closed with GOAWAY.
     pub max_age: Duration,
-    /// The rates of frames that a client may send.
+    /// The maximum rates of frames that a client may send.
     pub frame_limits: FrameLimits,
-    /// How long a permitted call counts as in flight at most.
+    /// The maximum time that a permitted call counts as in flight; without it, the time left to the call.
     pub max_hold: Option<Duration>,
 }
 
-/// What every call reads.
+/// The settings and state shared by all calls.
 pub(super) struct CallContext {
     pub admission: Rc<Admission>,
     pub limits: Limits,
     pub mapping: Mapping,
-    /// The name that this limiter gives itself when it asks an authoriser, to detect loops.
+    /// The name of this limiter in its calls to authorizers, used to detect loops.
     pub instance_name: String,
-    /// Whether calls are served: false before the limiter is ready and once it drains.
+    /// Whether health checks return `SERVING`: false before the limiter is ready and once it drains.
     pub serving: watch::Sender<bool>,
 }
--- a/crates/daemon/src/listeners/grpc/health.rs
+++ b/crates/daemon/src/listeners/grpc/health.rs
@@ -1,9 +1,9 @@
-//! `grpc.health.v1.Health`: the state of the limiter, asked once or watched.
+//! `grpc.health.v1.Health`: reports the state of the limiter, once or as a stream of changes.
 
 use super::connection::OpenCall;
 use super::context::CallContext;
 use super::reply::{self, Reply};
-use super::unary::{read_deadline, read_message};
+use super::unary::{parse_deadline, read_message};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -15,17 +15,17 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// `Check`: the state now.
+/// `Check`: returns the current state.
 ///
 /// # Errors
-/// The status of a malformed call, or of one about an unknown service.
+/// The status for a malformed call or an unknown service.
 pub(super) async fn check(
     context: &CallContext,
     headers: &HeaderMap,
     body: Incoming,
     received_at: Instant,
 ) -> Result<HealthCheckResponse, Status> {
-    let deadline = read_deadline(headers, received_at)?;
+    let deadline = parse_deadline(headers, received_at)?;
     let (request, _reservation) =
         read_message::<HealthCheckRequest>(context, headers, body, deadline).await?;
     match serving_status(context, &request.service) {
@@ -34,10 +34,11 @@
     }
 }
 
-/// `Watch`: the state now and each change of it, until the client leaves or its connection goes away.
+/// `Watch`: streams the current state and each change, until the client disconnects or its connection is closed with
+/// GOAWAY.
 ///
 /// # Errors
-/// The status of a malformed call.
+/// The status for a malformed call.
 pub(super) async fn watch(
     context: &Rc<CallContext>,
     headers: &HeaderMap,
@@ -45,7 +46,7 @@
     received_at: Instant,
     open_call: OpenCall,
 ) -> Result<Response<Reply>, Status> {
-    let deadline = read_deadline(headers, received_at)?;
+    let deadline = parse_deadline(headers, received_at)?;
     let (HealthCheckRequest { service }, _) = read_message(context, headers, body, deadline).await?;
     let (sender, messages) = mpsc::channel(1);
     tokio::task::spawn_local(send_changes(context.clone(), service, open_call, sender));
--- a/crates/daemon/src/listeners/grpc/mod.rs
+++ b/crates/daemon/src/listeners/grpc/mod.rs
@@ -1,7 +1,7 @@
-//! The gRPC listener: answers external authorisation, health checks and reflection over HTTP/2.
+//! The gRPC listener: serves external authorization, health checks and reflection over HTTP/2.
 //!
-//! hyper serves the connections with an executor of this thread, and prost reads the messages: nothing leaves the
-//! thread, so calls pass the same admission as HTTP/1.1 requests, with the same types.
+//! hyper serves the connections with a single-threaded executor, and prost decodes the messages. Everything stays on
+//! one thread, so calls use the same admission, with the same types, as HTTP/1.1 requests.
 
 mod authorization;
 mod call;
@@ -38,14 +38,13 @@
     closed: Notify,
 }
 
-/// A random name, most likely unique among limiters.
+/// Generates a random name for this limiter, unique among all limiters with high probability.
 pub fn instance_name() -> String {
     format!("{:016x}", RandomState::new().build_hasher().finish())
 }
 
 impl GrpcServer {
-    /// A listener that does not serve calls yet. `instance_name` is the name that this limiter gives itself when it
-    /// asks an authoriser.
+    /// Creates a listener that is not ready yet. `instance_name` identifies this limiter in its calls to authorizers.
     pub fn new(
         admission: Rc<Admission>,
         limits: Limits,
@@ -62,23 +61,23 @@
         })
     }
 
-    /// From now on health checks are answered SERVING.
+    /// Makes health checks return `SERVING`, unless the shutdown has begun.
     pub fn set_ready(&self) {
         if !self.draining.get() {
             self.context.serving.send_replace(true);
         }
     }
 
-    /// Accepts connections for as long as it is polled.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
-        let full = || {
-            let full = self.connections.borrow().len() >= self.context.limits.max_connections;
-            if full {
-                self.close_idlest();
+        let is_full = || {
+            let is_full = self.connections.borrow().len() >= self.context.limits.max_connections;
+            if is_full {
+                self.close_longest_idle();
             }
-            full
+            is_full
         };
-        let take = |stream| {
+        let on_connection = |stream| {
             let number = self.next_connection.replace(self.next_connection.get() + 1);
             let connection = Connection::new(self.draining.get());
             self.connections.borrow_mut().insert(number, connection.clone());
@@ -89,11 +88,11 @@
                 server.closed.notify_one();
             });
         };
-        accept(listener, "grpc", &self.closed, full, take).await;
+        accept(listener, "grpc", &self.closed, is_full, on_connection).await;
     }
 
-    /// Begins the graceful shutdown: health checks say so, and every connection is closed with GOAWAY once the calls
-    /// that may be on their way have come.
+    /// Begins the graceful shutdown: health checks return `NOT_SERVING`, and every connection is closed with GOAWAY.
+    /// Calls that may already be on their way are still served.
     pub fn drain(&self) {
         self.draining.set(true);
         self.context.serving.send_replace(false);
@@ -109,11 +108,11 @@
         }
     }
 
-    fn close_idlest(&self) {
+    fn close_longest_idle(&self) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter_map(|connection| Some((connection.idle_since()?, connection)));
-        if let Some((_, idlest)) = idle.min_by_key(|(since, _)| *since) {
-            idlest.go_away();
+        if let Some((_, longest_idle)) = idle.min_by_key(|(since, _)| *since) {
+            longest_idle.go_away();
         }
     }
 }
--- a/crates/daemon/src/listeners/grpc/reflection.rs
+++ b/crates/daemon/src/listeners/grpc/reflection.rs
@@ -1,4 +1,4 @@
-//! `grpc.reflection.v1.ServerReflection`: describes the services to tools.
+//! `grpc.reflection.v1.ServerReflection`: describes the services to client tools.
 
 use super::connection::OpenCall;
 use super::reply::{self, Reply};
@@ -13,13 +13,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// The next request of a stream must come within this time.
+/// The next request of a stream must arrive within this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_MESSAGE_BYTES: usize = 4 * 1024;
-/// The most requests of one stream.
+/// The maximum number of requests on one stream.
 const MAX_REQUESTS: usize = 100;
 
-/// Answers the requests of a stream one by one.
+/// Answers the requests of a stream in order.
 pub(super) fn serve(body: Incoming, open_call: OpenCall) -> Response<Reply> {
     let (sender, messages) = mpsc::channel(1);
     tokio::task::spawn_local(async move {
@@ -30,9 +30,9 @@
 }
 
 async fn answer_requests(mut body: Incoming, sender: mpsc::Sender<Result<Bytes, Status>>) {
-    let mut splitter = MessageDecoder::new(MAX_MESSAGE_BYTES);
+    let mut decoder = MessageDecoder::new(MAX_MESSAGE_BYTES);
     for _ in 0..MAX_REQUESTS {
-        let Some(request) = next_request(&mut body, &mut splitter).await else { return };
+        let Some(request) = next_request(&mut body, &mut decoder).await else { return };
         let response = request.map(|request| frame(&reflect(request)));
         let is_last = response.is_err();
         if sender.send(response).await.is_err() || is_last {
@@ -42,13 +42,13 @@
     let _ = sender.send(Err(Status::new(Code::ResourceExhausted, "too many questions"))).await;
 }
 
-/// The next request, or the status that ends the stream; `None` if the client ended it.
+/// Reads the next request, or returns the status that ends the stream; `None` if the client ended or reset it.
 async fn next_request(
     body: &mut Incoming,
-    splitter: &mut MessageDecoder,
+    decoder: &mut MessageDecoder,
 ) -> Option<Result<ServerReflectionRequest, Status>> {
     loop {
-        match splitter.next_message() {
+        match decoder.next_message() {
             Ok(Some(message)) => {
                 let malformed = |error| invalid_argument(format!("the message is malformed: {error}"));
                 return Some(ServerReflectionRequest::decode(message).map_err(malformed));
@@ -57,8 +57,8 @@
             Err(error) => return Some(Err(frame_error(error))),
         }
         match timeout(IDLE_TIMEOUT, body.frame()).await {
-            Ok(Some(Ok(frame))) => splitter.push(frame.data_ref().map_or(&[][..], |data| data)),
-            Ok(None) if splitter.is_empty() => return None,
+            Ok(Some(Ok(frame))) => decoder.push(frame.data_ref().map_or(&[][..], |data| data)),
+            Ok(None) if decoder.is_empty() => return None,
             Ok(None) => return Some(Err(frame_error(FrameError::Truncated))),
             Ok(Some(Err(_))) => return None,
             Err(_) => return Some(Err(Status::new(Code::DeadlineExceeded, "no question came"))),
--- a/crates/daemon/src/listeners/grpc/reply.rs
+++ b/crates/daemon/src/listeners/grpc/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: one message and its status, a status alone, or a stream of messages.
+//! gRPC replies: one message and its status, a status alone, or a stream of messages.
 
 use super::connection::UndeliveredReply;
 use crate::events::DisconnectGuard;
@@ -19,14 +19,14 @@
 /// The body of a reply.
 pub(super) struct Reply {
     content: Content,
-    /// The connection counts the reply until the client has taken it.
+    /// Counts the reply as undelivered until it is sent.
     _undelivered: Option<UndeliveredReply>,
-    /// Reports a disconnect if the reply is dropped before its message was taken.
+    /// Reports a disconnect if the reply is dropped before its message is sent.
     disconnect: Option<DisconnectGuard>,
 }
 
 impl Reply {
-    /// The same reply; `disconnect` reports if its client leaves before it takes the message.
+    /// Attaches a guard that reports a disconnect if the client leaves before the message is sent.
     pub(super) fn with_disconnect_guard(mut self, disconnect: Option<DisconnectGuard>) -> Reply {
         self.disconnect = disconnect;
         self
@@ -74,7 +74,7 @@
     grpc_response(Content::Unary { message: Some(frame(message)), trailers }, Some(undelivered))
 }
 
-/// A status alone: in the head, which no flow-control window holds up.
+/// A status alone. It is sent in the headers, which flow control does not delay.
 pub(super) fn status(status: &Status) -> Response<Reply> {
     let mut response = grpc_response(Content::empty(), None);
     response.headers_mut().extend(trailers(status));
@@ -84,7 +84,7 @@
     response
 }
 
-/// The reply to a request that is no gRPC: a plain HTTP status.
+/// The reply to a request that is not gRPC: a plain HTTP status.
 pub(super) fn http_status(status: StatusCode) -> Response<Reply> {
     let mut response =
         Response::new(Reply { content: Content::empty(), _undelivered: None, disconnect: None });
@@ -92,7 +92,7 @@
     response
 }
 
-/// Messages as they come; the end of the channel is status OK.
+/// A stream of messages, which ends with status OK when the channel is closed.
 pub(super) fn stream(messages: mpsc::Receiver<Result<Bytes, Status>>) -> Response<Reply> {
     grpc_response(Content::Stream { messages, ended: false }, None)
 }
@@ -111,7 +111,7 @@
                 if let Some(message) = message.take() {
                     return Poll::Ready(Some(Ok(Frame::data(message))));
                 }
-                // hyper asks for more once the client has opened a window for the message.
+                // hyper polls again once the client's flow-control window has admitted the message.
                 if let Some(disconnect) = reply.disconnect.take() {
                     disconnect.disarm();
                 }
--- a/crates/daemon/src/listeners/grpc/serve.rs
+++ b/crates/daemon/src/listeners/grpc/serve.rs
@@ -1,7 +1,7 @@
-//! Serves one HTTP/2 connection within its limits, up to a close that loses no call.
+//! Serves one HTTP/2 connection within its limits, and closes it without losing a call.
 
 use super::call;
-use super::connection::{Connection, Next, OpenCall};
+use super::connection::{Connection, ConnectionAction, OpenCall};
 use super::context::CallContext;
 use super::reply::Reply;
 use crate::http2::{Local, Metered};
@@ -16,16 +16,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, Instant};
 
-/// A client that answers no PING is gone.
+/// The interval of PINGs. A client that does not answer within [`PING_TIMEOUT`] is considered disconnected.
 const PING_INTERVAL: Duration = Duration::from_secs(20);
 const PING_TIMEOUT: Duration = Duration::from_secs(5);
-/// The connection's flow-control window: what a client may send unread over all its streams, in bytes.
+/// The connection's flow-control window in bytes: how much a client may send over all streams before it is read.
 const CONNECTION_WINDOW: u32 = 128 * 1024;
 const MAX_FRAME_BYTES: u32 = 16 * 1024;
-/// What may wait to be written of one stream's reply.
+/// How much of one stream's reply may be buffered for writing.
 const SEND_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Serves a connection until it ends. What is open on it then is dropped, which reports its clients as disconnected.
+/// Serves a connection until it ends. Calls that are still open are then dropped, which reports their clients as
+/// disconnected.
 pub(super) async fn serve(context: &Rc<CallContext>, connection: &Rc<Connection>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let limits = &context.limits;
@@ -50,19 +51,19 @@
     let mut http = pin!(builder.serve_connection::<_, _, Reply>(TokioIo::new(socket), service));
     let mut shutdown_started = false;
     loop {
-        let wake = match connection.next(Instant::now(), limits.idle_timeout, limits.max_age) {
-            Next::Close => return,
-            Next::GoAway => {
+        let wake = match connection.next_action(Instant::now(), limits.idle_timeout, limits.max_age) {
+            ConnectionAction::Close => return,
+            ConnectionAction::GoAway => {
                 connection.go_away();
                 continue;
             }
-            Next::Wait(until) => until,
+            ConnectionAction::Wait(until) => until,
         };
         if connection.is_going_away() && !std::mem::replace(&mut shutdown_started, true) {
             http.as_mut().graceful_shutdown();
         }
         tokio::select! {
-            // An error here is the client's: it left, or broke the protocol and was told so by hyper.
+            // Errors are caused by the client: it disconnected, or violated the protocol and got an error from hyper.
             _ = http.as_mut() => return,
             () = connection.changed() => {}
             () = sleep_until(wake) => {}
--- a/crates/daemon/src/listeners/grpc/unary.rs
+++ b/crates/daemon/src/listeners/grpc/unary.rs
@@ -1,4 +1,4 @@
-//! Reads the deadline and the one message of a call, and names the faults of both.
+//! Reads the deadline and the message of a unary call, and maps errors in them to statuses.
 
 use super::context::CallContext;
 use crate::listeners::body_budget::BodyReservation;
@@ -13,20 +13,20 @@
 const GRPC_TIMEOUT: HeaderName = HeaderName::from_static("grpc-timeout");
 const GRPC_ENCODING: HeaderName = HeaderName::from_static("grpc-encoding");
 
-/// A message must be complete within this time, as a body over HTTP/1.1.
+/// A message must be complete within this time, the same as an HTTP/1.1 body.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest that a call waits for its decision.
+/// The maximum time that a call waits for its decision.
 pub(super) const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// The status of a call whose fields or message are wrong.
+/// The status for a call with invalid fields or an invalid message.
 pub(super) fn invalid_argument(message: impl Into<Cow<'static, str>>) -> Status {
     Status::new(Code::InvalidArgument, message)
 }
 
-/// The status of a call whose framing is wrong.
+/// The status for a call with invalid framing.
 pub(super) fn frame_error(error: FrameError) -> Status {
     let code = match error {
-        // "If the flag is set and no grpc-encoding was given, INTERNAL."
+        // The specification requires INTERNAL if the compressed flag is set without a grpc-encoding.
         FrameError::Compressed => Code::Internal,
         FrameError::TooLarge { .. } => Code::ResourceExhausted,
         _ => Code::InvalidArgument,
@@ -34,13 +34,13 @@
     Status::new(code, error.to_string())
 }
 
-/// The status of a call without an answer before its deadline.
+/// The status for a call that was not answered before its deadline.
 pub(super) fn deadline_exceeded() -> Status {
     Status::new(Code::DeadlineExceeded, "the call's deadline has passed")
 }
 
-/// When the call is over, by its `grpc-timeout`.
-pub(super) fn read_deadline(headers: &HeaderMap, received_at: Instant) -> Result<Instant, Status> {
+/// The deadline of a call by its `grpc-timeout`, at most [`MAX_WAIT`] after `received_at`.
+pub(super) fn parse_deadline(headers: &HeaderMap, received_at: Instant) -> Result<Instant, Status> {
     let Some(value) = headers.get(GRPC_TIMEOUT) else { return Ok(received_at + MAX_WAIT) };
     let timeout = value.to_str().ok().and_then(parse_timeout);
     let timeout =
@@ -48,7 +48,7 @@
     Ok(received_at + timeout.min(MAX_WAIT))
 }
 
-/// Reads the call's one message, and reserves its memory.
+/// Reads the message of a unary call, and reserves memory for it.
 pub(super) async fn read_message<'a, M: Message + Default>(
     context: &'a CallContext,
     headers: &HeaderMap,
@@ -61,12 +61,12 @@
     let no_memory = || Status::new(Code::ResourceExhausted, "too much is open");
     let mut reservation = context.admission.reserve_body(0).ok_or_else(no_memory)?;
     let mut unary = UnaryDecoder::new(context.limits.max_message_bytes);
-    let until = deadline.min(Instant::now() + MESSAGE_TIMEOUT);
+    let message_deadline = deadline.min(Instant::now() + MESSAGE_TIMEOUT);
     loop {
-        let frame = match timeout_at(until, body.frame()).await {
+        let frame = match timeout_at(message_deadline, body.frame()).await {
             Err(_) => return Err(Status::new(Code::DeadlineExceeded, "the message came too slowly")),
             Ok(None) => break,
-            // The stream is reset or broken: nobody reads this.
+            // The stream was reset or the connection failed, so the client does not receive this status.
             Ok(Some(Err(_))) => return Err(invalid_argument("the message cannot be read")),
             Ok(Some(Ok(frame))) => frame,
         };
--- a/crates/daemon/src/listeners/http/body.rs
+++ b/crates/daemon/src/listeners/http/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request within its limits of size and time.
+//! Reads the body of a request within the limits on its size and time.
 
 use super::rejection::RequestError;
 use crate::upstream::connection::MAX_BODY;
@@ -7,11 +7,11 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{timeout_at, Instant};
 
-/// The bytes to reserve for a body: its length, or the limit where it does not say.
+/// The number of bytes to reserve for a body: its length, or the size limit if the length is not declared.
 ///
 /// # Errors
-/// The body says that it is larger than the limit.
-pub(super) fn expected_size(body: &Incoming) -> Result<usize, RequestError> {
+/// The declared length exceeds the size limit.
+pub(super) fn reserved_size(body: &Incoming) -> Result<usize, RequestError> {
     let size = body.size_hint();
     if size.lower() > MAX_BODY as u64 {
         return Err(RequestError::BodyTooLarge);
@@ -22,7 +22,7 @@
 /// Reads the whole body.
 ///
 /// # Errors
-/// The body is larger than the limit, incomplete at `deadline`, or cannot be read.
+/// The body exceeds the size limit, is incomplete at `deadline`, or cannot be read.
 pub(super) async fn read(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
     match timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/crates/daemon/src/listeners/http/check_request.rs
+++ b/crates/daemon/src/listeners/http/check_request.rs
@@ -1,4 +1,4 @@
-//! Describes a request to an authoriser, as a `CheckRequest` of `envoy.service.auth.v3`.
+//! Describes a request to an authorizer, as a `CheckRequest` of `envoy.service.auth.v3`.
 
 use crate::upstream::headers::CORRELATION_ID;
 use hyper::header::HOST;
@@ -7,8 +7,8 @@
 use liftrouter_authz::messages::envoy::service::auth::v3::{AttributeContext, CheckRequest};
 use std::collections::HashMap;
 
-/// The check request about a request with this head and `body_size` bytes of body.
-pub(super) fn check_request(head: &Parts, body_size: usize) -> CheckRequest {
+/// Builds the check request for a request with this head and `body_size` bytes of body.
+pub(super) fn build_check_request(head: &Parts, body_size: usize) -> CheckRequest {
     let headers = join_headers(head);
     let header = |name: &str| headers.get(name).cloned().unwrap_or_default();
     let http = HttpRequest {
@@ -26,7 +26,7 @@
     CheckRequest { attributes: Some(AttributeContext { request, ..AttributeContext::default() }) }
 }
 
-/// All headers by name; the values of one that stands several times are joined by commas.
+/// All headers by name. The values of a repeated header are joined by commas.
 fn join_headers(head: &Parts) -> HashMap<String, String> {
     let mut headers: HashMap<String, String> = HashMap::new();
     for (name, value) in &head.headers {
--- a/crates/daemon/src/listeners/http/connection.rs
+++ b/crates/daemon/src/listeners/http/connection.rs
@@ -1,4 +1,4 @@
-//! The state of a client's connection, and which connection gives way to a new one.
+//! The state of a client's connection, and the choice of connections to close when the limit is reached.
 
 use crate::upstream::socket::Socket;
 use std::cell::Cell;
@@ -7,36 +7,38 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection may be closed after it has been idle for this time: on a new one, the request that it was opened for
+/// A connection must be idle for this long before it may be closed: on a new one, the request that it was opened for
 /// is most likely on its way.
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
-/// The same for a connection that has never brought a whole request head, where others wait for its place: a usual
-/// client connects because it has a request to send.
+/// The same for a connection that has never sent a complete request head, while new clients wait at the connection
+/// limit. It is shorter because clients usually connect when they already have a request to send.
 const IDLE_BEFORE_CLOSE_UNUSED: Duration = Duration::from_millis(30);
 
-/// What is known of a client's connection.
+/// The state of a client's connection.
 pub(super) struct Connection {
-    /// A request is open on it.
+    /// Whether a request is open on the connection.
     pub busy: Cell<bool>,
-    /// A request has come whole and waits for its answer.
+    /// Whether a complete request waits for its answer.
     pub awaiting_answer: Cell<bool>,
-    /// It has brought a whole request head.
+    /// Whether a complete request head was received. Reset when the connection starts to linger, so that it is then
+    /// closed first.
     pub used: Cell<bool>,
-    /// When it last became busy or idle; at first when it was accepted.
-    pub since: Cell<Instant>,
-    /// Its last reply announced that it closes.
-    pub closing: Cell<bool>,
-    /// Its last reply is out: it is only read on.
+    /// When the connection last became busy or idle; initially when it was accepted.
+    pub state_since: Cell<Instant>,
+    /// Whether the last reply announced that the connection closes.
+    pub close_announced: Cell<bool>,
+    /// Whether the last reply was sent and the connection is only read until it is closed.
     pub lingering: Cell<bool>,
-    /// Asks it to close once no request is open on it.
+    /// Notified to close the connection once no request is open on it.
     pub close: Notify,
-    /// When it was asked to give way to a new connection: one that cannot for long is passed over.
+    /// When the connection was asked to close to make room for a new one. If it does not close in time, others are
+    /// asked instead.
     close_requested_at: Cell<Option<Instant>>,
     socket: Rc<Socket>,
 }
 
-/// The order in which connections give way to new ones. Those that brought no request come first, so that silent
-/// connections crowd out no client; then the one that is idle longest.
+/// The order in which connections are closed to make room for new ones. Those that have not sent a request come
+/// first, so that unused connections do not crowd out clients; then the one that has been idle longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CloseRank {
     pub used: bool,
@@ -49,8 +51,8 @@
             busy: Cell::new(false),
             awaiting_answer: Cell::new(false),
             used: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            closing: Cell::new(false),
+            state_since: Cell::new(Instant::now()),
+            close_announced: Cell::new(false),
             lingering: Cell::new(false),
             close: Notify::new(),
             close_requested_at: Cell::new(None),
@@ -59,45 +61,47 @@
     }
 
     fn is_idle(&self) -> bool {
-        !self.busy.get() && self.since.get().elapsed() > IDLE_BEFORE_CLOSE
+        !self.busy.get() && self.state_since.get().elapsed() > IDLE_BEFORE_CLOSE
     }
 
-    /// Whether it holds nobody's request, whole or in part, and no reply that is still to be read.
+    /// Whether the connection can be closed without losing a request, complete or partial, or a reply that the client
+    /// has yet to read.
     pub(super) fn may_close(&self) -> bool {
         self.is_idle() && !self.has_partial_request() && !self.lingering.get()
     }
 
-    /// Whether it is open and has never brought a request head.
-    pub(super) fn is_silent(&self) -> bool {
+    /// Whether the connection has no open request and none was received yet (or it lingers).
+    pub(super) fn is_unused(&self) -> bool {
         !self.used.get() && !self.busy.get()
     }
 
-    /// Whether its client has written a part of a request.
+    /// Whether a part of a request was received.
     pub(super) fn has_partial_request(&self) -> bool {
         self.socket.has_recorded()
     }
 
-    /// Its rank among those that may give way to a new connection; `None` if it may not.
+    /// The rank among the connections that may be closed to make room for a new one; `None` if this one may not.
     pub(super) fn close_rank(&self) -> Option<CloseRank> {
         let requested_at = self.close_requested_at.get();
-        let is_stuck = requested_at.is_some_and(|since| since.elapsed() > IDLE_BEFORE_CLOSE);
-        let is_silent = self.is_silent() && self.since.get().elapsed() > IDLE_BEFORE_CLOSE_UNUSED;
-        let may_close = !is_stuck && (is_silent || self.is_idle());
-        may_close.then(|| CloseRank { used: self.used.get(), idle_since: self.since.get() })
+        let close_timed_out = requested_at.is_some_and(|since| since.elapsed() > IDLE_BEFORE_CLOSE);
+        let is_unused = self.is_unused() && self.state_since.get().elapsed() > IDLE_BEFORE_CLOSE_UNUSED;
+        let may_close = !close_timed_out && (is_unused || self.is_idle());
+        may_close.then(|| CloseRank { used: self.used.get(), idle_since: self.state_since.get() })
     }
 
-    /// Asks it to give way to a new connection.
+    /// Asks the connection to close to make room for a new one.
     pub(super) fn request_close(&self) {
         self.close_requested_at.set(self.close_requested_at.get().or_else(|| Some(Instant::now())));
         self.close.notify_one();
     }
 
-    /// Its last reply is out. From here on it gives way as one that never brought a request does.
+    /// Marks the last reply as sent. From here on the connection is closed to make room for a new one as if it had
+    /// never sent a request.
     pub(super) fn start_lingering(&self) {
         self.used.set(false);
         self.lingering.set(true);
         self.close_requested_at.set(None);
-        self.since.set(Instant::now());
+        self.state_since.set(Instant::now());
     }
 }
 
@@ -117,6 +121,6 @@
 impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.connection.busy.set(false);
-        self.connection.since.set(Instant::now());
+        self.connection.state_since.set(Instant::now());
     }
 }
--- a/crates/daemon/src/listeners/http/exchange.rs
+++ b/crates/daemon/src/listeners/http/exchange.rs
@@ -1,4 +1,5 @@
-//! Serves one connection: its requests one by one, its idle time, and a close that loses no request and no reply.
+//! Serves one connection: handles its requests in order, ends it when idle, and closes it without losing a request or
+//! reply.
 
 use super::connection::{BusyGuard, Connection};
 use super::reply::{self, Reply};
@@ -18,11 +19,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The next request head must be complete within this time from accept or from the reply before, and the first
-/// request with its body: it ends idle connections too.
+/// The next request head must be complete within this time, counted from accept or from the previous reply. For the
+/// first request of a connection this includes the body. The timeout also closes idle connections.
 pub(super) const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// After its last reply a connection is read on for so long and so many bytes while its client still sends: closing
-/// with bytes unread would reset it and destroy the reply.
+/// After the last reply, a connection whose client still sends is read for up to this time and this many bytes:
+/// closing it with unread bytes would reset it, and the client could lose the reply.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 256 * 1024;
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -35,7 +36,7 @@
             return;
         }
         connection.start_lingering();
-        // Asked to close before its last reply was out, it need not close at once now: the notice is dropped.
+        // Drops a close notification from before the last reply was sent: it must not cut the lingering close short.
         tokio::select! {
             biased;
             () = connection.close.notified() => {}
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Serves requests until the connection takes no more of them. True if its client may still send, so that the
-    /// last reply needs a lingering close.
+    /// Serves requests until the connection accepts no more. Returns whether the client may still be sending, in which
+    /// case the last reply needs a lingering close.
     async fn serve_requests(self: &Rc<Self>, socket: &Rc<Socket>, connection: &Rc<Connection>) -> bool {
         let service = service_fn(|request| {
             let (server, socket, connection) = (self.clone(), socket.clone(), connection.clone());
@@ -60,19 +61,20 @@
         let mut http = pin!(builder.serve_connection(TokioIo::new(SocketIo(socket.clone())), service));
         loop {
             tokio::select! {
-                // hyper comes first, so that it gets what there is to read.
+                // hyper is polled first, so that it reads the bytes that are available.
                 biased;
-                // An error here is the client's: it left, was too slow, or sent no HTTP and got a reply to that.
+                // Errors are caused by the client: it disconnected, was too slow, or sent invalid HTTP and got an
+                // error reply.
                 end = http.as_mut() => return match end {
-                    Ok(()) => connection.closing.get(),
+                    Ok(()) => connection.close_announced.get(),
                     Err(error) => error.is_parse(),
                 },
                 () = client_disconnected(socket, connection) => return false,
                 () = connection.close.notified() => {
-                    // A request that lies unread would be lost with its connection: it is served first.
+                    // Closing now would lose a request that has arrived but was not read yet: it is served first.
                     if connection.busy.get() || socket.is_quiet() {
-                        if connection.is_silent() {
-                            // A partial head would hold up hyper's own shutdown.
+                        if connection.is_unused() {
+                            // hyper's graceful shutdown would wait for the rest of a partial head.
                             return false;
                         }
                         http.as_mut().graceful_shutdown();
@@ -89,14 +91,14 @@
         connection: &Rc<Connection>,
     ) -> Reply {
         let is_first = !connection.used.replace(true);
-        let accepted_at = is_first.then(|| connection.since.get());
+        let accepted_at = is_first.then(|| connection.state_since.get());
         let _busy = BusyGuard::new(connection.clone());
         let reply = self.respond(request, socket, connection, accepted_at).await;
-        connection.closing.set(reply.headers().contains_key(CONNECTION));
+        connection.close_announced.set(reply.headers().contains_key(CONNECTION));
         reply
     }
 
-    /// `accepted_at` is given for the first request of a connection.
+    /// Handles one request. `accepted_at` is set only for the first request of a connection.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -114,8 +116,8 @@
             result.unwrap_or_else(reply::not_admitted)
         };
         socket.record(MAX_HEAD_BYTES);
-        // Behind a chunked body nothing is read as a request, whatever another reader would find there; nor where the
-        // socket brought more than was recorded.
+        // The connection closes after a chunked body, because another parser could find a different end of the body
+        // and read the bytes behind it as a request. It also closes if more bytes arrived than could be recorded.
         if is_chunked || socket.is_overrun() || self.draining.get() {
             reply::close_connection(&mut reply);
         }
@@ -123,10 +125,10 @@
     }
 }
 
-/// Waits until the client disconnects while it waits for an answer.
+/// Completes when the client disconnects while its request waits for an answer.
 ///
-/// hyper looks for no end of the stream behind bytes that it has not read. A client that only shuts down its own
-/// sending side counts as disconnected too: nothing tells it from one that closed its connection.
+/// hyper does not detect the end of the stream behind bytes that it has not read. A client that shuts down only its
+/// sending side counts as disconnected too, since the two cases cannot be distinguished.
 async fn client_disconnected(socket: &Socket, connection: &Connection) {
     poll_fn(
         |context| {
--- a/crates/daemon/src/listeners/http/head.rs
+++ b/crates/daemon/src/listeners/http/head.rs
@@ -1,7 +1,7 @@
-//! Reads and checks the head of a request: everything that the decisions or a server rely on.
+//! Reads and validates the head of a request: every field that the decision module or a server relies on.
 //!
-//! A request that fails here reaches neither the decisions, whose totals go by customer, nor a server. The checks
-//! stay cheap, and nothing is kept or logged of the request: malformed requests may come at full speed.
+//! An invalid request reaches neither the decision module, which keeps totals per customer, nor a server. The checks
+//! are cheap, and an invalid request is neither stored nor logged, because malformed requests may arrive at full rate.
 
 use super::rejection::RequestError;
 use crate::listeners::fields::{self, MAX_ID_BYTES};
@@ -16,13 +16,13 @@
 
 const METERING: HeaderName = HeaderName::from_static("x-metering");
 const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
-/// Marks a request that its client sends again.
+/// Set to `1` by the client on a retry.
 pub(super) const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
 
-/// The most headers that hyper reads of a request.
+/// The maximum number of headers that hyper accepts in a request.
 const MAX_HEADERS: usize = 100;
 
-/// What was read from a valid head.
+/// The fields of a valid request head.
 pub(super) struct CheckedHead {
     pub class: String,
     pub customer: String,
@@ -32,17 +32,18 @@
     pub metering: Metering,
 }
 
-/// What a request counts, and how the customer's requests are spread over the instances.
+/// The units that a request consumes, and the number of instances that the customer's requests are spread over.
 pub(super) struct Metering {
     pub units: f64,
     pub reachable_instances: u32,
 }
 
-/// Checks a head. `raw` has the bytes that the connection has brought since the request before, the head first; they
-/// are read only for a chunked request.
+/// Validates a request head. `raw` contains the bytes received since the previous request, starting with the head. It
+/// is used only for chunked requests.
 ///
 /// # Errors
-/// The first fault that was found. The path is checked first: an unknown one is not found, whatever its headers say.
+/// The first error found. The path is checked first, so that an unknown path is reported as not found, whatever the
+/// headers are.
 pub(super) fn check(
     settings: &Settings,
     head: &Parts,
@@ -50,19 +51,20 @@
     raw: &[u8],
 ) -> Result<CheckedHead, RequestError> {
     let headers = &head.headers;
-    let (class, customer) = read_path(settings, head.uri.path())?;
+    let (class, customer) = parse_path(settings, head.uri.path())?;
     if headers.contains_key(TRANSFER_ENCODING) && !is_only_chunked(raw) {
         return Err(RequestError::AmbiguousLength);
     }
-    let customer = fields::read_customer(customer).ok_or(RequestError::MalformedCustomer)?;
-    let correlation_id = read_id(headers, CORRELATION_ID).ok_or(RequestError::MalformedCorrelationId)?;
+    let customer = fields::parse_customer(customer).ok_or(RequestError::MalformedCustomer)?;
+    let correlation_id =
+        read_single_id(headers, CORRELATION_ID).ok_or(RequestError::MalformedCorrelationId)?;
     let plan = read_single(headers, CONTRACT).ok_or(RequestError::UnknownContract)?;
     if !settings.plans.iter().any(|known| known.name == plan) {
         return Err(RequestError::UnknownContract);
     }
-    let time_left = read_single(headers, TIME_LEFT).and_then(|text| fields::read_time_left(text, class));
+    let time_left = read_single(headers, TIME_LEFT).and_then(|text| fields::parse_time_left(text, class));
     let time_left = time_left.ok_or(RequestError::MalformedTimeLeft)?;
-    let metering = read_single(headers, METERING).and_then(|text| read_metering(settings, text));
+    let metering = read_single(headers, METERING).and_then(|text| parse_metering(settings, text));
     let metering = metering.ok_or(RequestError::MalformedMetering)?;
     check_idempotency(class, head, body)?;
     Ok(CheckedHead {
@@ -75,8 +77,8 @@
     })
 }
 
-/// Splits `/class/customer`.
-fn read_path<'s, 'p>(settings: &'s Settings, path: &'p str) -> Result<(&'s Class, &'p str), RequestError> {
+/// Splits `/class/customer`, and looks up the class.
+fn parse_path<'s, 'p>(settings: &'s Settings, path: &'p str) -> Result<(&'s Class, &'p str), RequestError> {
     let (name, customer) =
         path.strip_prefix('/').and_then(|path| path.split_once('/')).ok_or(RequestError::UnknownPath)?;
     let class = settings.classes.iter().find(|class| class.name == name);
@@ -87,18 +89,19 @@
     Ok((class, customer))
 }
 
-/// The value of a header that stands once: given twice, it may be read one way here and another way at a server.
+/// The value of a header that occurs exactly once. A repeated header is invalid, since a server could use another of
+/// its values.
 fn read_single(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().filter(|value| !value.is_empty()).and_then(|value| value.to_str().ok());
     value.filter(|_| values.next().is_none())
 }
 
-fn read_id(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+fn read_single_id(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     read_single(headers, name).filter(|id| id.len() <= MAX_ID_BYTES)
 }
 
-/// Whether method, body and idempotency key fit the class.
+/// Checks that method, body and idempotency key fit the class.
 fn check_idempotency(class: &Class, head: &Parts, body: &Incoming) -> Result<(), RequestError> {
     let is_idempotent = class.idempotency == Idempotency::Idempotent;
     let method = if is_idempotent { Method::GET } else { Method::POST };
@@ -106,30 +109,30 @@
         return Err(RequestError::WrongMethod);
     }
     if is_idempotent && !body.is_end_stream() {
-        return Err(RequestError::BodyOfGet);
+        return Err(RequestError::UnexpectedBody);
     }
     let needs_key = class.idempotency == Idempotency::IdempotencyKey;
-    if needs_key && read_id(&head.headers, IDEMPOTENCY_KEY).is_none() {
+    if needs_key && read_single_id(&head.headers, IDEMPOTENCY_KEY).is_none() {
         return Err(RequestError::MalformedIdempotencyKey);
     }
     Ok(())
 }
 
-/// Whether a chunked request came without a length.
+/// Whether a chunked request has no `Content-Length` header.
 ///
-/// hyper removes the length where both are there, and a peer that goes by the length would find another request in
-/// the body (request smuggling): so the head is parsed once more as it came.
+/// hyper removes `Content-Length` if both headers are present, and a peer that uses the length would find another
+/// request in the body (request smuggling). So the raw head is parsed again.
 fn is_only_chunked(raw: &[u8]) -> bool {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    // A head that cannot be found again (it was written behind another request) is treated as one with both.
+    // If the raw head is missing (it was pipelined behind another request), both headers are assumed.
     matches!(head.parse(raw), Ok(httparse::Status::Complete(_)))
         && head.headers.iter().all(|header| !header.name.eq_ignore_ascii_case(CONTENT_LENGTH.as_str()))
 }
 
-/// Reads `units=2,spread=3,first=1`: the units, the number of instances that the customer reaches, and the first of
-/// them, which is checked alone. Further names are ignored.
-fn read_metering(settings: &Settings, text: &str) -> Option<Metering> {
+/// Parses `units=2,spread=3,first=1`: the units, the number of instances that the customer reaches, and the first of
+/// these, which is validated but not used. Unknown names are ignored.
+fn parse_metering(settings: &Settings, text: &str) -> Option<Metering> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
--- a/crates/daemon/src/listeners/http/mod.rs
+++ b/crates/daemon/src/listeners/http/mod.rs
@@ -1,6 +1,6 @@
-//! The HTTP/1.1 listener: accepts connections, bounds what each may take, reads requests and writes replies.
+//! The HTTP/1.1 listener: accepts connections, enforces the limits of each, reads requests and writes replies.
 //!
-//! Malformed requests are answered here and reach neither the decisions nor a server.
+//! Malformed requests are answered here and reach neither the decision module nor a server.
 
 mod body;
 mod check_request;
@@ -22,14 +22,14 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// While connections that brought no request take less than one in so many places, one that did gives way before
-/// they are let go for their silence.
-const SILENT_SHARE_DIVISOR: usize = 4;
+/// A connection that has sent a request is closed to make room for a new one only while fewer than
+/// `max_connections / UNUSED_CONNECTIONS_DIVISOR` connections have not sent one.
+const UNUSED_CONNECTIONS_DIVISOR: usize = 4;
 
 /// The running HTTP/1.1 listener.
 pub struct HttpServer {
     admission: Rc<Admission>,
-    /// The most connections; the one that is idle longest gives way to a new one.
+    /// The maximum number of connections. At the limit, an idle connection is closed to make room for a new one.
     max_connections: usize,
     ready: Cell<bool>,
     draining: Cell<bool>,
@@ -40,7 +40,7 @@
 }
 
 impl HttpServer {
-    /// A listener of at most `max_connections`, not ready yet.
+    /// Creates a listener of at most `max_connections` connections, not ready yet.
     pub fn new(admission: Rc<Admission>, max_connections: usize) -> Rc<Self> {
         Rc::new(HttpServer {
             admission,
@@ -53,22 +53,23 @@
         })
     }
 
-    /// From now on `GET /up` is answered 200.
+    /// Makes `GET /up` return 200 until the shutdown begins.
     pub fn set_ready(&self) {
         self.ready.set(true);
     }
 
-    /// Accepts connections for as long as it is polled.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
-        let full = || {
-            let full = self.connections.borrow().len() >= self.max_connections;
-            if full {
-                self.close_idlest();
+        let is_full = || {
+            let is_full = self.connections.borrow().len() >= self.max_connections;
+            if is_full {
+                self.close_longest_idle();
             }
-            full
+            is_full
         };
-        // A connection counts from here on: many may be accepted before the task of the first one runs.
-        let take = |stream| {
+        // Connections are registered here rather than in their tasks, so that the limit counts them at once: many may
+        // be accepted before the first task runs.
+        let on_connection = |stream| {
             let socket = Socket::new(stream);
             let number = self.next_connection.replace(self.next_connection.get() + 1);
             let connection = Connection::new(socket.clone());
@@ -80,22 +81,22 @@
                 server.closed.notify_one();
             });
         };
-        accept(listener, "clients", &self.closed, full, take).await;
+        accept(listener, "clients", &self.closed, is_full, on_connection).await;
     }
 
     /// Begins the graceful shutdown: replies carry `Connection: close`, idle connections are closed.
     pub fn drain(&self) {
         self.draining.set(true);
-        // On a connection without a request so far, the first one is most likely on its way; on one with a partial
-        // request, the rest is.
+        // Connections that have not sent a request stay open, since their first one is most likely on its way. So do
+        // those with a partial request, whose rest is still arriving.
         let connections = self.connections.borrow();
         for connection in connections.values().filter(|c| c.used.get() && !c.has_partial_request()) {
             connection.close.notify_one();
         }
     }
 
-    /// Closes connections as they become idle, until none is left. A partial request has its time to come whole, and
-    /// a last reply the time to be read.
+    /// Closes connections as they become idle, and returns once none is left. A partial request may still arrive
+    /// within its timeout, and the client may still read a last reply.
     pub async fn all_closed(&self) {
         while !self.connections.borrow().is_empty() {
             for connection in self.connections.borrow().values().filter(|c| c.may_close()) {
@@ -105,15 +106,16 @@
         }
     }
 
-    fn close_idlest(&self) {
+    fn close_longest_idle(&self) {
         let connections = self.connections.borrow();
         let ranked = connections.values().filter_map(|c| Some((c.close_rank()?, c)));
-        let Some((rank, idlest)) = ranked.min_by_key(|(rank, _)| *rank) else { return };
-        let silent = connections.values().filter(|c| c.is_silent()).count();
-        // Silent connections are let go in a moment: many of them push out nobody who brought a request.
-        if rank.used && silent * SILENT_SHARE_DIVISOR >= self.max_connections {
+        let Some((rank, longest_idle)) = ranked.min_by_key(|(rank, _)| *rank) else { return };
+        let unused = connections.values().filter(|c| c.is_unused()).count();
+        // Unused connections can be closed moments later: a burst of them must not push out clients that have sent
+        // requests.
+        if rank.used && unused * UNUSED_CONNECTIONS_DIVISOR >= self.max_connections {
             return;
         }
-        idlest.request_close();
+        longest_idle.request_close();
     }
 }
--- a/crates/daemon/src/listeners/http/rejection.rs
+++ b/crates/daemon/src/listeners/http/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that are answered before the host hears of them.
+//! Errors for requests that are answered without being submitted to the host.
 
 #[cfg(test)]
 mod tests;
@@ -19,12 +19,12 @@
     MalformedTimeLeft,
     MalformedMetering,
     WrongMethod,
-    BodyOfGet,
+    UnexpectedBody,
     MalformedIdempotencyKey,
     BodyTooLarge,
     UnreadableBody,
     BodyTimeout,
-    NoBodyMemory,
+    BodyMemoryExhausted,
     TooManyOpenRequests,
     ShuttingDown,
     DuplicateId,
@@ -36,7 +36,7 @@
             Self::UnknownPath | Self::MissingTarget => StatusCode::NOT_FOUND,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
-            Self::NoBodyMemory | Self::TooManyOpenRequests | Self::ShuttingDown => {
+            Self::BodyMemoryExhausted | Self::TooManyOpenRequests | Self::ShuttingDown => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::DuplicateId => StatusCode::CONFLICT,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The body of the reply: a static text, since malformed requests may come at full speed.
+    /// The body of the reply. It is a static string, since malformed requests may arrive at full rate.
     pub(super) fn body(self) -> &'static str {
         match self {
             Self::UnknownPath => "no such path\n",
@@ -57,12 +57,12 @@
             Self::MalformedTimeLeft => "X-Time-Left is missing or malformed\n",
             Self::MalformedMetering => "X-Metering is missing or malformed\n",
             Self::WrongMethod => "the method does not fit the class\n",
-            Self::BodyOfGet => "a GET carries no body\n",
+            Self::UnexpectedBody => "a GET carries no body\n",
             Self::MalformedIdempotencyKey => "Idempotency-Key is missing or malformed\n",
             Self::BodyTooLarge => "the body is too large\n",
             Self::UnreadableBody => "the body cannot be read\n",
             Self::BodyTimeout => "the body came too slowly\n",
-            Self::NoBodyMemory => "too much is open\n",
+            Self::BodyMemoryExhausted => "too much is open\n",
             Self::TooManyOpenRequests => "too many requests are open\n",
             Self::ShuttingDown => "ending\n",
             Self::DuplicateId => "a request with this id is open\n",
--- a/crates/daemon/src/listeners/http/reply.rs
+++ b/crates/daemon/src/listeners/http/reply.rs
@@ -1,4 +1,4 @@
-//! Builds replies to clients.
+//! Builds HTTP replies to clients.
 
 use super::rejection::RequestError;
 use crate::events::{Answer, Rejection};
@@ -29,19 +29,19 @@
     }
 }
 
-/// The reply to an answered request. `changes` are the authoriser's changes to the headers of a served answer.
+/// The reply for the host's answer. `changes` are the authorizer's header changes, which apply only to a served answer.
 pub(super) fn from_answer(answer: Answer, changes: &HeaderChanges) -> Reply {
     match answer {
         Answer::Served(answer) => served(answer, changes),
         Answer::Rejected(rejection) => rejected(&rejection),
         Answer::Denied(denial) => denied(denial),
-        // A forwarded request is never answered with an authorisation.
+        // A forwarded request is never answered with an authorization.
         Answer::Failed | Answer::Authorized(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
 
-/// A reply to a request that may not have been read to its end: a fault closes the connection, so that the rest is
-/// not taken for the next request.
+/// A reply to a request that may not have been read completely. After an error the connection is closed, so that the
+/// unread rest is not parsed as the next request.
 fn immediate(status: StatusCode, body: &'static str) -> Reply {
     let mut reply = plain(status, body);
     if status != StatusCode::OK && status != StatusCode::SERVICE_UNAVAILABLE {
@@ -70,7 +70,7 @@
     reply
 }
 
-/// A denial as its authoriser wants it; `Denial` has no headers that belong to the connection.
+/// The reply for a denial, as the authorizer specified it. `Denial` contains no hop-by-hop headers, so all are copied.
 fn denied(denial: Denial) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from(denial.body)));
     *reply.status_mut() = StatusCode::from_u16(denial.status).unwrap_or(StatusCode::FORBIDDEN);
--- a/crates/daemon/src/listeners/http/request.rs
+++ b/crates/daemon/src/listeners/http/request.rs
@@ -1,6 +1,6 @@
-//! One request: its checks, its body, its admission, and its reply.
+//! Handles one request: validates the head, reads the body, submits the request, and builds the reply.
 
-use super::check_request::check_request;
+use super::check_request::build_check_request;
 use super::connection::Connection;
 use super::exchange::HEAD_TIMEOUT;
 use super::head::{self, CheckedHead, REPEAT};
@@ -19,17 +19,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An answer is due this much before the client gives up: it still has the way back to go, and the client's deadline
-/// began before its request came in.
+/// An answer is due this much before the client's deadline, because the reply still has to reach the client, and the
+/// client's timer started before the request arrived here.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// The body of a request must be complete within this time from its head, but for the first request of a connection.
+/// The body of a request must be complete within this time after its head. For the first request of a connection,
+/// [`HEAD_TIMEOUT`] covers the body too.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl HttpServer {
     /// Handles a request up to its reply.
     ///
     /// # Errors
-    /// The request is malformed, came too slowly, or is over a limit; the host has not heard of it.
+    /// The request is malformed, arrived too slowly, or exceeds a limit. It was not submitted to the host.
     pub(super) async fn handle(
         &self,
         request: Request<Incoming>,
@@ -41,9 +42,9 @@
         let (head, body) = request.into_parts();
         let checked = head::check(&admission.settings, &head, &body, &raw_head)?;
         drop(raw_head);
-        let size = body::expected_size(&body)?;
-        // Reserved until the answer is there: the bodies of all open requests stay within the memory limit.
-        let _reservation = admission.reserve_body(size).ok_or(RequestError::NoBodyMemory)?;
+        let size = body::reserved_size(&body)?;
+        // Held until the request is answered, so that the bodies of all open requests stay within the memory limit.
+        let _reservation = admission.reserve_body(size).ok_or(RequestError::BodyMemoryExhausted)?;
         let body_deadline = match accepted_at {
             Some(accepted_at) => accepted_at + HEAD_TIMEOUT,
             None => Instant::now() + BODY_TIMEOUT,
@@ -52,13 +53,13 @@
         if admission.is_full() {
             return Err(RequestError::TooManyOpenRequests);
         }
-        // The last byte has come: from here on the request is taken and owed one answer.
+        // The request is complete: from here on it is accepted and must get exactly one answer.
         let deadline = Instant::now() + checked.time_left.saturating_sub(DEADLINE_MARGIN);
         let deadline = admission.answer_deadline(deadline).ok_or(RequestError::ShuttingDown)?;
         let open_id = admission.open_request_id(&checked.correlation_id);
         let _open_id = open_id.ok_or(RequestError::DuplicateId)?;
         let request = incoming_request(&head, checked, body, deadline)?;
-        let build = || check_request(&head, size);
+        let build = || build_check_request(&head, size);
         let authorization = AuthorizationRequest { build: &build, via: &[], deadline };
         connection.awaiting_answer.set(true);
         let (answer, changes) = admission.answer(request, &authorization).await;
--- a/crates/daemon/src/listeners/mod.rs
+++ b/crates/daemon/src/listeners/mod.rs
@@ -1,5 +1,5 @@
-//! Listeners: where clients connect. A listener reads and checks a request, submits it to the host through the event
-//! queue, and writes its one answer.
+//! Listeners accept client connections. A listener reads and validates each request, submits it to the host through
+//! the event queue, and writes exactly one reply.
 
 pub mod accept;
 pub mod admission;
--- a/crates/daemon/src/listeners/open_ids.rs
+++ b/crates/daemon/src/listeners/open_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of the open requests, over all listeners.
+//! The ids of the open requests of all listeners.
 //!
 //! A client gives every request a new id. A second open request with the same id would be a second attempt of the
 //! same request, so it is not admitted.
@@ -7,28 +7,28 @@
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// The ids of the requests that are open now.
+/// The set of request ids that are currently open.
 #[derive(Default)]
 pub struct OpenRequestIds {
     ids: RefCell<HashSet<HeaderValue>>,
 }
 
 impl OpenRequestIds {
-    /// Marks an id as open until the guard is dropped; `None` where it is open already.
+    /// Registers an id as open until the returned guard is dropped; `None` if it is already open.
     pub fn open(&self, id: &HeaderValue) -> Option<OpenRequestId<'_>> {
         let inserted = self.ids.borrow_mut().insert(id.clone());
-        inserted.then(|| OpenRequestId { open: self, id: id.clone() })
+        inserted.then(|| OpenRequestId { open_ids: self, id: id.clone() })
     }
 }
 
-/// The id of a request while it is open.
+/// Guard that keeps a request id registered as open until it is dropped.
 pub struct OpenRequestId<'a> {
-    open: &'a OpenRequestIds,
+    open_ids: &'a OpenRequestIds,
     id: HeaderValue,
 }
 
 impl Drop for OpenRequestId<'_> {
     fn drop(&mut self) {
-        self.open.ids.borrow_mut().remove(&self.id);
+        self.open_ids.ids.borrow_mut().remove(&self.id);
     }
 }
