--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -179,7 +179,8 @@
             Ok(0)
         }
         Command::Members { at, json } => {
-            let status = cluster::show(&at, json).map_err(|error| CliError::ClusterStatus(error.into()))?;
+            let status =
+                cluster::query_status(&at, json).map_err(|error| CliError::ClusterStatus(error.into()))?;
             print!("{status}");
             Ok(0)
         }
--- a/crates/daemon/src/cluster/mod.rs
+++ b/crates/daemon/src/cluster/mod.rs
@@ -10,7 +10,7 @@
 mod transport;
 
 pub use error::ClusterError;
-pub use status::{listen, show};
+pub use status::{bind_status_socket, query_status};
 
 use crate::events::EventQueue;
 use crate::log;
@@ -37,7 +37,7 @@
 
 /// The cluster section of the operator's file.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ClusterConfig {
     /// The settings of the member.
     pub settings: Settings,
     /// The Unix socket for status queries.
@@ -63,9 +63,12 @@
     ///
     /// # Errors
     /// The socket cannot be opened, or the settings cannot be used.
-    pub async fn open(setup: &Setup, events: Rc<EventQueue>) -> Result<Rc<ClusterService>, ClusterError> {
-        let mut settings = setup.settings.clone();
-        let transport = Transport::open(settings.address, setup.link_proxy).await?;
+    pub async fn open(
+        config: &ClusterConfig,
+        events: Rc<EventQueue>,
+    ) -> Result<Rc<ClusterService>, ClusterError> {
+        let mut settings = config.settings.clone();
+        let transport = Transport::open(settings.address, config.link_proxy).await?;
         settings.address = transport.address();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         // The hasher is keyed by the system's randomness, anew for each process.
--- a/crates/daemon/src/cluster/status.rs
+++ b/crates/daemon/src/cluster/status.rs
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 /// The socket cannot be opened, or another file is in its place.
-pub fn listen(path: &Path) -> Result<UnixListener, ClusterError> {
+pub fn bind_status_socket(path: &Path) -> Result<UnixListener, ClusterError> {
     let error = |source: io::Error| ClusterError::StatusSocket { path: path.into(), source };
     // Any other file belongs to somebody else.
     if std::fs::symlink_metadata(path).is_ok_and(|metadata| metadata.file_type().is_socket()) {
@@ -136,8 +136,8 @@
 ///
 /// # Errors
 /// No limiter answers, or the answer is no status.
-pub fn show(path: &Path, json: bool) -> Result<String, ClusterError> {
-    let text = query(path).map_err(|source| ClusterError::NoAnswer { path: path.into(), source })?;
+pub fn query_status(path: &Path, json: bool) -> Result<String, ClusterError> {
+    let text = read_status(path).map_err(|source| ClusterError::NoAnswer { path: path.into(), source })?;
     if json {
         return Ok(text);
     }
@@ -146,7 +146,7 @@
     Ok(report.to_table())
 }
 
-fn query(path: &Path) -> io::Result<String> {
+fn read_status(path: &Path) -> io::Result<String> {
     let mut stream = UnixStream::connect(path)?;
     stream.set_read_timeout(Some(STATUS_TIMEOUT))?;
     let mut text = String::new();
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -16,7 +16,7 @@
 mod tests;
 
 use crate::authoriser::AuthoriserSettings;
-use crate::cluster::Setup;
+use crate::cluster::ClusterConfig;
 use crate::discovery::inventory_file::InventorySource;
 pub use counter::CounterSettings;
 pub use error::{Fault, Location, OperatorError, Position};
@@ -55,7 +55,7 @@
     /// How counter services are validated and followed, if they are.
     pub counter: Option<CounterSettings>,
     /// How this limiter is a member of a cluster, if it is.
-    pub cluster: Option<Setup>,
+    pub cluster: Option<ClusterConfig>,
     /// The relays that the endpoint list comes through, in place of discovery.
     pub relays: Option<Relays>,
     /// Where each class of an authoriser stands.
--- a/crates/daemon/src/operator/cluster.rs
+++ b/crates/daemon/src/operator/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
-use crate::cluster::Setup;
+use crate::cluster::ClusterConfig;
 use liftrouter_cluster::gossip::GossipSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -43,7 +43,10 @@
 }
 
 /// Checks the section.
-pub(super) fn check(source: &SourceText, section: Spanned<ClusterSection>) -> Result<Setup, OperatorError> {
+pub(super) fn check(
+    source: &SourceText,
+    section: Spanned<ClusterSection>,
+) -> Result<ClusterConfig, OperatorError> {
     let (offset, section) = (section.span().start, section.into_inner());
     let addresses = |subject: &'static str, values: &[Spanned<String>]| {
         values.iter().map(|value| source.address(subject, value)).collect::<Result<Vec<_>, _>>()
@@ -91,7 +94,7 @@
     })?;
     let link_proxy = section.link_proxy.map(|address| check_link_proxy(source, &address)).transpose()?;
     let health_check_interval = health_check_ms.map(Duration::from_millis);
-    Ok(Setup { settings, status_socket: section.status_socket, health_check_interval, link_proxy })
+    Ok(ClusterConfig { settings, status_socket: section.status_socket, health_check_interval, link_proxy })
 }
 
 /// The proxy that plays the links between members, in builds for tests alone.
--- a/crates/daemon/src/serve/cluster_node.rs
+++ b/crates/daemon/src/serve/cluster_node.rs
@@ -23,12 +23,12 @@
     ///
     /// # Errors
     /// One of them cannot be opened, or the settings cannot be used.
-    pub async fn open(setup: &cluster::Setup, events: Rc<EventQueue>) -> Result<Self, ServeError> {
-        let status_listener = setup.status_socket.as_deref().map(cluster::listen).transpose();
+    pub async fn open(config: &cluster::ClusterConfig, events: Rc<EventQueue>) -> Result<Self, ServeError> {
+        let status_listener = config.status_socket.as_deref().map(cluster::bind_status_socket).transpose();
         let status_listener = status_listener.map_err(|error| ServeError::Cluster(error.into()))?;
         let group =
-            ClusterService::open(setup, events).await.map_err(|error| ServeError::Cluster(error.into()))?;
-        Ok(ClusterNode { group, status_listener, health_check_interval: setup.health_check_interval })
+            ClusterService::open(config, events).await.map_err(|error| ServeError::Cluster(error.into()))?;
+        Ok(ClusterNode { group, status_listener, health_check_interval: config.health_check_interval })
     }
 
     /// Takes part in the cluster from now on.
