--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Membership and failure detection by gossip: SWIM as implemented by the library `foca`, which leaves timers to its caller and
-//! lacks the local health score of Lifeguard.
+//! Membership and failure detection by gossip: SWIM as implemented by the library `foca`. The library leaves timers to its
+//! caller and lacks the local health score of Lifeguard; this module adds both.
 //!
 //! Sources: Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group membership protocol",
 //! 2002; Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate failure detection", 2018.
@@ -21,13 +21,13 @@
 
 /// The longest name of a member, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Members that are kept at most, those that have left included: gossip about more is not accepted.
+/// The limit on known members, including those that have left. Once it is reached, received gossip is rejected.
 pub const MAX_MEMBERS: usize = 4_096;
-/// The largest gossip: a datagram has one byte for its kind.
+/// The largest gossip, in bytes: the first byte of a datagram is its kind.
 const MAX_GOSSIP_BYTES: usize = MAX_DATAGRAM_BYTES - 1;
 /// The largest local health score.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// The local health score improves by one after so many probe periods without a delay.
+/// The local health score falls by one after this number of probe periods without a late timer.
 const RECOVERY_PERIODS: Micros = 20;
 
 /// Identifies one process of a member. The order of the fields is the format on the wire.
@@ -37,9 +37,10 @@
     pub name: String,
     /// Address on which it receives datagrams.
     pub address: SocketAddr,
-    /// Drawn at each start: tells two processes of one name apart.
+    /// Random number drawn at each start; distinguishes processes with the same name.
     pub instance: u64,
-    /// The higher of two at one address is the later: Unix time of the start in milliseconds, and one more with each rejoin.
+    /// Unix time of the start in milliseconds, plus one for each rejoin. Of two identities at one address, the one with the
+    /// higher incarnation is the newer.
     pub incarnation: u64,
 }
 
@@ -66,11 +67,11 @@
     Up(MemberIdentity),
     /// A process has left or failed.
     Down(MemberIdentity),
-    /// The others declared this process failed: it has rejoined with a higher incarnation.
+    /// Other members had declared this process failed; it has rejoined with a higher incarnation.
     Rejoined(MemberIdentity),
 }
 
-/// The state of a member by gossip.
+/// The state of a member as gossip reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
     /// It replies to probes.
@@ -102,16 +103,16 @@
     }
 }
 
-/// Gossip that is not accepted.
+/// Why gossip was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GossipError {
-    /// No further member can be known.
+    /// [`MAX_MEMBERS`] is reached.
     #[error("{known} members are known, expected {MAX_MEMBERS} at most")]
     TooManyMembers {
-        /// Members known, those that have left included.
+        /// Number of known members, including those that have left.
         known: usize,
     },
-    /// The library rejects it.
+    /// `foca` rejected it.
     #[error("{cause}")]
     Rejected {
         /// The error of the library, which cannot be cloned or compared.
@@ -128,7 +129,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// What follows from one step.
+/// The results of one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipOutput {
     /// Gossip to send, in order.
@@ -137,21 +138,21 @@
     pub events: Vec<GossipEvent>,
 }
 
-/// The gossip of one process.
+/// Membership and failure detection of one process.
 pub struct Gossip {
     foca: Foca<MemberIdentity, PostcardCodec, SmallRng, NoCustomBroadcast>,
     identity: MemberIdentity,
     settings: GossipSettings,
-    /// By due time; timers due at once keep their order by the number.
+    /// Keyed by due time and a sequence number, which keeps timers that are due at the same time in order.
     timers: BTreeMap<(Micros, u64), Timer<MemberIdentity>>,
     last_timer: u64,
     health_score: u32,
-    /// When the health score last changed, or a delay was last excused.
+    /// When the health score last changed or timers were last postponed.
     health_changed_at: Micros,
 }
 
 impl Gossip {
-    /// The gossip of a process that knows no others yet.
+    /// Creates the state of a process that knows no other members yet. The seed is for the random choice of members.
     pub fn new(identity: MemberIdentity, settings: GossipSettings, seed: u64) -> Gossip {
         let rng = SmallRng::seed_from_u64(seed);
         let config = settings.foca_config(MAX_GOSSIP_BYTES, 0);
@@ -172,8 +173,8 @@
         &self.identity
     }
 
-    /// The local health score of Lifeguard: 0 if this process runs its timers in time, otherwise its suspicions last
-    /// (1 + score) times as long.
+    /// The local health score of Lifeguard: 0 while timers run on time, higher after late ones. The suspicion timeout is
+    /// multiplied by 1 + score.
     pub fn health_score(&self) -> u32 {
         self.health_score
     }
@@ -195,7 +196,7 @@
         self.timers.keys().next().map(|(due, _)| *due)
     }
 
-    /// Keeps the timers of one step and appends its other effects to the output.
+    /// Schedules the timers of one step and appends its other effects to the output.
     fn apply(&mut self, now: Micros, effects: Effects, output: &mut GossipOutput) {
         for (delay, timer) in effects.timers {
             self.last_timer += 1;
@@ -210,7 +211,7 @@
         output.events.extend(effects.events);
     }
 
-    /// Announces this process to a member that may be at an address.
+    /// Announces this process to an address where a member may listen.
     pub fn join(&mut self, now: Micros, address: SocketAddr, outgoing: &mut Vec<OutgoingGossip>) {
         let mut effects = Effects::default();
         // The identity at the address is not known; an announcement is answered whatever identity it names.
@@ -225,7 +226,7 @@
     /// Handles received gossip.
     ///
     /// # Errors
-    /// It is not gossip of a member, or too many members are known.
+    /// The bytes are not valid gossip, or too many members are known.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -242,8 +243,9 @@
         result.map_err(|error| GossipError::Rejected { cause: error.to_string() })
     }
 
-    /// Runs the timers that are due. A process that comes late has not read the replies that arrived meanwhile: its timers
-    /// are postponed until it has, and its health score rises, so that it suspects others for longer.
+    /// Runs the timers that are due. If this process was paused, replies may have arrived that it has not read yet: after a
+    /// late wake-up the timers are postponed so that it can read them, and the health score rises, which extends the
+    /// suspicion timeout.
     pub fn wake(&mut self, now: Micros, output: &mut GossipOutput) {
         let delay = self.wake_at().map_or(0, |due| now.saturating_sub(due));
         let probe_timeout = self.settings.probe_timeout.as_micros() as Micros;
@@ -275,11 +277,11 @@
 
     fn set_health_score(&mut self, score: u32) {
         self.health_score = score;
-        // The library refuses changes of the probe period only, which stays the same.
+        // The library only rejects a change of the probe period, which is constant.
         let _ = self.foca.set_config(self.settings.foca_config(MAX_GOSSIP_BYTES, score));
     }
 
-    /// Tells the others that this process leaves. It sends nothing afterwards.
+    /// Tells other members that this process leaves, and drops all timers.
     pub fn leave(&mut self, now: Micros, outgoing: &mut Vec<OutgoingGossip>) {
         let mut effects = Effects::default();
         let _ = self.foca.leave_cluster(&mut effects);
--- a/crates/cluster/src/gossip/runtime.rs
+++ b/crates/cluster/src/gossip/runtime.rs
@@ -1,4 +1,4 @@
-//! The effects of one step of the library, collected.
+//! Collects the effects of one call into `foca`.
 
 use super::{GossipEvent, MemberIdentity, OutgoingGossip};
 use foca::{Notification, Runtime, Timer};
--- a/crates/cluster/src/gossip/settings.rs
+++ b/crates/cluster/src/gossip/settings.rs
@@ -4,23 +4,24 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that receive gossip at once.
+/// Members that receive gossip in each round.
 const GOSSIP_FANOUT: usize = 3;
-/// Members that receive an announcement at once.
+/// Members that receive an announcement in each round.
 const ANNOUNCE_FANOUT: usize = 1;
-/// Members believed to have failed that receive an announcement at once.
+/// Members declared failed that receive an announcement in each round.
 const ANNOUNCE_TO_DOWN_FANOUT: usize = 2;
 
-/// How soon failures are detected.
+/// Timing of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipSettings {
     /// Time between two probes; each probes one member.
     pub probe_period: Duration,
-    /// A member that has not replied by then is probed by others. Under half of the period.
+    /// A member that has not replied within this time is probed indirectly, through other members. At most half of the
+    /// period.
     pub probe_timeout: Duration,
-    /// A suspected member is declared failed after this.
+    /// How long a suspected member has to refute the suspicion before it is declared failed.
     pub suspicion_timeout: Duration,
-    /// Expected size of the cluster: updates are sent the more often the larger it is.
+    /// Expected size of the cluster; the larger it is, the more often each update is sent.
     pub expected_members: u32,
 }
 
@@ -37,9 +38,9 @@
             probe_rtt: self.probe_timeout,
             suspect_to_down_after: self.suspicion_timeout * (1 + health_score),
             max_packet_size: NonZeroUsize::new(max_bytes).unwrap_or(NonZeroUsize::MIN),
-            // A member that was declared failed hears of it from whomever it contacts, and rejoins.
+            // A member that was declared failed is told so by the members that it contacts, and rejoins.
             notify_down_members: true,
-            // A reply names some thirty members: hundreds know of each other after some tens of periods.
+            // A reply lists about thirty members, so hundreds of members know each other within tens of periods.
             periodic_announce: periodic(self.probe_period * 2, ANNOUNCE_FANOUT),
             periodic_announce_to_down_members: periodic(self.probe_period * 4, ANNOUNCE_TO_DOWN_FANOUT),
             periodic_gossip: periodic(self.probe_period / 4, GOSSIP_FANOUT),
--- a/crates/cluster/src/interface.rs
+++ b/crates/cluster/src/interface.rs
@@ -1,4 +1,4 @@
-//! What a member handles, and what follows from it.
+//! The events that a member handles, and the actions and notifications that result.
 
 use crate::gossip::MemberIdentity;
 use crate::lease::FencingToken;
@@ -13,54 +13,54 @@
     Datagram(SocketAddr, &'a [u8]),
     /// A timer is due: see [`crate::ClusterMember::wake_at`]. Waking earlier has no effect.
     Wake,
-    /// The process shuts down: leases are released and the others are told. No actions follow afterwards.
+    /// The process shuts down: the member releases its leases and tells the other members. Later events have no effect.
     Leave,
 }
 
-/// An action to carry out, in order.
+/// An action for the caller to carry out. The order of actions matters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram to an address.
     Send(SocketAddr, Vec<u8>),
-    /// Take note of a change.
+    /// Report a change.
     Notify(Notification),
 }
 
-/// A change that the caller learns of.
+/// A change in the cluster, reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notification {
     /// A process has joined.
     MemberUp(MemberIdentity),
     /// A process has left or failed.
     MemberDown(MemberIdentity),
-    /// The others declared this process failed: it has rejoined.
+    /// Other members had declared this process failed; it has rejoined.
     Rejoined,
     /// Two live processes have the same name.
     NameConflict {
-        /// The name.
+        /// The name of both.
         name: String,
-        /// Their instances, the lower first.
+        /// The `instance` of each process, the lower first.
         instances: [u64; 2],
     },
-    /// The lease of a shard is held here from now on, with this fencing token.
+    /// This member now holds the lease of the shard, with this fencing token.
     LeaseAcquired(Shard, FencingToken),
-    /// The lease is no longer held here.
+    /// This member no longer holds the lease that had this fencing token.
     LeaseLost(Shard, FencingToken),
-    /// The holder of a shard has sent something to all members. Messages with a lower token than the highest seen are not
-    /// delivered.
+    /// The holder of a shard has sent a payload to all members. Messages with a lower token than the highest seen for the
+    /// shard are dropped.
     HolderMessage {
         /// The shard.
         shard: Shard,
         /// The fencing token of the sender.
         token: FencingToken,
-        /// The content.
+        /// The bytes that the holder sent.
         payload: Vec<u8>,
     },
     /// A datagram was rejected.
     InvalidDatagram {
-        /// Its sender.
+        /// The address that it came from.
         from: SocketAddr,
-        /// Why.
+        /// Why it was rejected.
         error: DatagramError,
     },
 }
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -21,7 +21,7 @@
 use crate::{Micros, Shard};
 use serde::{Deserialize, Serialize};
 
-/// The largest clock drift that a lease allows for.
+/// The largest clock drift that a lease allows for; a larger one counts as this.
 const MAX_CLOCK_DRIFT: f64 = 0.5;
 
 /// The duration of leases and the drift of clocks.
@@ -29,7 +29,7 @@
 pub struct LeaseSettings {
     /// How long a lease lasts after its request, by the holder's clock.
     pub duration: Micros,
-    /// The share by which a clock may run too fast or too slow, against true time. Under 0.5.
+    /// How much too fast or too slow a clock may run, as a ratio of true time. At most 0.5.
     pub clock_drift: f64,
 }
 
@@ -42,10 +42,10 @@
     }
 }
 
-/// Identifies a holder: drawn at each start of a process.
+/// Identifies a holder: a random number drawn at each start of its process.
 pub type HolderId = u64;
 
-/// Increases with each new holder of a shard.
+/// Increases with each new holder of a shard, so that messages of earlier holders can be recognized.
 pub type FencingToken = u64;
 
 /// A shard and the fencing token of its lease. The order of the fields is the format on the wire.
@@ -57,12 +57,12 @@
     pub token: FencingToken,
 }
 
-/// A request of a holder to each voter. The order of the fields is the format on the wire.
+/// A holder's request for leases, sent to each voter. The order of the fields is the format on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who requests.
+    /// The requesting holder.
     pub holder: HolderId,
-    /// When, by the holder's clock; the reply repeats it.
+    /// Time of the request, by the holder's clock; the reply repeats it.
     pub requested_at: Micros,
     /// The shards, each with the token that its lease would have.
     pub leases: Vec<ShardLease>,
@@ -96,17 +96,17 @@
     pub shard: Shard,
     /// The token in the request.
     pub token: FencingToken,
-    /// The decision.
+    /// The voter's decision.
     pub vote: Vote,
 }
 
 /// The reply of a voter to a request. The order of the fields is the format on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// Who requested.
+    /// The requesting holder.
     pub holder: HolderId,
-    /// When, by the holder's clock.
+    /// Time of the request, by the holder's clock.
     pub requested_at: Micros,
-    /// One vote for each shard of the request that exists.
+    /// One vote for each shard of the request, except those that do not exist.
     pub votes: Vec<ShardVote>,
 }
--- a/crates/cluster/src/lease/holder.rs
+++ b/crates/cluster/src/lease/holder.rs
@@ -4,20 +4,21 @@
 use crate::{Micros, Shard};
 use std::collections::BTreeMap;
 
-/// The place of a voter in the list of voters.
+/// The index of a voter in the list of voters.
 type VoterIndex = u8;
 
 /// The state of a shard that this holder wants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct WantedShard {
     token: FencingToken,
-    /// A token older than a lease is not started with: voters that have forgotten a later one grant nothing for as long.
+    /// A lease never starts with a token older than the lease duration. A voter that has restarted, and so has forgotten a
+    /// later token, grants nothing for at least that long.
     token_created_at: Micros,
     /// When the grant of each voter expires, by this holder's clock.
     grants: BTreeMap<VoterIndex, Micros>,
-    /// Whether the shard was held when changes were last taken.
+    /// Whether the shard was held at the last call of [`LeaseHolder::take_changes`].
     reported_held: bool,
-    /// Another holder has the shard: earlier requests are useless.
+    /// The shard is not requested earlier, because another holder has it.
     next_request_at: Micros,
 }
 
@@ -40,10 +41,10 @@
     }
 }
 
-/// A change of a lease that the holder has noticed.
+/// A lease acquired or lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseChange {
-    /// The lease is held from now on.
+    /// The lease is now held.
     Acquired(ShardLease),
     /// The lease is no longer held.
     Lost(ShardLease),
@@ -65,7 +66,7 @@
         LeaseHolder { id, lease_duration: settings.duration, majority, wanted: BTreeMap::new() }
     }
 
-    /// Sets the shards to hold from now on. Returns the leases to release: those of other shards that a voter has granted.
+    /// Sets the shards to hold. Returns the leases to release: those of all other shards that a voter has granted.
     pub fn set_wanted(&mut self, shards: impl Iterator<Item = Shard>) -> Vec<ShardLease> {
         let mut previous = std::mem::take(&mut self.wanted);
         for shard in shards {
@@ -76,8 +77,8 @@
         released.map(|(shard, wanted)| ShardLease { shard, token: wanted.token }).collect()
     }
 
-    /// The request to send to every voter now; `None` if no shard is due. New tokens are at least `min_token`, the wall
-    /// clock's time, which orders them where every voter has forgotten the last one.
+    /// The request to send to every voter now; `None` if no shard is due. New tokens are at least `min_token`, which comes
+    /// from the wall clock: tokens increase even if every voter has restarted and forgotten the last one.
     pub fn request(&mut self, now: Micros, min_token: FencingToken) -> Option<LeaseRequest> {
         for wanted in self.wanted.values_mut() {
             let held = wanted.valid_grants(now) >= self.majority;
@@ -92,7 +93,7 @@
         (!leases.is_empty()).then_some(LeaseRequest { holder: self.id, requested_at: now, leases })
     }
 
-    /// Takes the reply of a voter. Returns true if a request with a higher token should follow at once.
+    /// Handles the reply of a voter. Returns true if a request with a higher token should be sent at once.
     pub fn handle_reply(&mut self, now: Micros, voter: VoterIndex, reply: &VoteReply) -> bool {
         if reply.holder != self.id || reply.requested_at > now {
             return false;
@@ -118,7 +119,7 @@
         match vote.vote {
             Vote::Granted => {
                 let outdated = now >= wanted.token_created_at + self.lease_duration;
-                // A lease does not start with an outdated token, but goes on with it.
+                // An outdated token can extend a lease but not start one.
                 if !outdated || wanted.valid_grants(now) > 0 {
                     let expires_at = wanted.grants.entry(voter).or_insert(grant_expires_at);
                     *expires_at = grant_expires_at.max(*expires_at);
@@ -129,7 +130,7 @@
                 wanted.replace_token(now, granted + 1);
                 retry = true;
             }
-            // Other voters may vote otherwise, and this one's clock may be wrong: wait for no more than half a lease.
+            // Other voters may decide differently, and this voter's clock may be wrong: wait at most half a lease duration.
             Vote::HeldByOther { remaining, .. } => {
                 wanted.next_request_at = now + remaining.min(self.lease_duration) / 2;
             }
--- a/crates/cluster/src/lease/tests.rs
+++ b/crates/cluster/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Voter and holder against each other, with clocks that the tests set.
+//! Voters and holders exchange requests and replies, with times set by the tests.
 
 use super::*;
 
@@ -39,7 +39,10 @@
         assert_eq!(two.fencing_token(now, 0), None, "at {now}");
     }
     let expired = 100 + SETTINGS.promise_duration() + 400_000;
-    assert!(request(&mut two, &mut [(0, a), (1, b), (2, c)], expired), "a higher token is asked for");
+    assert!(
+        request(&mut two, &mut [(0, a), (1, b), (2, c)], expired),
+        "a request with a higher token should follow"
+    );
     request(&mut two, &mut [(0, a), (1, b), (2, c)], expired);
     assert_eq!(two.fencing_token(expired, 0), Some(6), "the token of the next holder is higher");
 }
--- a/crates/cluster/src/lease/voter.rs
+++ b/crates/cluster/src/lease/voter.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     promise_duration: Micros,
-    /// Promises of an earlier process, which are not known, have expired by then.
+    /// Nothing is granted before this time, by which all promises made before a restart have expired.
     starting_until: Micros,
     shards: u16,
     promises: BTreeMap<Shard, Promise>,
@@ -29,7 +29,8 @@
         Voter { promise_duration, starting_until, shards, promises: BTreeMap::new() }
     }
 
-    /// A voter that certainly has made no promise before: the first start of a whole installation, in models only.
+    /// A voter that has certainly made no promise before, as at the first start of an installation. For models and tests
+    /// only.
     pub fn without_earlier_promises(settings: LeaseSettings, shards: u16) -> Voter {
         let promise_duration = settings.promise_duration();
         Voter { promise_duration, starting_until: 0, shards, promises: BTreeMap::new() }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,9 +1,9 @@
-//! The cluster of limiters: which members are alive, and which of them owns which shard of the shared work.
+//! Cluster membership of limiters: which members are alive, and which member owns each shard of the shared work.
 //!
-//! The crate does no I/O. Time and datagrams go in, datagrams and notifications come out, and [`ClusterMember::wake_at`] says
-//! when to call again. Three parts do not know one another: [`gossip`] detects live members, [`lease`] grants shards by a
-//! majority of voters with a fencing token, [`sharding`] assigns shards to members. [`ClusterMember`] combines them, and
-//! [`message`] is what members send. See `docs/design/members.md`.
+//! The crate does no I/O: the caller passes in the time and received datagrams and gets back datagrams to send and
+//! notifications. [`ClusterMember::wake_at`] is the time of the next call. Three modules are independent of each other:
+//! [`gossip`] detects live members, [`lease`] grants shards by a majority of voters with a fencing token, [`sharding`] assigns
+//! shards to members. [`ClusterMember`] combines them, and [`message`] defines the datagrams. See `docs/design/members.md`.
 #![warn(missing_docs)]
 
 pub mod gossip;
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -1,4 +1,4 @@
-//! One member of the cluster: gossip, leases and shard assignment of one process together.
+//! One member of the cluster: combines gossip, leases and shard assignment of one process.
 
 mod leases;
 
@@ -9,17 +9,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Time between two announcements to seeds that are not known, in probe periods.
+/// Time between two announcements to seeds that are not known to be alive, in probe periods.
 const JOIN_INTERVAL_PERIODS: u32 = 2;
 
-/// The wall clock at the start, from which new fencing tokens are derived.
+/// Both clocks at the start. New fencing tokens are derived from the wall clock.
 #[derive(Clone, Copy)]
 struct StartTime {
     unix_ms: u64,
     monotonic: Micros,
 }
 
-/// One member of the cluster.
+/// One member of the cluster: handles events and returns actions.
 pub struct ClusterMember {
     settings: Settings,
     gossip: Gossip,
@@ -29,7 +29,7 @@
     started: StartTime,
     next_request_at: Micros,
     next_join_at: Micros,
-    /// Members have changed since shards were last assigned.
+    /// Whether members have changed since shards were last assigned.
     assignment_outdated: bool,
     /// When the process at an address last joined or left.
     changed_at: BTreeMap<SocketAddr, Micros>,
@@ -41,10 +41,11 @@
 }
 
 impl ClusterMember {
-    /// A member that starts now. `instance` is drawn at each start, `unix_ms` is the time of the wall clock.
+    /// Creates a member that starts now. `instance` is a random number drawn at each start, `unix_ms` is the Unix time in
+    /// milliseconds.
     ///
     /// # Errors
-    /// Every setting that cannot be used.
+    /// Returns every invalid setting.
     pub fn new(
         settings: Settings,
         instance: u64,
@@ -88,7 +89,7 @@
         self.gossip.wake_at().unwrap_or(Micros::MAX).min(periodic).min(expiry)
     }
 
-    /// The fencing token of a shard that is held here now; `None` if it is not held. Check this before each action on the
+    /// The fencing token of a shard that this member holds now; `None` if it does not. Check this before each action on the
     /// shard.
     pub fn fencing_token(&self, now: Micros, shard: Shard) -> Option<FencingToken> {
         self.lease_holder.fencing_token(now, shard)
@@ -113,7 +114,7 @@
             }
             Event::Wake => self.gossip.wake(now, &mut gossip),
             Event::Leave => {
-                self.hold_only(Vec::new(), actions);
+                self.set_wanted_shards(Vec::new(), actions);
                 self.gossip.leave(now, &mut gossip.outgoing);
                 self.left = true;
             }
@@ -162,7 +163,7 @@
             Message::ShardsFree(_) => self.next_request_at = now,
             Message::HolderMessage { shard, token, payload } => {
                 let highest = self.highest_tokens.entry(shard).or_default();
-                // Fencing: an earlier holder whose messages were delayed must not be heard after its successor.
+                // Fencing: delayed messages of an earlier holder are dropped once its successor has sent one.
                 if shard < self.settings.shards && token >= *highest {
                     *highest = token;
                     let notification = Notification::HolderMessage { shard, token, payload };
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Announces this process to every seed that is not known: a member that was cut off from all others rejoins so, however
-    /// long it took.
+    /// Announces this process to every seed that is not known to be alive, so that a member that was isolated from all
+    /// others rejoins, even after a long time.
     fn join_unknown_seeds(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let interval = self.settings.gossip.probe_period * JOIN_INTERVAL_PERIODS;
         self.next_join_at = now + interval.as_micros() as Micros;
--- a/crates/cluster/src/member/leases.rs
+++ b/crates/cluster/src/member/leases.rs
@@ -3,17 +3,17 @@
 use super::{send, ClusterMember};
 use crate::gossip::MemberIdentity;
 use crate::lease::{LeaseRequest, ShardLease, VoteReply};
-use crate::message::{Message, MAX_PAYLOAD_BYTES, SHARDS_PER_MESSAGE};
+use crate::message::{Message, MAX_PAYLOAD_BYTES, MAX_SHARDS_PER_MESSAGE};
 use crate::{sharding, Action, LocalStatus, Micros, Shard};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Leases are requested this often while one lasts.
+/// Requests per lease duration: several may be lost before a lease expires.
 const REQUESTS_PER_LEASE: u64 = 4;
 
 impl ClusterMember {
-    /// Wants the shards assigned to this member, and releases the others. Of two processes with one name, the later started
-    /// wants none.
+    /// Requests the shards assigned to this member and releases all others. Of two processes with the same name, the one
+    /// started later requests none.
     pub(super) fn assign_shards(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.settings.voters.is_empty() {
             return;
@@ -29,16 +29,16 @@
                 |shard: &Shard| sharding::owner(*shard, names.iter().copied()) == Some(own.name.as_str());
             assigned = (0..self.settings.shards).filter(is_own).collect();
         }
-        self.hold_only(assigned, actions);
+        self.set_wanted_shards(assigned, actions);
         self.next_request_at = now;
     }
 
-    /// Wants these shards only, and tells the voters and the members that the others are assigned to which ones are free.
-    pub(super) fn hold_only(&mut self, shards: Vec<Shard>, actions: &mut Vec<Action>) {
+    /// Sets the shards to hold. Releases all others at the voters and tells the members that they are now assigned to.
+    pub(super) fn set_wanted_shards(&mut self, shards: Vec<Shard>, actions: &mut Vec<Action>) {
         let released = self.lease_holder.set_wanted(shards.into_iter());
         let free_by_owner = self.group_by_next_owner(&released);
         let own = self.gossip.identity();
-        for leases in released.chunks(SHARDS_PER_MESSAGE) {
+        for leases in released.chunks(MAX_SHARDS_PER_MESSAGE) {
             let release = Message::Release { holder: own.instance, leases: leases.to_vec() };
             for voter in self.settings.voters.iter().filter(|voter| **voter != own.address) {
                 send(*voter, &release, actions);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Released shards by the address of the member that they are assigned to next.
+    /// Groups released shards by the address of the member that they are now assigned to.
     fn group_by_next_owner(&self, released: &[ShardLease]) -> BTreeMap<SocketAddr, Vec<Shard>> {
         let own_instance = self.gossip.identity().instance;
         let others: Vec<&MemberIdentity> =
@@ -71,7 +71,7 @@
         self.next_request_at = now + self.settings.lease.duration / REQUESTS_PER_LEASE;
         let min_token = self.started.unix_ms + now.saturating_sub(self.started.monotonic) / 1_000;
         let Some(request) = self.lease_holder.request(now, min_token) else { return };
-        for leases in request.leases.chunks(SHARDS_PER_MESSAGE) {
+        for leases in request.leases.chunks(MAX_SHARDS_PER_MESSAGE) {
             let part = LeaseRequest { leases: leases.to_vec(), ..request.clone() };
             for (index, address) in self.settings.voters.iter().enumerate() {
                 match &mut self.voter {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Sends a payload to all other members in the name of a shard. Returns false, and sends nothing, if the shard is not
-    /// held here or the payload is longer than [`MAX_PAYLOAD_BYTES`].
+    /// Sends a payload to all other members as the holder of a shard. Returns false, and sends nothing, if this member does
+    /// not hold the shard or the payload is longer than [`MAX_PAYLOAD_BYTES`].
     pub fn send_as_holder(
         &mut self,
         now: Micros,
@@ -118,7 +118,7 @@
         true
     }
 
-    /// What this member knows of itself alone.
+    /// State of this member that other members do not know.
     pub fn local_status(&self, now: Micros) -> LocalStatus {
         let leases = (0..self.settings.shards)
             .filter_map(|shard| Some(ShardLease { shard, token: self.fencing_token(now, shard)? }))
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -1,6 +1,6 @@
 //! Datagrams between members: a byte for the kind, then gossip or a message in the postcard encoding.
 //!
-//! Postcard is positional: the order of variants and fields is the format, their names are not.
+//! Postcard is positional: reordering variants or fields changes the wire format, renaming them does not.
 
 use crate::gossip::GossipError;
 use crate::lease::{FencingToken, HolderId, LeaseRequest, ShardLease, VoteReply};
@@ -12,35 +12,35 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The largest payload of a [`Message::HolderMessage`], in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 1_200;
-/// Shards of one message: its reply fits into a datagram, too.
-pub(crate) const SHARDS_PER_MESSAGE: usize = 60;
+/// The most shards in one message: both the message and its reply must fit into a datagram.
+pub(crate) const MAX_SHARDS_PER_MESSAGE: usize = 60;
 
 const KIND_GOSSIP: u8 = 1;
 const KIND_MESSAGE: u8 = 2;
 
-/// What members send beside gossip.
+/// A message between members, other than gossip.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A holder requests leases from a voter.
     LeaseRequest(LeaseRequest),
-    /// A voter replies.
+    /// A voter replies to a lease request.
     VoteReply(VoteReply),
-    /// A holder releases leases, to each voter.
+    /// A holder tells each voter that it releases leases.
     Release {
         /// The holder.
         holder: HolderId,
-        /// Its former leases.
+        /// The leases that it releases.
         leases: Vec<ShardLease>,
     },
-    /// Shards were released, to the member that they are assigned to.
+    /// A former holder tells the member that shards are now assigned to that they are free.
     ShardsFree(Vec<Shard>),
-    /// The holder of a shard sends something to all members.
+    /// The holder of a shard sends a payload to all members.
     HolderMessage {
         /// The shard.
         shard: Shard,
         /// The fencing token of its lease.
         token: FencingToken,
-        /// The content.
+        /// The bytes to deliver.
         payload: Vec<u8>,
     },
 }
@@ -54,7 +54,7 @@
     Message(Message),
 }
 
-/// A datagram that no member has sent, or that is not accepted.
+/// Why a datagram was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
     /// It is longer than [`MAX_DATAGRAM_BYTES`].
@@ -64,30 +64,30 @@
         found: usize,
     },
     /// It has no content.
-    #[error("it is empty")]
+    #[error("the datagram is empty")]
     Empty,
-    /// Its first byte is no known kind.
-    #[error("it begins with {found}, expected {KIND_GOSSIP} or {KIND_MESSAGE}")]
+    /// Its first byte is not a known kind.
+    #[error("unknown kind {found}, expected {KIND_GOSSIP} or {KIND_MESSAGE}")]
     UnknownKind {
         /// The first byte.
         found: u8,
     },
-    /// It is no message.
-    #[error("no word of a member: {0}")]
+    /// Its message cannot be decoded.
+    #[error("undecodable message: {0}")]
     Message(postcard::Error),
-    /// Its gossip is not accepted.
+    /// Its gossip was rejected.
     #[error(transparent)]
     Gossip(#[from] GossipError),
 }
 
 impl Message {
-    /// The datagram with this message; `None` if it cannot be encoded.
+    /// Encodes the message as a datagram; `None` if that fails.
     pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_extend(self, vec![KIND_MESSAGE]).ok()
     }
 }
 
-/// The datagram with this gossip.
+/// Turns encoded gossip into a datagram: the byte for the kind goes in front.
 pub(crate) fn encode_gossip(mut gossip: Vec<u8>) -> Vec<u8> {
     gossip.insert(0, KIND_GOSSIP);
     gossip
@@ -96,7 +96,7 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// The datagram is too long, of no known kind, or no message. Gossip is not decoded here.
+/// The datagram is too long, of an unknown kind, or its message cannot be decoded. Gossip is not decoded here.
 pub fn decode(bytes: &[u8]) -> Result<Datagram<'_>, DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::TooLong { found: bytes.len() });
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -21,20 +21,20 @@
     pub name: String,
     /// Address on which the member receives datagrams.
     pub address: SocketAddr,
-    /// Members to join the cluster by.
+    /// Addresses of members that this member announces itself to in order to join the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Members whose majority grants leases; the same list at each member, which may be in it. Without voters there are no
-    /// leases.
+    /// Members of which a majority grants leases. The list is the same at each member and may include the member itself.
+    /// Without voters there are no leases.
     pub voters: Vec<SocketAddr>,
     /// Number of shards, the same at each member.
     pub shards: u16,
-    /// Failure detection.
+    /// Settings of failure detection.
     pub gossip: GossipSettings,
-    /// Leases of shards.
+    /// Settings of leases.
     pub lease: LeaseSettings,
 }
 
-/// A setting that cannot be used: its key in the operator's file, what was found, and what was expected.
+/// An invalid setting. The message has its key in the operator's file, the value found and the values expected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// The name is empty or too long.
@@ -57,8 +57,8 @@
         /// The address.
         found: SocketAddr,
     },
-    /// A voter is named twice.
-    #[error("voters names one twice, expected different addresses")]
+    /// An address occurs twice among the voters.
+    #[error("voters lists an address twice, expected distinct addresses")]
     DuplicateVoter,
     /// The number of voters is even or too large.
     #[error("voters are {found}, expected 1, 3, 5, 7 or 9")]
@@ -75,21 +75,21 @@
     /// The probe period is out of range.
     #[error("period_ms is {found}, expected {MIN_PROBE_PERIOD_MS} to {MAX_PROBE_PERIOD_MS}")]
     ProbePeriod {
-        /// Milliseconds.
+        /// The probe period, in milliseconds.
         found: u128,
     },
     /// The probe timeout leaves no time for indirect probes.
     #[error("late_ms is {found}, expected 1 to half of period_ms, {}", .period / 2)]
     ProbeTimeout {
-        /// Milliseconds.
+        /// The probe timeout, in milliseconds.
         found: u128,
         /// The probe period, in milliseconds.
         period: u128,
     },
     /// The suspicion timeout is shorter than the probe period.
-    #[error("suspicion_ms is {found}, expected period_ms, {period}, at least")]
+    #[error("suspicion_ms is {found}, expected at least period_ms, {period}")]
     SuspicionTimeout {
-        /// Milliseconds.
+        /// The suspicion timeout, in milliseconds.
         found: u128,
         /// The probe period, in milliseconds.
         period: u128,
@@ -97,13 +97,13 @@
     /// The clock drift is out of range.
     #[error("drift is {found}, expected 0 to {MAX_CLOCK_DRIFT}")]
     ClockDrift {
-        /// The drift.
+        /// The drift, as a ratio.
         found: f64,
     },
     /// The lease duration is out of range.
     #[error("term_ms is {found}, expected {MIN_LEASE_MS} to {MAX_LEASE_MS}")]
     LeaseDuration {
-        /// Milliseconds.
+        /// The lease duration, in milliseconds.
         found: u64,
     },
 }
@@ -130,7 +130,7 @@
     /// Validates the settings.
     ///
     /// # Errors
-    /// Every setting that cannot be used.
+    /// Returns every invalid setting.
     pub fn check(&self) -> Result<(), Vec<SettingsError>> {
         let mut errors = Vec::new();
         self.check_addresses(&mut errors);
--- a/crates/cluster/src/sharding.rs
+++ b/crates/cluster/src/sharding.rs
@@ -8,7 +8,7 @@
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Stands between the name and the key; occurs in no UTF-8 text.
+/// Separates the name from the key; this byte never occurs in UTF-8 text.
 const SEPARATOR: u8 = 0xff;
 const MIX_FIRST: u64 = 0xff51_afd7_ed55_8ccd;
 const MIX_SECOND: u64 = 0xc4ce_b9fe_1a85_ec53;
@@ -24,13 +24,14 @@
     hash ^ (hash >> MIX_SHIFT)
 }
 
-/// The member that a shard is assigned to; `None` if there are no members. Of equal weights the lesser name wins.
+/// The member that a shard is assigned to; `None` if there are no members. Of equal weights the lexicographically smaller name
+/// wins.
 pub fn owner<'a>(shard: Shard, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let key = shard.to_be_bytes();
     members.max_by(|a, b| weight(a, &key).cmp(&weight(b, &key)).then_with(|| b.cmp(a)))
 }
 
-/// The shard of a name, among `shards` of them.
+/// The shard of a name, of `shards` in total.
 pub fn shard_of(name: &str, shards: u16) -> Shard {
     (weight("", name.as_bytes()) % u64::from(shards.max(1))) as Shard
 }
--- a/crates/cluster/src/status.rs
+++ b/crates/cluster/src/status.rs
@@ -11,16 +11,17 @@
     pub identity: MemberIdentity,
     /// Its state.
     pub state: MemberState,
-    /// Since when, by the clock of the member that reports.
+    /// When it was last seen to join or leave, by the clock of the reporting member; if neither was seen, when that member
+    /// started.
     pub since: Micros,
-    /// Shards assigned to it. Whether it holds them, only the process itself knows.
+    /// Number of shards assigned to it. Only the process itself knows whether it holds their leases.
     pub assigned_shards: usize,
 }
 
-/// What a member knows of itself alone.
+/// State of the reporting member that other members do not know.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalStatus {
-    /// The leases held now.
+    /// The leases that it holds now.
     pub leases: Vec<ShardLease>,
     /// The local health score: see [`crate::gossip::Gossip::health_score`].
     pub health_score: u32,
--- a/crates/cluster/tests/cluster.rs
+++ b/crates/cluster/tests/cluster.rs
@@ -9,12 +9,14 @@
 fn cluster(count: usize, shards: u16, seed: u64) -> World {
     let mut world = World::new(count, 3.min(count), shards, seed);
     (0..count).for_each(|n| world.start(n));
-    let found = world.until(60 * SECOND, |w| w.views().iter().all(|v| *v == count) && w.unheld_shards() == 0);
-    assert!(found.is_some(), "{:?}, {} shards without a holder", world.views(), world.unheld_shards());
+    let found = world
+        .run_until(60 * SECOND, |w| w.live_counts().iter().all(|v| *v == count) && w.unheld_shards() == 0);
+    assert!(found.is_some(), "{:?}, {} shards without a holder", world.live_counts(), world.unheld_shards());
     world
 }
 
-fn downs(world: &World, n: usize) -> Vec<String> {
+/// Names of the members that one member has reported as down.
+fn down_members(world: &World, n: usize) -> Vec<String> {
     let down = |notification: &Notification| match notification {
         Notification::MemberDown(process) => Some(process.name.clone()),
         _ => None,
@@ -27,7 +29,7 @@
     for count in [3, 7, 12] {
         let mut world = cluster(count, 24, 5);
         world.run(world.now + 60 * SECOND);
-        assert!((0..count).all(|n| downs(&world, n).is_empty()));
+        assert!((0..count).all(|n| down_members(&world, n).is_empty()));
         assert_eq!((world.unheld_shards(), &world.double_holders[..]), (0, &[][..]));
         let held: Vec<usize> = (0..count)
             .map(|n| {
@@ -42,12 +44,13 @@
 fn the_shards_of_a_killed_member_are_taken_over_within_the_stated_time() {
     let mut world = cluster(7, 24, 6);
     world.kill(5);
-    let missed = world.until(20 * SECOND, |w| w.views().iter().all(|v| *v == 6)).expect("missed");
-    assert!(missed > SECOND, "it is suspected first");
-    // The lease, the longer promise of a voter, and the time to the next request.
+    let detected =
+        world.run_until(20 * SECOND, |w| w.live_counts().iter().all(|v| *v == 6)).expect("detected");
+    assert!(detected > SECOND, "it is suspected first");
+    // The failure detection, the promise of a voter, which outlasts the lease, and the time to the next request.
     let bound = 20 * SECOND + LEASE.promise_duration() + LEASE.duration / 4;
-    let taken = world.until(bound, |w| w.unheld_shards() == 0).expect("taken over");
-    assert!(missed + taken < 10 * SECOND, "{missed} and {taken}");
+    let taken = world.run_until(bound, |w| w.unheld_shards() == 0).expect("taken over");
+    assert!(detected + taken < 10 * SECOND, "{detected} and {taken}");
     assert!(world.double_holders.is_empty(), "{:?}", world.double_holders);
 }
 
@@ -56,13 +59,14 @@
     let mut world = cluster(7, 24, 7);
     world.leave(4);
     let gone = world
-        .until(5 * SECOND, |w| w.views().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
+        .run_until(5 * SECOND, |w| w.live_counts().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
         .expect("known");
-    assert!(gone < LEASE.duration, "sooner than its lease runs out: {gone}");
+    assert!(gone < LEASE.duration, "before its lease expires: {gone}");
     assert!(world.double_holders.is_empty());
 }
 
-/// It does not learn that it was declared down, and stops by its own clock before its successors start.
+/// An isolated member cannot be told that it was declared down: its leases must expire by its own clock before its
+/// successors acquire theirs.
 #[test]
 fn an_isolated_member_loses_its_leases_before_its_successors_acquire_them() {
     let mut world = cluster(6, 24, 8);
@@ -76,7 +80,7 @@
         .notifications
         .iter()
         .filter(|(at, notification)| *at > before && matches!(notification, Notification::LeaseLost(..)));
-    let last = lost.map(|(at, _)| *at).max().expect("it holds nothing any more");
+    let last = lost.map(|(at, _)| *at).max().expect("it has lost its leases");
     assert!(last - before < LEASE.duration * 102 / 100 + 100_000);
     let taken = world.nodes[..5].iter().flat_map(|n| &n.notifications);
     let first = taken
@@ -88,7 +92,7 @@
     // It rejoins once it learns that it was declared down.
     world.links.clear();
     world
-        .until(30 * SECOND, |w| w.views().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
+        .run_until(30 * SECOND, |w| w.live_counts().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
         .expect("healed");
     assert!(world.nodes[5]
         .notifications
@@ -102,7 +106,7 @@
     let mut world = cluster(6, 12, 9);
     world.cut(4, 5, true);
     world.run(world.now + 60 * SECOND);
-    assert!((0..6).all(|n| downs(&world, n).is_empty()), "others ask in its place");
+    assert!((0..6).all(|n| down_members(&world, n).is_empty()), "other members probe indirectly");
     assert!(world.double_holders.is_empty() && world.unheld_shards() == 0);
 }
 
@@ -111,13 +115,15 @@
     let mut world = cluster(6, 24, 10);
     world.pause(3);
     world.run(world.now + 12 * SECOND);
-    assert_eq!(world.views().iter().filter(|v| **v == 5).count(), 5, "{:?}", world.views());
+    assert_eq!(world.live_counts().iter().filter(|v| **v == 5).count(), 5, "{:?}", world.live_counts());
     world.resume(3);
     assert!(world.double_holders.is_empty(), "{:?}", world.double_holders);
-    world.until(30 * SECOND, |w| w.views().iter().all(|v| *v == 6) && w.unheld_shards() == 0).expect("back");
+    world
+        .run_until(30 * SECOND, |w| w.live_counts().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
+        .expect("back");
     assert!(world.double_holders.is_empty());
     // It declared nobody down after its own pause.
-    assert!(downs(&world, 3).is_empty(), "{:?}", downs(&world, 3));
+    assert!(down_members(&world, 3).is_empty(), "{:?}", down_members(&world, 3));
 }
 
 #[test]
@@ -125,10 +131,12 @@
     let mut world = cluster(7, 12, 11);
     (1..7).for_each(|n| world.kill(n));
     world.run(world.now + 30 * SECOND);
-    assert_eq!(world.views(), [1]);
-    assert_eq!(world.unheld_shards(), 12, "one voter of three gives nothing out");
+    assert_eq!(world.live_counts(), [1]);
+    assert_eq!(world.unheld_shards(), 12, "one voter of three is no majority");
     (1..7).for_each(|n| world.start(n));
-    world.until(30 * SECOND, |w| w.views().iter().all(|v| *v == 7) && w.unheld_shards() == 0).expect("back");
+    world
+        .run_until(30 * SECOND, |w| w.live_counts().iter().all(|v| *v == 7) && w.unheld_shards() == 0)
+        .expect("back");
     assert!(world.double_holders.is_empty());
 }
 
@@ -141,7 +149,9 @@
         world.start(n);
         world.run(world.now + 3 * SECOND);
     }
-    world.until(30 * SECOND, |w| w.views().iter().all(|v| *v == 6) && w.unheld_shards() == 0).expect("back");
+    world
+        .run_until(30 * SECOND, |w| w.live_counts().iter().all(|v| *v == 6) && w.unheld_shards() == 0)
+        .expect("back");
     assert!(
         world.double_holders.is_empty() && world.token_regressions.is_empty(),
         "{:?} {:?}",
@@ -163,17 +173,17 @@
         gossip: common::GOSSIP,
         lease: LEASE,
     };
-    let mut twin =
+    let mut duplicate =
         liftrouter_cluster::ClusterMember::new(settings, 77, 0, 1_900_000_000_000).expect("settings");
-    let mut out = Vec::new();
-    twin.handle(0, Event::Wake, &mut out);
-    // Its datagrams reach the first member, whose replies tell it of the other process.
+    let mut actions = Vec::new();
+    duplicate.handle(0, Event::Wake, &mut actions);
+    // The first member receives its datagrams and reports the conflict; its replies announce the other process.
     let clock = world.clock(0);
-    let members = world.nodes[0].member.as_mut().expect("there");
+    let member = world.nodes[0].member.as_mut().expect("running");
     let mut answers = Vec::new();
-    for output in out {
-        if let Action::Send(_, bytes) = output {
-            members.handle(clock, Event::Datagram(address(9), &bytes), &mut answers);
+    for action in actions {
+        if let Action::Send(_, bytes) = action {
+            member.handle(clock, Event::Datagram(address(9), &bytes), &mut answers);
         }
     }
     let conflicts: Vec<_> = answers
@@ -182,42 +192,42 @@
         .collect();
     assert_eq!(conflicts.len(), 1, "{answers:?}");
     let mut reactions = Vec::new();
-    for output in answers {
-        if let Action::Send(to, bytes) = output {
+    for action in answers {
+        if let Action::Send(to, bytes) = action {
             if to == address(9) {
-                twin.handle(2_000, Event::Datagram(address(0), &bytes), &mut reactions);
+                duplicate.handle(2_000, Event::Datagram(address(0), &bytes), &mut reactions);
             }
         }
     }
-    assert!(twin.alive().count() > 1, "it has been let in");
+    assert!(duplicate.alive().count() > 1, "it has joined");
     let requests =
         reactions.iter().any(|action| matches!(action, Action::Send(_, bytes) if bytes.first() == Some(&2)));
-    assert!(!requests, "the later of two of one name wants no shard");
+    assert!(!requests, "the process started later requests no shard");
 }
 
-/// The member that holds a shard, other than this one.
-fn holder(world: &World, shard: u16, but: usize) -> usize {
+/// The member that holds a shard, other than `except`.
+fn holder(world: &World, shard: u16, except: usize) -> usize {
     let holds = |n: &usize| {
-        let members = world.nodes[*n].member.as_ref();
-        *n != but && members.is_some_and(|m| m.fencing_token(world.clock(*n), shard).is_some())
+        let member = world.nodes[*n].member.as_ref();
+        *n != except && member.is_some_and(|m| m.fencing_token(world.clock(*n), shard).is_some())
     };
-    (0..world.nodes.len()).find(holds).expect("one holds it")
+    (0..world.nodes.len()).find(holds).expect("a holder")
 }
 
-fn send_as_holder(world: &mut World, n: usize, what: &[u8]) -> (bool, Vec<Action>) {
+fn send_as_holder(world: &mut World, n: usize, payload: &[u8]) -> (bool, Vec<Action>) {
     let (clock, mut out) = (world.clock(n), Vec::new());
-    let was_sent = world.nodes[n].member.as_mut().expect("there").send_as_holder(clock, 0, what, &mut out);
+    let was_sent = world.nodes[n].member.as_mut().expect("there").send_as_holder(clock, 0, payload, &mut out);
     (was_sent, out)
 }
 
-/// How many of the messages that one member sent are delivered by another.
-fn delivered(world: &mut World, (from, to): (usize, usize), sent: Vec<Action>) -> usize {
+/// How many of the holder messages that one member sent another one reports.
+fn count_delivered(world: &mut World, (from, to): (usize, usize), sent: Vec<Action>) -> usize {
     let (clock, mut reactions) = (world.clock(to), Vec::new());
-    let members = world.nodes[to].member.as_mut().expect("there");
-    for output in sent {
-        match output {
+    let member = world.nodes[to].member.as_mut().expect("running");
+    for action in sent {
+        match action {
             Action::Send(at, bytes) if at == address(to) => {
-                members.handle(clock, Event::Datagram(address(from), &bytes), &mut reactions);
+                member.handle(clock, Event::Datagram(address(from), &bytes), &mut reactions);
             }
             _ => {}
         }
@@ -228,21 +238,21 @@
         .count()
 }
 
-/// A message that a holder sent before it was paused arrives after one of its successor: it is not delivered.
+/// A message that a holder sent before it was paused arrives after one of its successor, and must not be delivered.
 #[test]
 fn messages_of_an_earlier_holder_are_fenced_once_a_later_one_has_sent_one() {
     let mut world = cluster(4, 1, 16);
     let first = holder(&world, 0, 9);
     let (was_sent, late) = send_as_holder(&mut world, first, b"before");
-    assert!(was_sent && late.len() == 3, "to each of the others");
-    assert!(!send_as_holder(&mut world, (first + 1) % 4, b"not mine").0, "it does not hold it");
+    assert!(was_sent && late.len() == 3, "sent to each other member");
+    assert!(!send_as_holder(&mut world, (first + 1) % 4, b"not mine").0, "it does not hold the shard");
     world.pause(first);
-    world.until(30 * SECOND, |w| w.unheld_shards() == 0).expect("taken over");
+    world.run_until(30 * SECOND, |w| w.unheld_shards() == 0).expect("taken over");
     let next = holder(&world, 0, first);
-    let reader = (0..4).find(|n| *n != first && *n != next).expect("a third");
+    let receiver = (0..4).find(|n| *n != first && *n != next).expect("a third");
     let (_, after) = send_as_holder(&mut world, next, b"after");
-    assert_eq!(delivered(&mut world, (next, reader), after), 1);
-    assert_eq!(delivered(&mut world, (first, reader), late), 0, "its token is an earlier one");
+    assert_eq!(count_delivered(&mut world, (next, receiver), after), 1);
+    assert_eq!(count_delivered(&mut world, (first, receiver), late), 0, "its token is lower");
 }
 
 #[test]
@@ -250,12 +260,14 @@
     let mut world = cluster(5, 10, 14);
     world.kill(4);
     let at = world.now;
-    let seen = |w: &World| w.nodes[0].member.as_ref().map(|m| m.members(w.clock(0))).unwrap_or_default();
+    let statuses = |w: &World| w.nodes[0].member.as_ref().map(|m| m.members(w.clock(0))).unwrap_or_default();
     world
-        .until(20 * SECOND, |w| seen(w).iter().any(|row| row.state == MemberState::Suspect))
+        .run_until(20 * SECOND, |w| statuses(w).iter().any(|row| row.state == MemberState::Suspect))
         .expect("suspected");
-    world.until(20 * SECOND, |w| seen(w).iter().any(|row| row.state == MemberState::Down)).expect("gone");
-    let table = seen(&world);
+    world
+        .run_until(20 * SECOND, |w| statuses(w).iter().any(|row| row.state == MemberState::Down))
+        .expect("gone");
+    let table = statuses(&world);
     assert_eq!(table[0].identity.name, "n0");
     let gone = table.iter().find(|row| row.state == MemberState::Down).expect("a line");
     assert_eq!((gone.identity.name.as_str(), gone.assigned_shards), ("n4", 0));
@@ -267,14 +279,14 @@
 fn an_invalid_datagram_is_reported_and_changes_nothing() {
     let mut world = cluster(3, 4, 15);
     let clock = world.clock(1);
-    let members = world.nodes[1].member.as_mut().expect("there");
+    let member = world.nodes[1].member.as_mut().expect("running");
     for bytes in [&[][..], &[9, 9], &[1, 0xff, 0xff], &[2, 0xff], &[1; 1_401]] {
         let mut out = Vec::new();
-        members.handle(clock, Event::Datagram(address(2), bytes), &mut out);
+        member.handle(clock, Event::Datagram(address(2), bytes), &mut out);
         assert!(
             out.iter().any(|action| matches!(action, Action::Notify(Notification::InvalidDatagram { .. }))),
             "{bytes:?}: {out:?}"
         );
     }
-    assert_eq!(members.alive().count(), 3);
+    assert_eq!(member.alive().count(), 3);
 }
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster in simulated time: a network that loses, delays, duplicates and cuts one way; processes that are paused, killed
-//! and restarted; clocks that drift apart.
+//! A cluster in simulated time: a network that loses, delays and duplicates datagrams and fails in one direction; processes
+//! that are paused, killed and restarted; clocks that drift apart.
 #![allow(dead_code, unused_imports, reason = "each test program uses a part")]
 
 mod world;
@@ -27,7 +27,7 @@
     pub cut: bool,
     pub loss: f64,
     pub duplicated: f64,
-    /// The longest delay on top of a millisecond.
+    /// The largest random delay, in addition to the constant one of a millisecond.
     pub max_delay: Micros,
 }
 
--- a/crates/cluster/tests/common/world.rs
+++ b/crates/cluster/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! The processes, the network between them, and the checks at each step.
+//! Simulates processes and the network between them, and checks the holders of shards at each step.
 
 use super::{address, Link, GOSSIP, LEASE, SECOND};
 use liftrouter_cluster::gossip::GossipSettings;
@@ -15,8 +15,9 @@
 
 pub struct Node {
     pub member: Option<ClusterMember>,
-    /// Its clock: the rate against true time, and the offset.
+    /// The rate of its clock relative to true time.
     clock_rate: f64,
+    /// Its clock at time 0.
     clock_offset: Micros,
     pub paused: bool,
     starts: u32,
@@ -32,18 +33,21 @@
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub links: BTreeMap<(usize, usize), Link>,
-    pub all: Link,
+    /// Faults of all links, in addition to those in `links`.
+    pub all_links: Link,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     scheduled: BTreeMap<u64, Scheduled>,
     next: u64,
     rng: fastrand::Rng,
     voters: usize,
     pub shards: u16,
-    /// Shards that had two holders: when, which, and the two.
+    /// Shards that had two holders: the time, the shard, and both holders.
     pub double_holders: Vec<(Micros, u16, usize, usize)>,
     /// The highest fencing token seen, by shard.
     pub highest_tokens: BTreeMap<u16, u64>,
+    /// Fencing tokens that decreased: the time, the shard, the highest token before, and the lower token.
     pub token_regressions: Vec<(Micros, u16, u64, u64)>,
+    /// Whether holders are checked at each step.
     pub check: bool,
     pub gossip: GossipSettings,
     pub lease: LeaseSettings,
@@ -69,7 +73,7 @@
             now: 0,
             nodes,
             links: BTreeMap::new(),
-            all: Link::default(),
+            all_links: Link::default(),
             queue: BinaryHeap::new(),
             scheduled: BTreeMap::new(),
             next: 0,
@@ -144,7 +148,7 @@
 
     pub fn heal(&mut self) {
         self.links.clear();
-        self.all = Link::default();
+        self.all_links = Link::default();
         for n in 0..self.nodes.len() {
             if self.nodes[n].member.is_none() {
                 self.start(n);
@@ -154,14 +158,14 @@
         }
     }
 
-    fn handle(&mut self, n: usize, input: Event) {
+    fn handle(&mut self, n: usize, event: Event) {
         let clock = self.clock(n);
-        let Some(members) = self.nodes[n].member.as_mut() else { return };
-        let mut out = Vec::new();
-        members.handle(clock, input, &mut out);
-        let wake = members.wake_at(clock).max(clock + 1);
-        for output in out {
-            match output {
+        let Some(member) = self.nodes[n].member.as_mut() else { return };
+        let mut actions = Vec::new();
+        member.handle(clock, event, &mut actions);
+        let wake = member.wake_at(clock).max(clock + 1);
+        for action in actions {
+            match action {
                 Action::Send(to, bytes) => self.send(n, to, &bytes),
                 Action::Notify(notification) => self.nodes[n].notifications.push((self.now, notification)),
             }
@@ -183,20 +187,20 @@
         let Some(to) = (to.port() as usize).checked_sub(20_000).filter(|to| *to < self.nodes.len()) else {
             return;
         };
-        let one = self.links.get(&(from, to)).copied().unwrap_or_default();
-        let loss = one.loss.max(self.all.loss);
-        let copies = 1 + usize::from(self.rng.f64() < one.duplicated.max(self.all.duplicated));
+        let link = self.links.get(&(from, to)).copied().unwrap_or_default();
+        let loss = link.loss.max(self.all_links.loss);
+        let copies = 1 + usize::from(self.rng.f64() < link.duplicated.max(self.all_links.duplicated));
         for _ in 0..copies {
-            if one.cut || self.all.cut || self.rng.f64() < loss {
+            if link.cut || self.all_links.cut || self.rng.f64() < loss {
                 continue;
             }
-            let late = one.max_delay.max(self.all.max_delay);
-            let at = self.now + 1_000 + self.rng.u64(0..=late);
+            let max_delay = link.max_delay.max(self.all_links.max_delay);
+            let at = self.now + 1_000 + self.rng.u64(0..=max_delay);
             self.schedule(at, Scheduled::Deliver(from, to, bytes.to_vec()));
         }
     }
 
-    /// Notes shards with two holders, and fencing tokens that decrease.
+    /// Records shards with two holders, and fencing tokens that decrease.
     fn check_holders(&mut self) {
         if !self.check {
             return;
@@ -253,12 +257,12 @@
         self.now = until;
     }
 
-    /// How many live members each live process knows.
-    pub fn views(&self) -> Vec<usize> {
+    /// For each live process, the number of members that it believes alive, itself included.
+    pub fn live_counts(&self) -> Vec<usize> {
         self.nodes.iter().filter_map(|n| n.member.as_ref()).map(|member| member.alive().count()).collect()
     }
 
-    /// Shards without a holder now.
+    /// The number of shards without a holder now.
     pub fn unheld_shards(&self) -> usize {
         let holds = |shard: u16| {
             (0..self.nodes.len()).any(|n| {
@@ -270,16 +274,16 @@
         (0..self.shards).filter(|shard| !holds(*shard)).count()
     }
 
-    /// Runs until a condition holds, checked every 10 ms; how long that took.
-    pub fn until(&mut self, most: Micros, condition: impl Fn(&World) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, which is checked every 10 ms, for at most `limit`. Returns the time taken.
+    pub fn run_until(&mut self, limit: Micros, condition: impl Fn(&World) -> bool) -> Option<Micros> {
         let from = self.now;
-        while self.now < from + most {
+        while self.now < from + limit {
             if condition(self) {
                 return Some(self.now - from);
             }
             let next = self.now + 10_000;
             self.run(next);
         }
-        condition(self).then_some(most)
+        condition(self).then_some(limit)
     }
 }
--- a/crates/cluster/tests/exhaustive.rs
+++ b/crates/cluster/tests/exhaustive.rs
@@ -1,5 +1,5 @@
 //! Model checking of leases in a small configuration: three voters, two holders and two shards, with messages that are lost,
-//! late, duplicated and out of order, and a voter that restarts. Each rule of the protocol that is broken is detected.
+//! late, duplicated and out of order, and a voter that restarts. A model that breaks a rule of the protocol must be caught.
 
 use liftrouter_cluster::lease::{LeaseHolder, LeaseRequest, LeaseSettings, VoteReply, Voter};
 use stateright::{Checker, Model, Property};
@@ -11,11 +11,11 @@
 
 /// The rule of the protocol that is broken, if any.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
+enum BrokenRule {
+    None,
     /// A voter that restarts grants leases at once.
     NoWaitAfterRestart,
-    /// One vote is enough.
+    /// One vote is enough for a lease.
     NoMajority,
     /// A promise lasts for less than the holder's lease.
     ShortPromise,
@@ -41,26 +41,26 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Time,
-    Requests(usize),
+    AdvanceClock,
+    SendRequest(usize),
     Deliver(Message),
-    Restarts(usize),
+    RestartVoter(usize),
 }
 
-struct Lease {
-    broken: Broken,
+struct LeaseModel {
+    broken: BrokenRule,
     shards: u16,
-    until: u64,
+    end: u64,
     requests_per_holder: [u8; 2],
     restarts: u8,
-    /// The voters that each holder's requests can reach: two majorities, which share one voter or two. A third one's vote
-    /// changes nothing that these do not show.
-    reach: [[usize; 2]; 2],
+    /// The voters that each holder's requests reach: two majorities that share one voter or two. The vote of a third voter
+    /// would add no further cases.
+    reachable: [[usize; 2]; 2],
 }
 
-impl Lease {
+impl LeaseModel {
     fn voter_settings(&self) -> LeaseSettings {
-        if self.broken == Broken::ShortPromise {
+        if self.broken == BrokenRule::ShortPromise {
             LeaseSettings { duration: 0, ..LEASE }
         } else {
             LEASE
@@ -68,14 +68,14 @@
     }
 }
 
-impl Model for Lease {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let majority_of = if self.broken == Broken::NoMajority { 1 } else { VOTERS };
+        let voter_count = if self.broken == BrokenRule::NoMajority { 1 } else { VOTERS };
         let holder = |n: u64| {
-            let mut holder = LeaseHolder::new(n + 1, LEASE, majority_of);
+            let mut holder = LeaseHolder::new(n + 1, LEASE, voter_count);
             holder.set_wanted(0..self.shards);
             holder
         };
@@ -92,27 +92,27 @@
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.now < self.until {
-            steps.push(Step::Time);
+        if state.now < self.end {
+            steps.push(Step::AdvanceClock);
         }
-        steps.extend((0..2).filter(|h| state.requests_left[*h] > 0).map(Step::Requests));
+        steps.extend((0..2).filter(|h| state.requests_left[*h] > 0).map(Step::SendRequest));
         steps.extend(state.in_flight.iter().cloned().map(Step::Deliver));
         if state.restarts < self.restarts {
-            // The voter that both share: a promise of another one constrains no second holder.
-            steps.push(Step::Restarts(1));
+            // Only the voter that both holders share: the promises of any other constrain one holder only.
+            steps.push(Step::RestartVoter(1));
         }
     }
 
     fn next_state(&self, before: &State, step: Step) -> Option<State> {
         let mut state = before.clone();
         match step {
-            Step::Time => state.now += 1,
-            Step::Requests(h) => {
+            Step::AdvanceClock => state.now += 1,
+            Step::SendRequest(h) => {
                 state.requests_left[h] -= 1;
                 let request = state.holders[h].request(state.now, 1)?;
                 state
                     .in_flight
-                    .extend(self.reach[h].iter().map(|v| Message::LeaseRequest(*v, request.clone())));
+                    .extend(self.reachable[h].iter().map(|v| Message::LeaseRequest(*v, request.clone())));
             }
             Step::Deliver(message) => {
                 state.in_flight.remove(&message);
@@ -126,9 +126,9 @@
                     }
                 }
             }
-            Step::Restarts(v) => {
+            Step::RestartVoter(v) => {
                 state.restarts += 1;
-                state.voters[v] = if self.broken == Broken::NoWaitAfterRestart {
+                state.voters[v] = if self.broken == BrokenRule::NoWaitAfterRestart {
                     Voter::without_earlier_promises(self.voter_settings(), self.shards)
                 } else {
                     Voter::new(self.voter_settings(), self.shards, state.now)
@@ -140,8 +140,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no shard is held twice", |lease: &Lease, state: &State| {
-                (0..lease.shards).all(|shard| {
+            Property::always("no shard is held twice", |model: &LeaseModel, state: &State| {
+                (0..model.shards).all(|shard| {
                     state.holders.iter().filter(|h| h.fencing_token(state.now, shard).is_some()).count() <= 1
                 })
             }),
@@ -152,24 +152,27 @@
     }
 }
 
-/// Both send one request, and no voter restarts or one does; over majorities that share one voter, or two.
-fn leases(broken: Broken) -> Vec<Lease> {
-    let one = |requests_per_holder, restarts, reach| Lease {
+/// Models in which each holder sends one request and at most one voter restarts, with majorities that share one voter or two.
+fn models(broken: BrokenRule) -> Vec<LeaseModel> {
+    let model = |requests_per_holder, restarts, reachable| LeaseModel {
         broken,
         shards: 1,
-        until: 5,
+        end: 5,
         requests_per_holder,
         restarts,
-        reach,
+        reachable,
     };
-    let reaches = [[[0, 1], [1, 2]], [[0, 1], [0, 1]]];
-    reaches.into_iter().flat_map(|reach| [one([1, 1], 0, reach), one([1, 1], 1, reach)]).collect()
+    let reachable_voters = [[[0, 1], [1, 2]], [[0, 1], [0, 1]]];
+    reachable_voters
+        .into_iter()
+        .flat_map(|reachable| [model([1, 1], 0, reachable), model([1, 1], 1, reachable)])
+        .collect()
 }
 
 #[test]
 fn no_order_of_messages_lets_two_holders_hold_one_shard() {
-    for lease in leases(Broken::Nothing) {
-        let checker = lease.checker().spawn_dfs().join();
+    for model in models(BrokenRule::None) {
+        let checker = model.checker().spawn_dfs().join();
         assert!(checker.discovery("no shard is held twice").is_none());
         assert!(checker.discovery("a shard is held").is_some());
         assert!(checker.unique_state_count() > 5_000, "{} states", checker.unique_state_count());
@@ -179,8 +182,8 @@
 
 #[test]
 fn leases_of_two_shards_are_independent() {
-    for lease in leases(Broken::Nothing).into_iter().step_by(2) {
-        let checker = Lease { shards: 2, ..lease }.checker().spawn_dfs().join();
+    for model in models(BrokenRule::None).into_iter().step_by(2) {
+        let checker = LeaseModel { shards: 2, ..model }.checker().spawn_dfs().join();
         assert!(checker.discovery("no shard is held twice").is_none());
         assert!(checker.discovery("a shard is held").is_some());
     }
@@ -188,11 +191,11 @@
 
 #[test]
 fn each_broken_rule_of_the_protocol_is_detected() {
-    for broken in [Broken::NoWaitAfterRestart, Broken::NoMajority, Broken::ShortPromise] {
-        let found = leases(broken).into_iter().any(|lease| {
-            let checker = lease.checker().spawn_dfs().join();
+    for broken in [BrokenRule::NoWaitAfterRestart, BrokenRule::NoMajority, BrokenRule::ShortPromise] {
+        let found = models(broken).into_iter().any(|model| {
+            let checker = model.checker().spawn_dfs().join();
             checker.discovery("no shard is held twice").is_some()
         });
-        assert!(found, "{broken:?} is not found");
+        assert!(found, "{broken:?} is not detected");
     }
 }
--- a/crates/cluster/tests/random_faults.rs
+++ b/crates/cluster/tests/random_faults.rs
@@ -7,7 +7,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever faults processes and links have, no shard ever has two holders; and once they are over, the cluster recovers.
+    /// During any faults of processes and links no shard has two holders, and after they end the cluster recovers.
     #[test]
     fn no_shard_ever_has_two_holders(
         seed: u64,
@@ -25,7 +25,7 @@
                 2 => world.resume(one),
                 3 => world.cut(one, other, true),
                 4 => (0..count).for_each(|n| world.cut(one, n, true)),
-                5 => world.all = Link { loss: 0.3, duplicated: 0.2, max_delay: 300_000, ..Link::default() },
+                5 => world.all_links = Link { loss: 0.3, duplicated: 0.2, max_delay: 300_000, ..Link::default() },
                 6 => world.links.clear(),
                 7 if world.nodes[one].member.is_none() => world.start(one),
                 _ => world.leave(one),
@@ -34,9 +34,9 @@
             prop_assert!(world.double_holders.is_empty(), "{:?}", world.double_holders);
         }
         world.heal();
-        let healed = world.until(90 * SECOND, |w| w.views().iter().all(|v| *v == count) && w.unheld_shards() == 0);
-        prop_assert!(healed.is_some(), "{:?}, {} without a holder", world.views(), world.unheld_shards());
+        let healed = world.run_until(90 * SECOND, |w| w.live_counts().iter().all(|v| *v == count) && w.unheld_shards() == 0);
+        prop_assert!(healed.is_some(), "{:?}, {} shards without a holder", world.live_counts(), world.unheld_shards());
         prop_assert!(world.double_holders.is_empty(), "{:?}", world.double_holders);
-        prop_assert!(world.token_regressions.is_empty(), "tokens go token_regressions: {:?}", world.token_regressions);
+        prop_assert!(world.token_regressions.is_empty(), "fencing tokens decreased: {:?}", world.token_regressions);
     }
 }
--- a/crates/cluster/tests/settings.rs
+++ b/crates/cluster/tests/settings.rs
@@ -15,7 +15,7 @@
         lease: LEASE,
     };
     settings.gossip.probe_timeout = settings.gossip.probe_period;
-    let errors = settings.check().expect_err("none of it");
+    let errors = settings.check().expect_err("invalid settings");
     let keys: Vec<&str> = errors.iter().map(liftrouter_cluster::SettingsError::key).collect();
     assert_eq!(keys, ["name", "join", "listen", "voters", "voters", "slots", "late_ms"]);
     assert_eq!(errors[0].to_string(), "name has 0 bytes, expected 1 to 64");
--- a/crates/cluster/tests/sharding.rs
+++ b/crates/cluster/tests/sharding.rs
@@ -21,7 +21,7 @@
     assert_eq!(owner(3, std::iter::empty()), None);
 }
 
-/// Members of different versions must assign shards alike, so that neither the hash nor what is hashed may change.
+/// Members of different versions must assign shards alike, so neither the hash nor its input may change.
 #[test]
 fn weights_owners_and_shards_of_names_never_change() {
     assert_eq!(weight("limiter-a", &0u16.to_be_bytes()), 0x9e59_e497_8a22_f7ab);
--- a/crates/cluster/tests/wire_format.rs
+++ b/crates/cluster/tests/wire_format.rs
@@ -81,7 +81,7 @@
     bytes
 }
 
-/// The member that b315b5b played under this number. It may have rejoined, with a higher incarnation.
+/// The member with this number in the run of b315b5b that sent the datagrams. It may have rejoined, with a higher incarnation.
 fn member(n: u16, rejoins: u64) -> MemberIdentity {
     MemberIdentity {
         name: format!("n{n}"),
--- a/crates/daemon/src/cluster/error.rs
+++ b/crates/daemon/src/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Errors of this limiter's part in the cluster.
+//! Errors of cluster membership.
 
 use liftrouter_cluster::SettingsError;
 use std::io;
@@ -17,14 +17,14 @@
         /// The cause.
         source: io::Error,
     },
-    /// The address of the UDP socket is not known.
+    /// The local address of the UDP socket cannot be determined.
     #[error(transparent)]
     LocalAddress(io::Error),
-    /// Settings that cannot be used.
+    /// The settings are invalid.
     #[error("{}", list(.0))]
     Settings(Vec<SettingsError>),
     /// The status socket cannot be opened.
-    #[error("cannot listen on {} for those who ask: {source}", .path.display())]
+    #[error("cannot listen on {} for status queries: {source}", .path.display())]
     StatusSocket {
         /// The path of the socket.
         path: PathBuf,
@@ -39,8 +39,8 @@
         /// The cause.
         source: io::Error,
     },
-    /// An answer at a status socket is no status.
-    #[error("{}: what it answers is no table of members: {source}", .path.display())]
+    /// The answer at a status socket cannot be decoded.
+    #[error("{}: the answer is not a member status: {source}", .path.display())]
     InvalidAnswer {
         /// The path of the socket.
         path: PathBuf,
--- a/crates/daemon/src/cluster/health_checks.rs
+++ b/crates/daemon/src/cluster/health_checks.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Endpoints are looked through this often in an interval.
+/// How often per interval the endpoints are examined for due health checks.
 const POLLS_PER_INTERVAL: u32 = 20;
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -110,14 +110,15 @@
     }
 }
 
-/// Takes the result of a health check from the limiter that holds the endpoint; what cannot be decoded is ignored.
+/// Handles a health check result from the limiter that holds the endpoint's shard. A payload that cannot be decoded is
+/// ignored.
 pub(super) fn receive(events: &EventQueue, payload: &[u8]) {
     if let Ok(check) = postcard::from_bytes::<SharedHealthCheck>(payload) {
         events.push(check.into_event());
     }
 }
 
-/// Checks endpoints that are held here, each once in an interval.
+/// Health-checks the endpoints whose shards this limiter holds, each once per interval.
 pub(super) async fn run(cluster: Rc<ClusterService>, servers: Rc<Servers>, interval: Duration) {
     let mut checked_at: HashMap<EndpointId, Instant> = HashMap::new();
     let poll_interval = (interval / POLLS_PER_INTERVAL).max(MIN_POLL_INTERVAL);
--- a/crates/daemon/src/cluster/mod.rs
+++ b/crates/daemon/src/cluster/mod.rs
@@ -1,8 +1,9 @@
-//! The other limiters: which of them are alive and which shards this one holds, over UDP. Off unless the operator's file has a
-//! section for it.
+//! Cluster membership over UDP: which other limiters are alive, and which shards this limiter holds. Off unless the operator's
+//! file has a `[members]` section.
 //!
-//! The crate `liftrouter-cluster` decides; this module has its socket and clock, answers status queries, and runs the work
-//! that is divided by shards: each endpoint is health-checked by one limiter, which shares the result with all others.
+//! The crate `liftrouter-cluster` implements the protocol; this module provides its socket and clock and answers status
+//! queries. It also runs the work that is divided by shards: each endpoint is health-checked by one limiter, which shares the
+//! result with all others.
 
 mod error;
 mod health_checks;
@@ -30,9 +31,10 @@
 
 /// Datagrams read before the clock is checked again.
 const DATAGRAMS_PER_BATCH: usize = 64;
-/// Room in the receive buffer beyond the largest datagram: for the address of a proxied one, and to detect one that is too long.
+/// Bytes of the receive buffer beyond the largest datagram: for the address before a proxied datagram, and to detect datagrams
+/// that are too long.
 const EXCESS_BYTES: usize = 16;
-/// The longest sleep of the member's loop.
+/// The longest sleep of [`ClusterService::run`].
 const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
 /// The cluster section of the operator's file.
@@ -44,16 +46,16 @@
     pub status_socket: Option<PathBuf>,
     /// How often each endpoint is health-checked, by the limiter that holds its shard; `None` for no health checks.
     pub health_check_interval: Option<Duration>,
-    /// In tests only: the proxy that all datagrams go through, which plays the links between members.
+    /// In tests only: the proxy that forwards all datagrams and simulates link faults between members.
     pub link_proxy: Option<SocketAddr>,
 }
 
-/// This limiter as a member of its cluster.
+/// Runs this limiter as a member of its cluster.
 pub struct ClusterService {
     member: RefCell<ClusterMember>,
     transport: Transport,
     started: Instant,
-    /// Wakes the loop when the time to wake at may have changed.
+    /// Wakes [`ClusterService::run`] when its wake-up time may have changed.
     wake: Notify,
     events: Rc<EventQueue>,
 }
@@ -62,7 +64,7 @@
     /// Opens the UDP socket.
     ///
     /// # Errors
-    /// The socket cannot be opened, or the settings cannot be used.
+    /// The socket cannot be opened, or the settings are invalid.
     pub async fn open(
         config: &ClusterConfig,
         events: Rc<EventQueue>,
@@ -71,7 +73,7 @@
         let transport = Transport::open(settings.address, config.link_proxy).await?;
         settings.address = transport.address();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // The hasher is keyed by the system's randomness, anew for each process.
+        // A new `RandomState` has random keys that differ between processes.
         let instance = std::hash::RandomState::new().build_hasher().finish();
         let member = ClusterMember::new(settings, instance, 0, unix_time.as_millis() as u64)
             .map_err(ClusterError::Settings)?;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Runs for as long as it is polled.
+    /// Receives datagrams and runs timers. Never returns.
     pub async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + EXCESS_BYTES];
         self.handle(Event::Wake);
@@ -142,7 +144,7 @@
     fn receive_batch(&self, buffer: &mut [u8]) {
         for _ in 0..DATAGRAMS_PER_BATCH {
             let Some((len, from)) = self.transport.try_receive(buffer) else { break };
-            if let Some((from, bytes)) = self.transport.unwrap(from, &buffer[..len]) {
+            if let Some((from, bytes)) = self.transport.decode_received(from, &buffer[..len]) {
                 self.handle(Event::Datagram(from, bytes));
             }
         }
@@ -154,7 +156,7 @@
         self.wake.notify_one();
     }
 
-    /// Health-checks the endpoints whose shards are held here, each once in an interval.
+    /// Health-checks the endpoints whose shards this limiter holds, each once per interval.
     pub async fn run_health_checks(self: Rc<Self>, servers: Rc<Servers>, interval: Duration) {
         health_checks::run(self, servers, interval).await;
     }
@@ -164,14 +166,14 @@
         status::answer(self, listener).await;
     }
 
-    /// The shard of a name, if it is held here now.
+    /// The shard of a name, if this limiter holds it now.
     fn held_shard_of(&self, name: &str) -> Option<Shard> {
         let member = self.member.borrow();
         let shard = member.shard_of(name);
         member.fencing_token(self.now(), shard).map(|_| shard)
     }
 
-    /// Sends a payload to all other members, if the shard of the name is still held here.
+    /// Sends a payload to all other members, if this limiter still holds the shard of the name.
     fn send_as_holder_of(&self, name: &str, payload: &[u8]) {
         let mut actions = Vec::new();
         {
@@ -187,24 +189,24 @@
     match notification {
         Notification::MemberUp(member) => log(
             "members",
-            format_args!("{} is there, {}, instance {:016x}", member.name, member.address, member.instance),
+            format_args!("{} is alive, {}, instance {:016x}", member.name, member.address, member.instance),
         ),
         Notification::MemberDown(member) => {
             log("members", format_args!("{} is gone, instance {:016x}", member.name, member.instance));
         }
-        Notification::Rejoined => log("members", "the others took this one for gone; it is back"),
+        Notification::Rejoined => log("members", "the other members declared this one gone; it has rejoined"),
         Notification::NameConflict { name, instances: [a, b] } => log(
             "members",
-            format_args!("two processes are called {name}, {a:016x} and {b:016x}; the later holds no duty"),
+            format_args!("two processes have the name {name}, {a:016x} and {b:016x}; the one started later holds no slots"),
         ),
         Notification::LeaseAcquired(shard, token) => {
-            log("members", format_args!("holds slot {shard} by {token}"));
+            log("members", format_args!("holds slot {shard} with token {token}"));
         }
         Notification::LeaseLost(shard, token) => {
-            log("members", format_args!("holds slot {shard} by {token} no more"));
+            log("members", format_args!("holds slot {shard} no longer, token {token}"));
         }
         Notification::InvalidDatagram { from, error } => {
-            log("members", format_args!("a datagram from {from} is none of a member's: {error}"));
+            log("members", format_args!("a datagram from {from} was rejected: {error}"));
         }
         Notification::HolderMessage { .. } => {}
     }
--- a/crates/daemon/src/cluster/status.rs
+++ b/crates/daemon/src/cluster/status.rs
@@ -23,7 +23,7 @@
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A member in the answer.
+/// One member in the status report.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct MemberEntry {
     name: String,
@@ -32,19 +32,19 @@
     /// `alive`, `suspect` or `gone`.
     #[serde(rename = "seen")]
     state: String,
-    /// Seconds since the state changed.
+    /// Seconds since it was last seen to join or leave.
     #[serde(rename = "for_s")]
-    seconds_in_state: f64,
+    since_change_s: f64,
     #[serde(rename = "slots")]
     assigned_shards: usize,
 }
 
-/// The answer.
+/// The answer to a status query.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct StatusReport {
-    /// The member that answers is the first.
+    /// The answering member comes first.
     members: Vec<MemberEntry>,
-    /// The shards that it holds.
+    /// The shards that the answering member holds, with their fencing tokens.
     #[serde(rename = "held")]
     leases: Vec<(Shard, FencingToken)>,
     #[serde(rename = "slowness")]
@@ -58,7 +58,7 @@
             address: member.identity.address.to_string(),
             instance: format!("{:016x}", member.identity.instance),
             state: member.state.as_str().into(),
-            seconds_in_state: now.saturating_sub(member.since) as f64 / MICROS_PER_SECOND,
+            since_change_s: now.saturating_sub(member.since) as f64 / MICROS_PER_SECOND,
             assigned_shards: member.assigned_shards,
         }
     }
@@ -87,7 +87,7 @@
                 member.address,
                 member.instance,
                 member.state,
-                member.seconds_in_state,
+                member.since_change_s,
                 member.assigned_shards
             );
         }
@@ -95,19 +95,20 @@
         let _ = writeln!(table, "holds {} slots: {}", shards.len(), shards.join(" "));
         if self.health_score > 0 {
             let factor = 1 + self.health_score;
-            let _ = writeln!(table, "came late to its turn of late: waits {factor} times as long");
+            let _ =
+                writeln!(table, "timers ran late recently: suspicion timeouts are {factor} times as long");
         }
         table
     }
 }
 
-/// Listens for status queries and replaces a socket that an earlier process has left.
+/// Listens for status queries. Replaces a socket that an earlier process left behind.
 ///
 /// # Errors
 /// The socket cannot be opened, or another file is in its place.
 pub fn bind_status_socket(path: &Path) -> Result<UnixListener, ClusterError> {
     let error = |source: io::Error| ClusterError::StatusSocket { path: path.into(), source };
-    // Any other file belongs to somebody else.
+    // Only sockets are removed: any other file was not left by a limiter.
     if std::fs::symlink_metadata(path).is_ok_and(|metadata| metadata.file_type().is_socket()) {
         std::fs::remove_file(path).map_err(error)?;
     }
@@ -127,7 +128,7 @@
         text.push('\n');
         // A client that does not read must not block the next.
         if timeout(STATUS_TIMEOUT, stream.write_all(text.as_bytes())).await.is_err() {
-            log("members", "somebody asked who is there and did not read the answer");
+            log("members", "a status query timed out: the client did not read the answer");
         }
     }
 }
@@ -135,7 +136,7 @@
 /// Queries the status of a running limiter, as JSON or as a table.
 ///
 /// # Errors
-/// No limiter answers, or the answer is no status.
+/// No limiter answers, or the answer cannot be decoded.
 pub fn query_status(path: &Path, json: bool) -> Result<String, ClusterError> {
     let text = read_status(path).map_err(|source| ClusterError::NoAnswer { path: path.into(), source })?;
     if json {
--- a/crates/daemon/src/cluster/status/tests.rs
+++ b/crates/daemon/src/cluster/status/tests.rs
@@ -1,4 +1,4 @@
-//! The forms of the status that operators and their programs read.
+//! Operators and their programs read the status: its JSON and its table must not change by accident.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         address: "127.0.0.1:7100".into(),
         instance: "00000000000004d2".into(),
         state: "alive".into(),
-        seconds_in_state: 1.5,
+        since_change_s: 1.5,
         assigned_shards: 12,
     };
     StatusReport { members: vec![member], leases: vec![(3, 17), (300, 18)], health_score: 2 }
@@ -31,7 +31,7 @@
 member               address                instance                         for  slots
 n0                   127.0.0.1:7100         00000000000004d2 alive         1.5 s     12
 holds 2 slots: 3 300
-came late to its turn of late: waits 3 times as long
+timers ran late recently: suspicion timeouts are 3 times as long
 ";
     assert_eq!(report().to_table(), expected);
 }
--- a/crates/daemon/src/cluster/transport.rs
+++ b/crates/daemon/src/cluster/transport.rs
@@ -1,12 +1,12 @@
-//! The UDP socket of a member. In tests every datagram goes through a proxy that plays the links between members.
+//! The UDP socket of a member. In tests every datagram goes through a proxy that simulates link faults.
 
 use super::ClusterError;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// An IPv4 address and a port, in network order.
+/// Length of an IPv4 address and a port, in network byte order.
 const ENCODED_ADDRESS_BYTES: usize = 6;
-/// The socket is bound to any port of this address where a proxy is used.
+/// Where the socket is bound if a proxy is used; the system chooses the port.
 const PROXIED_BIND_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
 pub(super) struct Transport {
@@ -16,11 +16,11 @@
     link_proxy: Option<SocketAddr>,
 }
 
-/// The address in front of a proxied datagram.
+/// Encodes an address for the prefix of a proxied datagram.
 fn encode_address(address: SocketAddr) -> [u8; ENCODED_ADDRESS_BYTES] {
     let [a, b, c, d] = match address {
         SocketAddr::V4(v4) => v4.ip().octets(),
-        // Members use loopback only, and tests name it by its IPv4 address.
+        // Members listen on loopback only, and tests use its IPv4 address.
         SocketAddr::V6(_) => [127, 0, 0, 1],
     };
     let [high, low] = address.port().to_be_bytes();
@@ -33,7 +33,7 @@
 }
 
 impl Transport {
-    /// Opens the socket of the member with an address; port 0 takes any.
+    /// Opens the socket of the member with this address. For port 0 the system chooses a port.
     pub async fn open(
         address: SocketAddr,
         link_proxy: Option<SocketAddr>,
@@ -53,7 +53,7 @@
         self.address
     }
 
-    /// Sends a datagram. It is lost if the buffer is full, as the network may lose it: nothing waits for a datagram.
+    /// Sends a datagram without waiting. If the send buffer is full, the datagram is dropped: the protocol tolerates loss.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let _ = match self.link_proxy {
             None => self.socket.try_send_to(bytes, to),
@@ -68,13 +68,13 @@
         self.socket.readable().await
     }
 
-    /// Receives a datagram that has arrived; its length, and the address that it came from.
+    /// Receives a datagram if one has arrived. Returns its length and the address that it came from.
     pub fn try_receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         self.socket.try_recv_from(buffer).ok()
     }
 
     /// The sender and the content of a received datagram; `None` if a proxied one is too short.
-    pub fn unwrap<'a>(&self, from: SocketAddr, bytes: &'a [u8]) -> Option<(SocketAddr, &'a [u8])> {
+    pub fn decode_received<'a>(&self, from: SocketAddr, bytes: &'a [u8]) -> Option<(SocketAddr, &'a [u8])> {
         match self.link_proxy {
             None => Some((from, bytes)),
             Some(_) => decode_address(bytes),
--- a/crates/daemon/src/operator/cluster.rs
+++ b/crates/daemon/src/operator/cluster.rs
@@ -1,4 +1,4 @@
-//! `[members]`: this limiter forms a cluster with the others.
+//! `[members]`: cluster membership of this limiter.
 
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// How far clocks of the cluster may run apart, as a share, where the operator does not say.
+/// Default of `drift`: how much too fast or too slow a clock may run, as a ratio of true time.
 const DEFAULT_CLOCK_DRIFT: f64 = 0.01;
 
-/// The section as it is written.
+/// The section as parsed, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClusterSection {
@@ -28,7 +28,7 @@
     shards: Option<Spanned<u64>>,
     period_ms: Option<Spanned<u64>>,
     #[serde(rename = "late_ms")]
-    ping_timeout_ms: Option<Spanned<u64>>,
+    probe_timeout_ms: Option<Spanned<u64>>,
     suspicion_ms: Option<Spanned<u64>>,
     #[serde(rename = "term_ms")]
     lease_ms: Option<Spanned<u64>>,
@@ -42,7 +42,7 @@
     link_proxy: Option<Spanned<String>>,
 }
 
-/// Checks the section.
+/// Validates the section and applies the defaults.
 pub(super) fn check(
     source: &SourceText,
     section: Spanned<ClusterSection>,
@@ -57,7 +57,7 @@
     let gossip = GossipSettings {
         probe_period: Duration::from_millis(period_ms),
         probe_timeout: Duration::from_millis(milliseconds(
-            section.ping_timeout_ms,
+            section.probe_timeout_ms,
             "late_ms",
             period_ms * 3 / 10,
         )?),
@@ -88,16 +88,16 @@
         gossip,
         lease,
     };
-    settings.check().map_err(|problems| {
-        let problems: Vec<String> = problems.iter().map(ToString::to_string).collect();
-        source.error(offset, Fault::Cluster(problems.join("; ")))
+    settings.check().map_err(|errors| {
+        let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        source.error(offset, Fault::Cluster(messages.join("; ")))
     })?;
     let link_proxy = section.link_proxy.map(|address| check_link_proxy(source, &address)).transpose()?;
     let health_check_interval = health_check_ms.map(Duration::from_millis);
     Ok(ClusterConfig { settings, status_socket: section.status_socket, health_check_interval, link_proxy })
 }
 
-/// The proxy that plays the links between members, in builds for tests alone.
+/// The address of the proxy that simulates link faults. Only debug builds accept one.
 fn check_link_proxy(source: &SourceText, address: &Spanned<String>) -> Result<SocketAddr, OperatorError> {
     if !cfg!(debug_assertions) {
         return Err(source.error(address.span().start, Fault::LinkProxyInRelease));
--- a/crates/daemon/src/serve/cluster_node.rs
+++ b/crates/daemon/src/serve/cluster_node.rs
@@ -1,4 +1,4 @@
-//! This limiter as a member of its cluster, before it runs.
+//! Opens the sockets of cluster membership at startup and starts its tasks once the limiter is ready.
 
 use super::error::ServeError;
 use crate::cluster::{self, ClusterService};
@@ -9,12 +9,12 @@
 use tokio::net::UnixListener;
 use tokio::task::spawn_local;
 
-/// This limiter as a member of its cluster, before it runs.
+/// A cluster member whose sockets are open and whose tasks are not started yet.
 pub(super) struct ClusterNode {
-    group: Rc<ClusterService>,
+    cluster: Rc<ClusterService>,
     /// Answers status queries.
     status_listener: Option<UnixListener>,
-    /// How often each node is probed, where they are.
+    /// How often each endpoint is health-checked; `None` for no health checks.
     health_check_interval: Option<Duration>,
 }
 
@@ -22,25 +22,25 @@
     /// Opens the sockets.
     ///
     /// # Errors
-    /// One of them cannot be opened, or the settings cannot be used.
+    /// One of them cannot be opened, or the settings are invalid.
     pub async fn open(config: &cluster::ClusterConfig, events: Rc<EventQueue>) -> Result<Self, ServeError> {
         let status_listener = config.status_socket.as_deref().map(cluster::bind_status_socket).transpose();
         let status_listener = status_listener.map_err(|error| ServeError::Cluster(error.into()))?;
-        let group =
+        let cluster =
             ClusterService::open(config, events).await.map_err(|error| ServeError::Cluster(error.into()))?;
-        Ok(ClusterNode { group, status_listener, health_check_interval: config.health_check_interval })
+        Ok(ClusterNode { cluster, status_listener, health_check_interval: config.health_check_interval })
     }
 
-    /// Takes part in the cluster from now on.
+    /// Starts the tasks of the member.
     pub fn start(self, servers: &Rc<Servers>) -> Rc<ClusterService> {
-        let ClusterNode { group, status_listener, health_check_interval } = self;
-        spawn_local(group.clone().run());
+        let ClusterNode { cluster, status_listener, health_check_interval } = self;
+        spawn_local(cluster.clone().run());
         if let Some(listener) = status_listener {
-            spawn_local(group.clone().answer_status_queries(listener));
+            spawn_local(cluster.clone().answer_status_queries(listener));
         }
         if let Some(interval) = health_check_interval {
-            spawn_local(group.clone().run_health_checks(servers.clone(), interval));
+            spawn_local(cluster.clone().run_health_checks(servers.clone(), interval));
         }
-        group
+        cluster
     }
 }
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -1,4 +1,4 @@
-//! Clusters of several daemons, with links that lose, delay and cut datagrams, and processes that are paused, killed and
+//! Clusters of several daemons, with links that lose, delay and duplicate datagrams, and processes that are paused, killed and
 //! restarted.
 mod common;
 #[path = "members/link_proxy.rs"]
@@ -15,27 +15,27 @@
 
 const HEALTH_CHECK_MS: u64 = 250;
 
-/// One cluster at a time: on a small machine several would hold each other up.
+/// Only one cluster runs at a time: on a small machine several would slow each other down.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-/// Daemons of one cluster, and endpoints that they health-check.
+/// Daemons of one cluster, and the endpoints that they health-check.
 struct Cluster {
     _exclusive: MutexGuard<'static, ()>,
     proxy: LinkProxy,
-    nodes: Vec<Fake>,
+    endpoints: Vec<Fake>,
     limiters: Vec<Option<Limiter>>,
 }
 
-fn node() -> Fake {
+fn fake_endpoint() -> Fake {
     Fake::new(|message| if message.first.contains("/metrics/load") { ok("busy=0.25") } else { ok("served") })
 }
 
 impl Cluster {
-    fn new(count: usize, nodes: usize) -> Cluster {
-        let nodes = (0..nodes).map(|_| node()).collect();
+    fn new(count: usize, endpoints: usize) -> Cluster {
+        let endpoints = (0..endpoints).map(|_| fake_endpoint()).collect();
         let exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
         let mut cluster =
-            Cluster { _exclusive: exclusive, proxy: LinkProxy::new(), nodes, limiters: Vec::new() };
+            Cluster { _exclusive: exclusive, proxy: LinkProxy::new(), endpoints, limiters: Vec::new() };
         for n in 0..count {
             cluster.limiters.push(None);
             cluster.start(n);
@@ -64,16 +64,16 @@
             self.status_socket(n).display(),
             self.proxy.address
         );
-        let nodes: Vec<&Fake> = self.nodes.iter().collect();
-        self.limiters[n] = Some(Limiter::with_operator_text(&text, settings(), &nodes));
+        let endpoints: Vec<&Fake> = self.endpoints.iter().collect();
+        self.limiters[n] = Some(Limiter::with_operator_text(&text, settings(), &endpoints));
     }
 
     fn signal(&self, n: usize, name: &str) {
-        self.limiters[n].as_ref().expect("it runs").signal(name);
+        self.limiters[n].as_ref().expect("running").signal(name);
     }
 
-    /// The status of a limiter, by its own command.
-    fn table(&self, n: usize) -> Option<Value> {
+    /// The status of a limiter, from the command `members`.
+    fn status(&self, n: usize) -> Option<Value> {
         let out = command()
             .args(["members", "--json", "--at"])
             .arg(self.status_socket(n))
@@ -84,42 +84,42 @@
 
     /// The members that a limiter believes alive.
     fn live_members(&self, n: usize) -> BTreeSet<String> {
-        let table = self.table(n).unwrap_or_default();
-        let rows = table["members"].as_array().cloned().unwrap_or_default();
-        let there = rows.iter().filter(|row| row["seen"] != "gone");
-        there.filter_map(|row| row["name"].as_str().map(Into::into)).collect()
+        let status = self.status(n).unwrap_or_default();
+        let rows = status["members"].as_array().cloned().unwrap_or_default();
+        let alive = rows.iter().filter(|row| row["seen"] != "gone");
+        alive.filter_map(|row| row["name"].as_str().map(Into::into)).collect()
     }
 
     fn held_shards(&self, n: usize) -> BTreeSet<u64> {
-        let table = self.table(n).unwrap_or_default();
-        let held = table["held"].as_array().cloned().unwrap_or_default();
+        let status = self.status(n).unwrap_or_default();
+        let held = status["held"].as_array().cloned().unwrap_or_default();
         held.iter().filter_map(|pair| pair[0].as_u64()).collect()
     }
 
-    /// Each of these daemons believes exactly these alive, and together they hold each shard once.
-    fn is_complete(&self, who: &[usize]) -> bool {
-        // Each check starts a process for each limiter.
+    /// Whether each of these daemons believes exactly these alive, and together they hold each shard once.
+    fn is_complete(&self, daemons: &[usize]) -> bool {
+        // Each check starts processes for each limiter: limits how often that happens.
         thread::sleep(Duration::from_millis(20));
-        let names: BTreeSet<String> = who.iter().map(|n| format!("n{n}")).collect();
-        let held: Vec<u64> = who.iter().flat_map(|n| self.held_shards(*n)).collect();
-        who.iter().all(|n| self.live_members(*n) == names)
+        let names: BTreeSet<String> = daemons.iter().map(|n| format!("n{n}")).collect();
+        let held: Vec<u64> = daemons.iter().flat_map(|n| self.held_shards(*n)).collect();
+        daemons.iter().all(|n| self.live_members(*n) == names)
             && held.len() == 12
             && held.iter().collect::<BTreeSet<_>>().len() == 12
     }
 
     fn wait_until_complete(&self) {
         let all: Vec<usize> = (0..self.limiters.len()).collect();
-        wait_until("all know of all and each shard is held", || self.is_complete(&all));
+        wait_until("every daemon knows all members and each shard is held", || self.is_complete(&all));
     }
 
-    fn health_checks(&self, node: usize) -> u32 {
-        let seen = self.nodes[node].seen();
+    fn health_checks(&self, endpoint: usize) -> u32 {
+        let seen = self.endpoints[endpoint].seen();
         seen.iter().filter(|m| m.first.contains("/metrics/load")).count() as u32
     }
 
-    /// Waits until each endpoint has been health-checked this often again; how long that took.
+    /// Waits until each endpoint has been health-checked `times` more times. Returns how long that took.
     fn wait_for_health_checks(&self, times: u32) -> Duration {
-        let before: Vec<u32> = (0..self.nodes.len()).map(|n| self.health_checks(n)).collect();
+        let before: Vec<u32> = (0..self.endpoints.len()).map(|n| self.health_checks(n)).collect();
         let began = Instant::now();
         wait_until("each endpoint is health-checked", || {
             before.iter().enumerate().all(|(n, before)| self.health_checks(n) >= before + times)
@@ -146,18 +146,18 @@
     let one_limiter = 4.0 * (took.as_secs_f64() * 1e3 / HEALTH_CHECK_MS as f64 + 2.0);
     assert!(
         f64::from(sent) <= one_limiter,
-        "{sent} probes in {took:?}, one limiter alone sends {one_limiter}"
+        "{sent} health checks in {took:?}, one limiter alone sends {one_limiter}"
     );
 
     cluster.signal(1, "-KILL");
-    wait_until("the others hold all", || cluster.is_complete(&[0, 2]));
+    wait_until("the others hold all shards", || cluster.is_complete(&[0, 2]));
     cluster.wait_for_health_checks(2);
     cluster.start(1);
     cluster.wait_until_complete();
 
     // The shards of a paused daemon are taken over; when it resumes, it holds none of them twice.
     cluster.signal(2, "-STOP");
-    wait_until("the others hold all", || cluster.is_complete(&[0, 1]));
+    wait_until("the others hold all shards", || cluster.is_complete(&[0, 1]));
     cluster.wait_for_health_checks(2);
     cluster.signal(2, "-CONT");
     cluster.wait_until_complete();
@@ -168,8 +168,8 @@
 fn an_isolated_daemon_holds_nothing_and_rejoins_and_a_one_way_cut_declares_none_down() {
     let cluster = Cluster::new(3, 2);
     cluster.proxy.isolate_with(2, 3, LinkFault::Cut);
-    wait_until("the others hold all", || cluster.is_complete(&[0, 1]));
-    wait_until("the isolated one holds nothing", || cluster.held_shards(2).is_empty());
+    wait_until("the others hold all shards", || cluster.is_complete(&[0, 1]));
+    wait_until("the isolated one holds no shards", || cluster.held_shards(2).is_empty());
     wait_until("it declares the others down", || {
         cluster.live_members(2) == BTreeSet::from(["n2".to_string()])
     });
@@ -179,8 +179,9 @@
 
     // One way, between two of three: the third probes indirectly, and none is declared down for ten periods.
     cluster.proxy.set_fault(0, 1, LinkFault::Cut);
-    // A busy machine may pause a process for longer than the suspicion timeout; it is rightly declared down, and the check repeated.
-    let quiet = || {
+    // A busy machine may pause a process for longer than the suspicion timeout: it is then rightly declared down, and the check
+    // is repeated.
+    let no_member_is_down = || {
         let until = Instant::now() + Duration::from_secs(2);
         while Instant::now() < until {
             if (0..3).any(|n| cluster.live_members(n).len() != 3) {
@@ -190,12 +191,15 @@
         }
         true
     };
-    assert!((0..6).any(|_| quiet()), "in none of six stretches of ten periods was nobody missed");
+    assert!(
+        (0..6).any(|_| no_member_is_down()),
+        "a member was declared down in each of six attempts of ten periods"
+    );
     // All datagrams are delayed, then delivered at once; then a third is lost and the others are duplicated.
     cluster.proxy.heal();
     (0..3).for_each(|n| cluster.proxy.isolate_with(n, 3, LinkFault::Stall));
     wait_until("every daemon is isolated", || (0..3).all(|n| cluster.live_members(n).len() == 1));
-    assert!((0..3).all(|n| cluster.held_shards(n).is_empty()), "nobody has a majority");
+    assert!((0..3).all(|n| cluster.held_shards(n).is_empty()), "no daemon has a majority of voters");
     cluster.proxy.heal();
     cluster.wait_until_complete();
     cluster.proxy.isolate_with(0, 3, LinkFault::Loss(3));
@@ -211,7 +215,7 @@
     for n in 0..3 {
         cluster.signal(n, "-TERM");
         let rest: Vec<usize> = (0..3).filter(|m| *m != n).collect();
-        wait_until("the others know and hold all", || cluster.is_complete(&rest));
+        wait_until("the others notice and hold all shards", || cluster.is_complete(&rest));
         assert_eq!(cluster.limiters[n].as_mut().expect("it ran").wait().code(), Some(0));
         cluster.start(n);
         cluster.wait_until_complete();
--- a/crates/daemon/tests/members/link_proxy.rs
+++ b/crates/daemon/tests/members/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A UDP proxy between members that plays the faults of their links.
+//! A UDP proxy between members that simulates faults of their links.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,7 +10,7 @@
 pub enum LinkFault {
     /// Datagrams are lost.
     Cut,
-    /// One datagram in this many is lost.
+    /// One of every N datagrams through the proxy is lost, if it is on this link.
     Loss(u32),
     /// Datagrams are delayed until the link recovers, then delivered all at once.
     Stall,
@@ -20,9 +20,11 @@
 
 #[derive(Default)]
 struct Links {
-    /// The sockets of members, by the addresses that members know each other by.
+    /// The socket address of each member, by the address that other members know it by.
     sockets: BTreeMap<SocketAddr, SocketAddr>,
+    /// By sender and receiver.
     faults: BTreeMap<(SocketAddr, SocketAddr), LinkFault>,
+    /// Sender, receiver and content.
     delayed: Vec<(SocketAddr, SocketAddr, Vec<u8>)>,
     datagrams: u64,
 }
@@ -34,9 +36,9 @@
     socket: UdpSocket,
 }
 
-fn encode_address(at: SocketAddr) -> Vec<u8> {
-    let SocketAddr::V4(v4) = at else { panic!("{at}") };
-    [&v4.ip().octets()[..], &at.port().to_be_bytes()].concat()
+fn encode_address(address: SocketAddr) -> Vec<u8> {
+    let SocketAddr::V4(v4) = address else { panic!("{address}") };
+    [&v4.ip().octets()[..], &address.port().to_be_bytes()].concat()
 }
 
 fn decode_address(bytes: &[u8]) -> SocketAddr {
@@ -102,7 +104,7 @@
 
 impl Drop for LinkProxy {
     fn drop(&mut self) {
-        // Ends its thread.
+        // A datagram that is too short ends the thread.
         let _ = self.socket.send_to(&[0], self.address);
     }
 }
