--- a/crates/catalog/src/apply_error.rs
+++ b/crates/catalog/src/apply_error.rs
@@ -1,32 +1,32 @@
-//! Why an update does not fit the list at hand.
+//! Errors of applying an update to the current list.
 
 use crate::Digest;
 use std::error::Error;
 use std::fmt;
 
-/// Why an update was not applied. What it was to be applied to is as it was.
+/// Why an update was rejected. A rejected update leaves the list unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyError {
-    /// A delta came before any whole list: what it builds on is missing.
+    /// A delta arrived before any whole list, so there is nothing to apply it to.
     NoList {
-        /// The generation of the delta.
+        /// The revision of the delta.
         got: u64,
     },
-    /// The update is older than what is held.
+    /// The update is older than the current list.
     Older {
-        /// The generation at hand.
+        /// The revision of the current list.
         held: u64,
-        /// The generation of the update.
+        /// The revision of the update.
         got: u64,
     },
-    /// The digest is not that of the list that the update leads to: something was lost. The whole list is to be
-    /// asked for, without a generation.
+    /// The digest in the update differs from that of the resulting list, so a change was lost. The receiver
+    /// should request the whole list, by a request without a revision.
     DigestMismatch {
-        /// The generation of the update.
-        generation: u64,
-        /// The digest that it carries.
+        /// The revision of the update.
+        revision: u64,
+        /// The digest in the update.
         expected: Digest,
-        /// The digest that it leads to.
+        /// The digest of the list after the update.
         computed: Digest,
     },
 }
@@ -34,12 +34,12 @@
 impl fmt::Display for ApplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ApplyError::NoList { got } => write!(f, "a delta of generation {got} came before any whole list"),
+            ApplyError::NoList { got } => write!(f, "a delta of revision {got} came before any whole list"),
             ApplyError::Older { held, got } => {
-                write!(f, "the update is older than the list: generation {got}, held {held}")
+                write!(f, "the update is older than the list: revision {got}, held {held}")
             }
-            ApplyError::DigestMismatch { generation, expected, computed } => {
-                write!(f, "digest {expected} of generation {generation} differs from the list's {computed}")
+            ApplyError::DigestMismatch { revision, expected, computed } => {
+                write!(f, "digest {expected} of revision {revision} differs from the list's {computed}")
             }
         }
     }
--- a/crates/decision/src/quota/counter_health.rs
+++ b/crates/decision/src/quota/counter_health.rs
@@ -1,49 +1,53 @@
-//! How the counter service answers: whether it is down, and for how many requests it is called.
+//! Health of the counter service: whether it is down, and what fraction of the requests may call it.
 //!
-//! Hundreds of limiters with many rare customers could crowd the counter: a slow answer lowers the share of
-//! requests that call it, a quick one raises it. A counter that left several calls in a row unanswered is
-//! called once a period. Held by `tests/decision/counter.rs`, the two tests of a silent and of a slow
-//! counter.
+//! Hundreds of limiters with many rare customers could overload the counter. Therefore the fraction of
+//! requests that call it decreases with each slow or failed call and increases with each fast reply. After
+//! several failed calls in a row the counter is called only once per period. Held by
+//! `tests/decision/counter.rs`, the tests of an unresponsive and of a slow counter.
 
 use super::usage_report::CALL_PERIOD_SECONDS;
 use crate::interface::Outcome;
 
-/// Unanswered calls in a row after which the counter is taken to be down.
-const DOWN_AFTER_MISSES: u32 = 3;
-/// Share of the requests that call the counter: at first and at least.
+/// Failed calls in a row after which the counter is considered down.
+const FAILURE_THRESHOLD: u32 = 3;
+/// Fraction of the requests that call the counter: the initial value and the minimum.
 const INITIAL_CALL_PROBABILITY: f64 = 0.5;
 const MIN_CALL_PROBABILITY: f64 = 0.03;
-/// Added to the share by a quick answer, and kept of it after any other.
+/// A fast reply adds the first to the call probability; any other outcome multiplies it by the second.
 const CALL_PROBABILITY_INCREASE: f64 = 0.02;
 const CALL_PROBABILITY_DECREASE_FACTOR: f64 = 0.85;
-/// Share of the call's time-out within which an answer is quick.
-const QUICK_TIMEOUT_RATIO: f64 = 0.2;
+/// A reply within this fraction of the call's timeout is fast.
+const FAST_REPLY_TIMEOUT_RATIO: f64 = 0.2;
 
-/// What the replies of the counter service show of it.
+/// State of the counter service, inferred from its replies.
 pub struct CounterHealth {
-    misses: u32,
+    consecutive_failures: u32,
     next_probe_at: f64,
     call_probability: f64,
 }
 
 impl CounterHealth {
-    /// A counter that was not called yet.
+    /// The state before the first call: up, with the initial call probability.
     pub fn new(now: f64) -> Self {
-        CounterHealth { misses: 0, next_probe_at: now, call_probability: INITIAL_CALL_PROBABILITY }
+        CounterHealth {
+            consecutive_failures: 0,
+            next_probe_at: now,
+            call_probability: INITIAL_CALL_PROBABILITY,
+        }
     }
 
-    /// Whether it left so many calls in a row unanswered that it counts as down.
+    /// Whether the number of consecutive failures has reached [`FAILURE_THRESHOLD`].
     pub fn is_down(&self) -> bool {
-        self.misses >= DOWN_AFTER_MISSES
+        self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
-    /// Whether a call has to wait because the counter is down and was probed just now.
-    pub fn must_wait(&self, now: f64) -> bool {
+    /// Whether the counter is down and the period since the last call has not passed.
+    pub fn is_backing_off(&self, now: f64) -> bool {
         self.is_down() && now < self.next_probe_at
     }
 
-    /// The probability with which an admitted request calls the counter. Rejected ones call more often: what
-    /// their call brings decides the client's next request.
+    /// The probability with which a request calls the counter. Rejected requests call more often, because the
+    /// totals in the reply decide whether the client's next request is admitted.
     pub fn call_probability(&self, admitted: bool) -> f64 {
         if admitted {
             self.call_probability
@@ -52,15 +56,15 @@
         }
     }
 
-    /// Notes a call, after which a counter that is down is left alone for a period.
+    /// Records a call. If the counter is down, the next call is made one period later at the earliest.
     pub fn on_call(&mut self, now: f64) {
         self.next_probe_at = now + CALL_PERIOD_SECONDS;
     }
 
-    /// Takes in a reply, or that there was none, `elapsed` seconds after the call.
-    pub fn on_reply(&mut self, outcome: Outcome, elapsed: f64, timeout: f64) {
+    /// Updates the state from the outcome of a call that ended after `elapsed_s` seconds.
+    pub fn on_reply(&mut self, outcome: Outcome, elapsed_s: f64, timeout_s: f64) {
         let answered = outcome == Outcome::Ok;
-        let probability = if answered && elapsed <= QUICK_TIMEOUT_RATIO * timeout {
+        let probability = if answered && elapsed_s <= FAST_REPLY_TIMEOUT_RATIO * timeout_s {
             self.call_probability + CALL_PROBABILITY_INCREASE
         } else {
             self.call_probability * CALL_PROBABILITY_DECREASE_FACTOR
@@ -68,7 +72,8 @@
         self.call_probability = probability.clamp(MIN_CALL_PROBABILITY, 1.0);
         // A counter that rejects a call as overloaded is up.
         if outcome != Outcome::Overloaded {
-            self.misses = if answered { 0 } else { self.misses.saturating_add(1) };
+            self.consecutive_failures =
+                if answered { 0 } else { self.consecutive_failures.saturating_add(1) };
         }
     }
 }
