--- a/crates/authz/src/framing.rs
+++ b/crates/authz/src/framing.rs
@@ -1,146 +1,146 @@
-//! Length-prefixed messages: a byte that says whether it is compressed, four bytes of length, the message.
+//! Length-prefixed messages of gRPC: a compressed flag of one byte, a length of four bytes, the message.
 //!
-//! Both sides read what the other may have cut, lengthened or doubled, so the prefix is judged as soon as it
-//! is there and no byte is kept beyond what it announces.
+//! A peer may send a truncated, overlong or repeated message, so the prefix is checked as soon as it is complete,
+//! and a stream that must hold one message is rejected as soon as a byte follows it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt;
 
-/// Bytes before each message.
-pub const PREFIX: usize = 5;
+/// Length in bytes of the prefix of each message.
+pub const PREFIX_LEN: usize = 5;
 
-/// What is wrong with a sequence of messages.
+/// Why a stream does not hold the messages that it should.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WrongFrame {
-    /// The first byte says that it is compressed, and no compression was agreed on.
+pub enum FrameError {
+    /// The compressed flag is set, but no compression was negotiated.
     Compressed,
-    /// The first byte is neither 0 nor 1.
+    /// The compressed flag is neither 0 nor 1.
     Flag(u8),
     /// The announced length is above the limit.
     TooLarge {
-        /// What was announced.
+        /// The length in the prefix.
         found: usize,
         /// The limit.
-        most: usize,
+        max: usize,
     },
-    /// It ended within a message.
-    Half,
-    /// A second message, or bytes of one, where one is due.
-    Twice,
-    /// It ended before any message.
-    Nothing,
+    /// The stream ended within a message.
+    Truncated,
+    /// Bytes follow the one message that was expected.
+    MultipleMessages,
+    /// The stream ended before any message.
+    NoMessage,
 }
 
-impl fmt::Display for WrongFrame {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WrongFrame::Compressed => f.write_str("the message is compressed, expected none to be"),
-            WrongFrame::Flag(found) => write!(f, "the message's first byte is {found}, expected 0"),
-            WrongFrame::TooLarge { found, most } => {
-                write!(f, "the message announces {found} bytes, expected {most} at most")
+            FrameError::Compressed => f.write_str("the message is compressed, expected none to be"),
+            FrameError::Flag(found) => write!(f, "the message's first byte is {found}, expected 0"),
+            FrameError::TooLarge { found, max } => {
+                write!(f, "the message announces {found} bytes, expected {max} at most")
             }
-            WrongFrame::Half => f.write_str("the stream ended within a message"),
-            WrongFrame::Twice => f.write_str("a second message, expected one"),
-            WrongFrame::Nothing => f.write_str("the stream ended without a message"),
+            FrameError::Truncated => f.write_str("the stream ended within a message"),
+            FrameError::MultipleMessages => f.write_str("a second message, expected one"),
+            FrameError::NoMessage => f.write_str("the stream ended without a message"),
         }
     }
 }
 
-/// A message with its prefix; lengths are below 4 GiB.
+/// Encodes a message with its prefix. The message must be shorter than 4 GiB.
 pub fn frame(message: &impl prost::Message) -> Bytes {
     let length = message.encoded_len();
-    let mut buffer = BytesMut::with_capacity(PREFIX + length);
+    let mut buffer = BytesMut::with_capacity(PREFIX_LEN + length);
     buffer.put_u8(0);
     buffer.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
-    // Encoding into a buffer that grows cannot fail.
+    // Encoding fails only if the buffer is full, and this one grows.
     let _ = message.encode(&mut buffer);
     buffer.freeze()
 }
 
-/// Cuts a stream into messages.
+/// Decodes the messages of a stream.
 #[derive(Debug)]
-pub struct Splitter {
+pub struct MessageDecoder {
     buffer: BytesMut,
-    most: usize,
+    max: usize,
 }
 
-impl Splitter {
-    /// With the most bytes of one message.
-    pub fn new(most: usize) -> Splitter {
-        Splitter { buffer: BytesMut::new(), most }
+impl MessageDecoder {
+    /// A decoder that rejects messages longer than `max` bytes.
+    pub fn new(max: usize) -> MessageDecoder {
+        MessageDecoder { buffer: BytesMut::new(), max }
     }
 
-    /// Takes in what came.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if it is there.
+    /// The next message, if all of it has been received.
     ///
     /// # Errors
-    /// Its prefix is wrong; nothing after it can be read.
-    pub fn next_message(&mut self) -> Result<Option<Bytes>, WrongFrame> {
+    /// If the prefix is invalid; the rest of the stream cannot be read then.
+    pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(flag) = self.buffer.first().copied() else { return Ok(None) };
         match flag {
             0 => {}
-            1 => return Err(WrongFrame::Compressed),
-            other => return Err(WrongFrame::Flag(other)),
+            1 => return Err(FrameError::Compressed),
+            other => return Err(FrameError::Flag(other)),
         }
-        let Some(mut prefix) = self.buffer.get(1..PREFIX) else { return Ok(None) };
+        let Some(mut prefix) = self.buffer.get(1..PREFIX_LEN) else { return Ok(None) };
         let found = prefix.get_u32() as usize;
-        if found > self.most {
-            return Err(WrongFrame::TooLarge { found, most: self.most });
+        if found > self.max {
+            return Err(FrameError::TooLarge { found, max: self.max });
         }
-        if self.buffer.len() < PREFIX + found {
+        if self.buffer.len() < PREFIX_LEN + found {
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_LEN);
         Ok(Some(self.buffer.split_to(found).freeze()))
     }
 
-    /// Whether no byte is left over.
+    /// Whether all received bytes have been decoded.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 }
 
-/// Reads a stream that is to hold exactly one message.
+/// Decodes a stream that must hold exactly one message.
 #[derive(Debug)]
-pub struct Unary {
-    splitter: Splitter,
+pub struct UnaryDecoder {
+    decoder: MessageDecoder,
     message: Option<Bytes>,
 }
 
-impl Unary {
-    /// With the most bytes of the message.
-    pub fn new(most: usize) -> Unary {
-        Unary { splitter: Splitter::new(most), message: None }
+impl UnaryDecoder {
+    /// A decoder that rejects a message longer than `max` bytes.
+    pub fn new(max: usize) -> UnaryDecoder {
+        UnaryDecoder { decoder: MessageDecoder::new(max), message: None }
     }
 
-    /// Takes in what came.
+    /// Adds received bytes.
     ///
     /// # Errors
-    /// As soon as the stream cannot be right any more.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), WrongFrame> {
+    /// As soon as the stream cannot be exactly one message any more.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), FrameError> {
         if self.message.is_some() && !bytes.is_empty() {
-            return Err(WrongFrame::Twice);
+            return Err(FrameError::MultipleMessages);
         }
-        self.splitter.push(bytes);
+        self.decoder.push(bytes);
         if self.message.is_none() {
-            self.message = self.splitter.next_message()?;
+            self.message = self.decoder.next_message()?;
         }
-        if self.message.is_some() && !self.splitter.is_empty() {
-            return Err(WrongFrame::Twice);
+        if self.message.is_some() && !self.decoder.is_empty() {
+            return Err(FrameError::MultipleMessages);
         }
         Ok(())
     }
 
-    /// The message, after the stream's end.
+    /// The message; called at the end of the stream.
     ///
     /// # Errors
-    /// It is not whole.
-    pub fn finish(self) -> Result<Bytes, WrongFrame> {
-        let nothing = self.splitter.is_empty();
-        self.message.ok_or(if nothing { WrongFrame::Nothing } else { WrongFrame::Half })
+    /// If the message is missing or truncated.
+    pub fn finish(self) -> Result<Bytes, FrameError> {
+        let is_empty = self.decoder.is_empty();
+        self.message.ok_or(if is_empty { FrameError::NoMessage } else { FrameError::Truncated })
     }
 }
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -19,7 +19,7 @@
     Frame as RawFrame, ACK, CANCEL, CONTINUATION, DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, PING,
     REFUSED_STREAM, RST_STREAM, SETTINGS, WINDOW_UPDATE,
 };
-use liftrouter_authz::{frame, Message, Unary};
+use liftrouter_authz::{frame, Message, UnaryDecoder};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -78,7 +78,7 @@
 impl CallResult {
     pub fn read<M: Message + Default>(&self) -> M {
         assert_eq!((self.http, self.status), (200, Some(0)), "{self:?}");
-        let mut unary = Unary::new(1 << 20);
+        let mut unary = UnaryDecoder::new(1 << 20);
         unary.push(&self.body).expect("one message");
         M::decode(unary.finish().expect("whole")).expect("a message")
     }
@@ -305,22 +305,22 @@
 
 /// An authoriser whose frames are written by hand, by a rule.
 #[derive(Clone)]
-pub struct FakeAuthoriser {
+pub struct FakeAuthorizer {
     pub address: SocketAddr,
     record: Arc<Record>,
 }
 
-impl FakeAuthoriser {
-    pub fn new(rule: impl Fn(&ReceivedCheck) -> Vec<Action> + Send + Sync + 'static) -> FakeAuthoriser {
+impl FakeAuthorizer {
+    pub fn new(rule: impl Fn(&ReceivedCheck) -> Vec<Action> + Send + Sync + 'static) -> FakeAuthorizer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let (record, rule) = (Arc::<Record>::default(), Arc::new(rule));
-        let fake = FakeAuthoriser { address, record: record.clone() };
+        let fake = FakeAuthorizer { address, record: record.clone() };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (record, rule) = (record.clone(), rule.clone());
                 let connection = record.connections.fetch_add(1, Ordering::SeqCst) as usize;
-                std::thread::spawn(move || authorise(stream, connection, &record, &*rule));
+                std::thread::spawn(move || authorize(stream, connection, &record, &*rule));
             }
         });
         fake
@@ -344,7 +344,7 @@
     }
 }
 
-fn authorise(
+fn authorize(
     mut stream: TcpStream,
     connection: usize,
     record: &Record,
@@ -368,7 +368,7 @@
                 if frame.flags & END_STREAM == 0 {
                     continue;
                 }
-                let mut unary = Unary::new(1 << 20);
+                let mut unary = UnaryDecoder::new(1 << 20);
                 unary.push(body).expect("one message");
                 let request = CheckRequest::decode(unary.finish().expect("whole")).expect("a check request");
                 let number = {
