--- a/crates/counter/tests/common/schedule.rs
+++ b/crates/counter/tests/common/schedule.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, in the order of their times.
+//! The events of the simulation and their order in time.
 
 use super::scenario::Injection;
 use liftrouter_counter::{CallResult, ValidationCall};
@@ -15,7 +15,7 @@
         incarnation: u32,
         name: String,
         add: f64,
-        ttl: f64,
+        ttl_s: f64,
         at: f64,
         generation: u64,
     },
@@ -25,7 +25,7 @@
         name: String,
         outcome: Outcome,
         total: f64,
-        elapsed: f64,
+        elapsed_s: f64,
     },
     Validate(usize, u32, usize),
     ValidationEnded {
@@ -52,7 +52,7 @@
     }
 }
 impl Ord for Scheduled {
-    /// The earliest is the greatest; what was queued first comes first.
+    /// Reversed for the max-heap: the earliest event is the greatest, and ties are in the order of scheduling.
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
--- a/crates/daemon/src/cluster/health_checks.rs
+++ b/crates/daemon/src/cluster/health_checks.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Endpoints are looked through this often in an interval.
+/// How often per interval the endpoints are examined for due health checks.
 const POLLS_PER_INTERVAL: u32 = 20;
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -74,9 +74,9 @@
             in_flight: report.in_flight,
             queued: report.queued,
             utilization: report.utilization,
-            latency: report.latency,
-            request_rate: report.request_rate,
-            error_rate: report.error_rate,
+            latency: report.latency_s,
+            request_rate: report.requests_per_s,
+            error_rate: report.errors_per_s,
         }
     }
 }
@@ -89,9 +89,9 @@
             in_flight: finite(load.in_flight),
             queued: finite(load.queued),
             utilization: finite(load.utilization),
-            latency: finite(load.latency),
-            request_rate: finite(load.request_rate),
-            error_rate: finite(load.error_rate),
+            latency_s: finite(load.latency),
+            requests_per_s: finite(load.request_rate),
+            errors_per_s: finite(load.error_rate),
         }
     }
 }
@@ -110,14 +110,15 @@
     }
 }
 
-/// Takes the result of a health check from the limiter that holds the endpoint; what cannot be decoded is ignored.
+/// Handles a health check result from the limiter that holds the endpoint's shard. A payload that cannot be decoded is
+/// ignored.
 pub(super) fn receive(events: &EventQueue, payload: &[u8]) {
     if let Ok(check) = postcard::from_bytes::<SharedHealthCheck>(payload) {
         events.push(check.into_event());
     }
 }
 
-/// Checks endpoints that are held here, each once in an interval.
+/// Health-checks the endpoints whose shards this limiter holds, each once per interval.
 pub(super) async fn run(cluster: Rc<ClusterService>, servers: Rc<Servers>, interval: Duration) {
     let mut checked_at: HashMap<EndpointId, Instant> = HashMap::new();
     let poll_interval = (interval / POLLS_PER_INTERVAL).max(MIN_POLL_INTERVAL);
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -1,8 +1,8 @@
-//! What a limiter asks its host to do.
+//! Actions: the operations that a limiter asks its host to carry out.
 
 use super::{EndpointId, RequestId};
 
-/// What the host is to do.
+/// An operation for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt of a request; attempts are numbered from 0 in this order.
@@ -12,12 +12,12 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Give up after this many seconds; 0: at the client's deadline.
-        timeout: f64,
-        /// Time by which the request must be written completely, since its idempotency key may be forgotten
-        /// after that. Infinite where there is no such time.
+        timeout_s: f64,
+        /// Time by which the request must be written completely: after it the endpoints may have dropped its
+        /// idempotency key from the deduplication window. Infinite if there is no such bound.
         send_deadline: f64,
     },
-    /// Final answer to an authorization: the client may call.
+    /// Final answer to an authorization: the client may call the endpoints.
     Authorize {
         /// The authorization.
         id: RequestId,
@@ -27,14 +27,14 @@
         /// The request.
         id: RequestId,
         /// Seconds after which the client should retry; 0: no advice.
-        retry_after: f64,
+        retry_after_s: f64,
     },
     /// Final answer: failed; the request may have had an effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: its response is no longer needed.
     Cancel {
         /// The request.
         id: RequestId,
@@ -48,13 +48,13 @@
         /// What to add; 0 only reads.
         increment: f64,
         /// Seconds after which a new key expires.
-        ttl: f64,
+        ttl_s: f64,
     },
     /// Set a timer.
     SetTimer {
         /// The time at which it expires.
-        at: f64,
-        /// Comes back in [`Event::Timer`](super::Event::Timer).
+        expires_at: f64,
+        /// Returned in [`Event::Timer`](super::Event::Timer).
         token: u64,
     },
     /// Check the health of an endpoint.
@@ -62,6 +62,6 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Watch the endpoint list.
+    /// Start or restart the watch of the endpoint list.
     WatchEndpoints,
 }
