--- a/crates/decision/src/endpoints/class_breaker.rs
+++ b/crates/decision/src/endpoints/class_breaker.rs
@@ -6,8 +6,8 @@
 //! endpoint that is full twice in a row is avoided for a while; a class that all endpoints reject still gets
 //! some attempts through. Held by `tests/decision/class_breaker.rs`.
 
-use super::endpoint_set::{fleet_objective, EndpointSet};
-use super::latency::Progress;
+use super::endpoint_set::{fleet_objective_s, EndpointSet};
+use super::latency::AttemptStatus;
 use crate::context::Context;
 use crate::interface::EndpointId;
 
@@ -28,22 +28,22 @@
 #[derive(Clone, Copy)]
 struct Streak {
     count: u32,
-    latest: f64,
+    latest_at: f64,
 }
 
 impl Streak {
     fn none(now: f64) -> Self {
-        Streak { count: 0, latest: now }
+        Streak { count: 0, latest_at: now }
     }
 
     /// Factor on the endpoint's score; fades with time.
-    fn penalty(&self, objective: f64, now: f64) -> f64 {
+    fn penalty(&self, objective_s: f64, now: f64) -> f64 {
         if self.count == 0 {
             return 1.0;
         }
         let count = f64::from(self.count);
-        let time_constant = PENALTY_OBJECTIVES * objective * count;
-        1.0 + PENALTY * count * (-(now - self.latest) / time_constant).exp()
+        let time_constant = PENALTY_OBJECTIVES * objective_s * count;
+        1.0 + PENALTY * count * (-(now - self.latest_at) / time_constant).exp()
     }
 }
 
@@ -56,20 +56,21 @@
 
 impl ClassBreaker {
     /// Whether the endpoint rejects a class now, again and again.
-    pub fn is_open(&self, class: usize, objective: f64, now: f64) -> bool {
+    pub fn is_open(&self, class: usize, objective_s: f64, now: f64) -> bool {
         self.rejections.get(class).is_some_and(|rejections| {
-            rejections.count >= OPEN_AFTER_REJECTIONS && now - rejections.latest < OPEN_OBJECTIVES * objective
+            rejections.count >= OPEN_AFTER_REJECTIONS
+                && now - rejections.latest_at < OPEN_OBJECTIVES * objective_s
         })
     }
 
     /// Factor on the endpoint's score for slow attempts of a class.
-    pub fn slow_attempt_penalty(&self, class: usize, objective: f64, now: f64) -> f64 {
-        self.slow_attempts.get(class).map_or(1.0, |slow| slow.penalty(objective, now))
+    pub fn slow_attempt_penalty(&self, class: usize, objective_s: f64, now: f64) -> f64 {
+        self.slow_attempts.get(class).map_or(1.0, |slow| slow.penalty(objective_s, now))
     }
 
     /// Factor on the endpoint's score for rejections of a class.
-    pub fn rejection_penalty(&self, class: usize, objective: f64, now: f64) -> f64 {
-        self.rejections.get(class).map_or(1.0, |rejections| rejections.penalty(objective, now))
+    pub fn rejection_penalty(&self, class: usize, objective_s: f64, now: f64) -> f64 {
+        self.rejections.get(class).map_or(1.0, |rejections| rejections.penalty(objective_s, now))
     }
 
     /// Slow attempts of a class since its last response.
@@ -82,12 +83,12 @@
     }
 
     /// Records a response, which ends both streaks of its class, or a slow attempt.
-    pub fn record(&mut self, class: usize, class_count: usize, progress: Progress, now: f64) {
+    pub fn record(&mut self, class: usize, class_count: usize, status: AttemptStatus, now: f64) {
         self.slow_attempts.resize(class_count, Streak::none(now));
         self.rejections.resize(class_count, Streak::none(now));
-        if progress == Progress::StillWaiting {
+        if status == AttemptStatus::Pending {
             let count = self.slow_attempts[class].count + 1;
-            self.slow_attempts[class] = Streak { count, latest: now };
+            self.slow_attempts[class] = Streak { count, latest_at: now };
         } else {
             self.slow_attempts[class] = Streak::none(now);
             self.rejections[class] = Streak::none(now);
@@ -99,16 +100,17 @@
     /// Records that an endpoint rejected an attempt as overloaded; true for the first time in a row.
     pub fn record_rejection(&mut self, context: Context, id: &EndpointId, class: usize) -> bool {
         let endpoint = self.endpoints.get(id);
-        let before = endpoint.map_or(0, |endpoint| endpoint.class_breaker.consecutive_rejections(class));
-        if before == 0 {
-            self.record_latency(context, id, class, REJECTION_LATENCY_RATIO, Progress::Responded);
+        let previous_rejections =
+            endpoint.map_or(0, |endpoint| endpoint.class_breaker.consecutive_rejections(class));
+        if previous_rejections == 0 {
+            self.record_latency(context, id, class, REJECTION_LATENCY_RATIO, AttemptStatus::Responded);
         }
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             let rejections = &mut endpoint.class_breaker.rejections;
             rejections.resize(context.settings.classes.len(), Streak::none(context.now));
-            rejections[class] = Streak { count: before + 1, latest: context.now };
+            rejections[class] = Streak { count: previous_rejections + 1, latest_at: context.now };
         }
-        before == 0
+        previous_rejections == 0
     }
 
     /// Computes for each class by how much the limits of the endpoints widen that do not reject it.
@@ -117,10 +119,11 @@
         Context { settings, now }: Context,
         in_service: f64,
     ) {
-        let objective = fleet_objective(settings);
+        let objective_s = fleet_objective_s(settings);
         let accepting = |class| {
             let endpoints = self.endpoints.values().filter(|endpoint| endpoint.is_in_service());
-            endpoints.filter(|endpoint| !endpoint.class_breaker.is_open(class, objective, now)).count() as f64
+            endpoints.filter(|endpoint| !endpoint.class_breaker.is_open(class, objective_s, now)).count()
+                as f64
         };
         self.class_limit_factors = (0..settings.classes.len())
             .map(|class| (in_service / accepting(class).max(1.0)).clamp(1.0, MAX_LIMIT_FACTOR))
--- a/crates/decision/src/endpoints/concurrency_limit.rs
+++ b/crates/decision/src/endpoints/concurrency_limit.rs
@@ -22,12 +22,12 @@
 /// Growth with each response, divided by the limit: this much in one round of responses.
 const INCREASE: f64 = 0.3;
 /// Least limit that the growth is divided by.
-const INCREASE_DIVISOR_MIN: f64 = 4.0;
+const MIN_INCREASE_DIVISOR: f64 = 4.0;
 /// Free places from which on a limit counts as not used.
-const UNUSED_ATTEMPTS: u32 = 2;
+const UNUSED_HEADROOM: u32 = 2;
 
 /// How an attempt went, as far as limits depend on it.
-pub struct Pace {
+pub struct AttemptSample {
     /// Seconds from sending to the end.
     pub elapsed_s: f64,
     /// The latency objective of its class, in seconds.
@@ -55,16 +55,23 @@
 
     /// Adjusts the limit by an attempt that ended, with `in_flight` attempts left and the latency at this
     /// endpoint as a ratio of what is usual.
-    pub fn adjust(&mut self, instance_count: u32, in_flight: u32, latency_ratio: f64, pace: &Pace, now: f64) {
-        if pace.failed || latency_ratio > DECREASE_ABOVE_RATIO {
-            if now - self.decreased_at > pace.latency_objective_s / 2.0 {
+    pub fn adjust(
+        &mut self,
+        instance_count: u32,
+        in_flight: u32,
+        latency_ratio: f64,
+        sample: &AttemptSample,
+        now: f64,
+    ) {
+        if sample.failed || latency_ratio > DECREASE_ABOVE_RATIO {
+            if now - self.decreased_at > sample.latency_objective_s / 2.0 {
                 let min_limit = MIN_ATTEMPTS / f64::from(instance_count.max(1));
                 self.limit = (self.limit * DECREASE_FACTOR).max(min_limit);
                 self.decreased_at = now;
             }
-        } else if latency_ratio < INCREASE_BELOW_RATIO && f64::from(in_flight + UNUSED_ATTEMPTS) > self.limit
+        } else if latency_ratio < INCREASE_BELOW_RATIO && f64::from(in_flight + UNUSED_HEADROOM) > self.limit
         {
-            self.limit = (self.limit + INCREASE / self.limit.max(INCREASE_DIVISOR_MIN)).min(MAX_ATTEMPTS);
+            self.limit = (self.limit + INCREASE / self.limit.max(MIN_INCREASE_DIVISOR)).min(MAX_ATTEMPTS);
         }
     }
 }
--- a/crates/decision/src/endpoints/endpoint.rs
+++ b/crates/decision/src/endpoints/endpoint.rs
@@ -45,7 +45,7 @@
             listed_at: now,
             in_flight: 0,
             concurrency: ConcurrencyLimit::new(instance_count),
-            latency: LatencyRatio::usual(),
+            latency: LatencyRatio::initial(),
             outlier: OutlierState::healthy(),
             class_breaker: ClassBreaker::default(),
             slow_start_sends: Vec::new(),
--- a/crates/decision/src/endpoints/endpoint_set.rs
+++ b/crates/decision/src/endpoints/endpoint_set.rs
@@ -4,7 +4,7 @@
 //! corrected. Therefore attempts in flight and recent sends of slow start are kept over it. Held by
 //! `tests/decision/endpoint_list.rs` and `tests/decision/slow_start.rs`.
 
-use super::concurrency_limit::Pace;
+use super::concurrency_limit::AttemptSample;
 use super::endpoint::{Endpoint, Location};
 use super::fleet_limit::FleetLimit;
 use super::latency;
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 /// Longest latency objective that times of the whole fleet are measured by, in seconds.
-const MAX_FLEET_OBJECTIVE_SECONDS: f64 = 10.0;
+const MAX_FLEET_OBJECTIVE_S: f64 = 10.0;
 
 /// The endpoints and what is known of all of them together.
 pub struct EndpointSet {
@@ -30,9 +30,9 @@
 }
 
 /// The tightest latency objective of all classes, by which times of the whole fleet are measured.
-pub fn fleet_objective(settings: &Settings) -> f64 {
+pub fn fleet_objective_s(settings: &Settings) -> f64 {
     let objectives = settings.classes.iter().map(|class| class.latency_objective_s);
-    objectives.fold(f64::MAX, f64::min).min(MAX_FLEET_OBJECTIVE_SECONDS)
+    objectives.fold(f64::MAX, f64::min).min(MAX_FLEET_OBJECTIVE_S)
 }
 
 impl EndpointSet {
@@ -138,14 +138,19 @@
     }
 
     /// Adjusts the limits of an endpoint and of the fleet by how an attempt went.
-    pub fn adjust_limits(&mut self, Context { settings, now }: Context, id: &EndpointId, pace: &Pace) {
+    pub fn adjust_limits(
+        &mut self,
+        Context { settings, now }: Context,
+        id: &EndpointId,
+        sample: &AttemptSample,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        if !pace.failed {
-            self.fleet.on_response(pace.elapsed_s / pace.latency_objective_s);
+        if !sample.failed {
+            self.fleet.on_response(sample.elapsed_s / sample.latency_objective_s);
         }
         let latency_ratio = self.fleet.latency_ratio() * endpoint.latency.ratio();
         let in_flight = endpoint.in_flight;
-        endpoint.concurrency.adjust(settings.instance_count, in_flight, latency_ratio, pace, now);
+        endpoint.concurrency.adjust(settings.instance_count, in_flight, latency_ratio, sample, now);
     }
 
     /// Records how long an attempt took or takes, as a ratio of its usual time.
@@ -155,10 +160,10 @@
         id: &EndpointId,
         class: usize,
         latency_ratio: f64,
-        progress: latency::Progress,
+        status: latency::AttemptStatus,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        endpoint.latency.record(latency_ratio, fleet_objective(settings), now);
-        endpoint.class_breaker.record(class, settings.classes.len(), progress, now);
+        endpoint.latency.record(latency_ratio, fleet_objective_s(settings), now);
+        endpoint.class_breaker.record(class, settings.classes.len(), status, now);
     }
 }
--- a/crates/decision/src/endpoints/fleet_limit.rs
+++ b/crates/decision/src/endpoints/fleet_limit.rs
@@ -16,7 +16,7 @@
 /// Weight of one response in the observed latency.
 const LATENCY_GAIN: f64 = 0.15;
 /// Observed latency from which on responses wait at endpoints, in baseline latencies.
-const WAITING_RATIO: f64 = 2.0;
+const QUEUEING_RATIO: f64 = 2.0;
 /// Steps of the limit factor with each response, up and down.
 const INCREASE_FACTOR: f64 = 1.02;
 const DECREASE_FACTOR: f64 = 0.97;
@@ -34,7 +34,7 @@
 /// Weight of one request in the saturation.
 const SATURATION_GAIN: f64 = 0.05;
 /// Free places from which on the limit counts as not used.
-const UNUSED_ATTEMPTS: u32 = 2;
+const UNUSED_HEADROOM: u32 = 2;
 
 /// The limit over all endpoints.
 pub struct FleetLimit {
@@ -63,7 +63,7 @@
     pub fn new(instance_count: u32) -> Self {
         // A limiter with little traffic would take seconds to learn that responses do not wait: it begins so.
         let has_low_traffic = low_traffic_factor(instance_count) > 0.0;
-        let latency_ratio = if has_low_traffic { WAITING_RATIO } else { DECREASE_ABOVE_RATIO };
+        let latency_ratio = if has_low_traffic { QUEUEING_RATIO } else { DECREASE_ABOVE_RATIO };
         FleetLimit {
             in_flight: 0,
             limit_sum: 0.0,
@@ -103,13 +103,13 @@
 
     /// Adjusts the limit factor by a response that took so many latency objectives. Attempts without a
     /// response say nothing of the fleet: they may be lost, not waiting.
-    pub fn on_response(&mut self, latency: f64) {
-        self.observed_latency = ewma(self.observed_latency, latency, LATENCY_GAIN);
+    pub fn on_response(&mut self, latency_objectives: f64) {
+        self.observed_latency = ewma(self.observed_latency, latency_objectives, LATENCY_GAIN);
         if self.limit_factor < 1.0 || self.observed_latency < self.baseline_latency {
             self.baseline_latency =
-                ewma(self.baseline_latency, latency, BASELINE_GAIN).max(MIN_BASELINE_LATENCY);
+                ewma(self.baseline_latency, latency_objectives, BASELINE_GAIN).max(MIN_BASELINE_LATENCY);
         }
-        let factor = if self.responses_wait() { self.decrease_factor() } else { self.increase_factor() };
+        let factor = if self.is_queueing() { self.decrease_factor() } else { self.increase_factor() };
         self.limit_factor = (self.limit_factor * factor).clamp(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR);
     }
 
@@ -124,7 +124,7 @@
 
     /// Grows only while the limit is used, which it is at a limiter that gets more requests than others.
     fn increase_factor(&self) -> f64 {
-        let is_used = f64::from(self.in_flight + UNUSED_ATTEMPTS) > self.limit() || self.limit_factor < 1.0;
+        let is_used = f64::from(self.in_flight + UNUSED_HEADROOM) > self.limit() || self.limit_factor < 1.0;
         if is_used {
             INCREASE_FACTOR.max(1.0 + LOW_TRAFFIC_INCREASE * self.low_traffic_step())
         } else {
@@ -137,8 +137,8 @@
         DECREASE_FACTOR.min(1.0 - step)
     }
 
-    fn responses_wait(&self) -> bool {
-        self.observed_latency > WAITING_RATIO * self.baseline_latency
+    fn is_queueing(&self) -> bool {
+        self.observed_latency > QUEUEING_RATIO * self.baseline_latency
     }
 
     /// Whether one more attempt fits the limit.
@@ -148,11 +148,8 @@
     /// Where responses wait, no endpoint is idle, and every peak would be one attempt too many.
     pub fn has_capacity(&self) -> bool {
         let limit = self.limit();
-        let peaks = if self.responses_wait() {
-            0.0
-        } else {
-            PEAK_DEVIATIONS * self.low_traffic_factor * limit.sqrt()
-        };
+        let peaks =
+            if self.is_queueing() { 0.0 } else { PEAK_DEVIATIONS * self.low_traffic_factor * limit.sqrt() };
         f64::from(self.in_flight) + 1.0 <= (limit + peaks).max(1.0)
     }
 
--- a/crates/decision/src/endpoints/latency.rs
+++ b/crates/decision/src/endpoints/latency.rs
@@ -7,20 +7,20 @@
 use crate::ewma::ewma;
 
 /// Weight of one response in the average, where there is recent news.
-const RATIO_GAIN: f64 = 0.15;
+const MIN_RATIO_GAIN: f64 = 0.15;
 /// Weight of one response where all before is forgotten.
-const RATIO_GAIN_WHEN_FORGOTTEN: f64 = 0.5;
+const MAX_RATIO_GAIN: f64 = 0.5;
 /// Time constant with which the ratio returns to 1 without news, in latency objectives.
-const FORGET_OBJECTIVES: f64 = 8.0;
+const DECAY_OBJECTIVES: f64 = 8.0;
 /// Bounds of one sample.
 const MIN_RATIO: f64 = 0.1;
 const MAX_RATIO: f64 = 30.0;
 
 /// Whether a time is that of a response, or of an attempt that still waits for one.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Progress {
+pub enum AttemptStatus {
     Responded,
-    StillWaiting,
+    Pending,
 }
 
 /// Average of response times as a ratio of what is usual for their class.
@@ -31,7 +31,7 @@
 
 impl LatencyRatio {
     /// The ratio before any response.
-    pub fn usual() -> Self {
+    pub fn initial() -> Self {
         LatencyRatio { ratio: 1.0, updated_at: 0.0 }
     }
 
@@ -41,19 +41,19 @@
     }
 
     /// The average now, as far as it is not forgotten.
-    pub fn faded(&self, objective: f64, now: f64) -> f64 {
-        1.0 + (self.ratio - 1.0) * self.remembered(objective, now)
+    pub fn decayed(&self, objective_s: f64, now: f64) -> f64 {
+        1.0 + (self.ratio - 1.0) * self.decay_factor(objective_s, now)
     }
 
-    fn remembered(&self, objective: f64, now: f64) -> f64 {
-        (-(now - self.updated_at) / (FORGET_OBJECTIVES * objective)).exp()
+    fn decay_factor(&self, objective_s: f64, now: f64) -> f64 {
+        (-(now - self.updated_at) / (DECAY_OBJECTIVES * objective_s)).exp()
     }
 
     /// Takes in one ratio; `objective` is the fleet's latency objective in seconds.
-    pub fn record(&mut self, sample: f64, objective: f64, now: f64) {
-        let remembered = self.remembered(objective, now);
-        let gain = RATIO_GAIN.max(RATIO_GAIN_WHEN_FORGOTTEN * (1.0 - remembered));
-        let mean = 1.0 + (self.ratio - 1.0) * remembered;
+    pub fn record(&mut self, sample: f64, objective_s: f64, now: f64) {
+        let decay_factor = self.decay_factor(objective_s, now);
+        let gain = MIN_RATIO_GAIN.max(MAX_RATIO_GAIN * (1.0 - decay_factor));
+        let mean = 1.0 + (self.ratio - 1.0) * decay_factor;
         self.ratio = ewma(mean, sample.clamp(MIN_RATIO, MAX_RATIO), gain);
         self.updated_at = now;
     }
--- a/crates/decision/src/endpoints/mod.rs
+++ b/crates/decision/src/endpoints/mod.rs
@@ -15,8 +15,8 @@
 mod slow_start;
 mod subset;
 
-pub use concurrency_limit::Pace;
+pub use concurrency_limit::AttemptSample;
 pub use endpoint::Location;
 pub use endpoint_set::EndpointSet;
-pub use latency::Progress;
+pub use latency::AttemptStatus;
 pub use selection::{Constraints, DeduplicationBinding};
--- a/crates/decision/src/endpoints/outlier_detection.rs
+++ b/crates/decision/src/endpoints/outlier_detection.rs
@@ -4,7 +4,7 @@
 //! like many outliers, and ejecting them would move all load to the rest; therefore a share of the endpoints
 //! always stays. Held by `tests/decision/outlier_detection.rs`.
 
-use super::endpoint_set::{fleet_objective, EndpointSet};
+use super::endpoint_set::{fleet_objective_s, EndpointSet};
 use crate::context::Context;
 use crate::interface::EndpointId;
 
@@ -22,15 +22,20 @@
 /// What is held against one endpoint.
 pub struct OutlierState {
     consecutive_failures: u32,
-    ejections: u32,
+    consecutive_ejections: u32,
     ejected_until: f64,
-    last_success: f64,
+    last_success_at: f64,
 }
 
 impl OutlierState {
     /// The state of an endpoint that was not used yet.
     pub fn healthy() -> Self {
-        OutlierState { consecutive_failures: 0, ejections: 0, ejected_until: f64::MIN, last_success: 0.0 }
+        OutlierState {
+            consecutive_failures: 0,
+            consecutive_ejections: 0,
+            ejected_until: f64::MIN,
+            last_success_at: 0.0,
+        }
     }
 
     /// Whether it is ejected at a time.
@@ -55,19 +60,19 @@
 
     /// Records a good response: failures and ejections count from zero again.
     pub fn record_success(&mut self, now: f64) {
-        self.last_success = now;
+        self.last_success_at = now;
         self.consecutive_failures = 0;
-        self.ejections = 0;
+        self.consecutive_ejections = 0;
     }
 
     /// Counts a failure; true if it ejects the endpoint, where that is allowed.
-    fn record_failure(&mut self, may_eject: bool, objective: f64, now: f64) -> bool {
+    fn record_failure(&mut self, may_eject: bool, objective_s: f64, now: f64) -> bool {
         self.consecutive_failures += 1;
         let ejects = self.is_suspect() && !self.is_ejected(now) && may_eject;
         if ejects {
-            let doublings = 1u32 << self.ejections.min(MAX_EJECTION_DOUBLINGS);
-            self.ejected_until = now + FIRST_EJECTION_OBJECTIVES * objective * f64::from(doublings);
-            self.ejections += 1;
+            let doublings = 1u32 << self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
+            self.ejected_until = now + FIRST_EJECTION_OBJECTIVES * objective_s * f64::from(doublings);
+            self.consecutive_ejections += 1;
         }
         ejects
     }
@@ -89,22 +94,22 @@
 impl EndpointSet {
     /// Records a failure of an endpoint, which may eject it.
     pub fn record_failure(&mut self, Context { settings, now }: Context, id: &EndpointId) {
-        let objective = fleet_objective(settings);
+        let objective_s = fleet_objective_s(settings);
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let may_eject = self.ejection_budget.remaining >= 1.0;
-        if endpoint.outlier.record_failure(may_eject, objective, now) {
+        if endpoint.outlier.record_failure(may_eject, objective_s, now) {
             self.ejection_budget.remaining -= 1.0;
             self.fleet.on_ejection(endpoint.concurrency.limit());
         }
     }
 
     /// Whether an endpoint has given no good response since a time.
-    pub fn is_silent_since(&self, id: &EndpointId, since: f64) -> bool {
-        self.endpoints.get(id).is_some_and(|endpoint| endpoint.outlier.last_success < since)
+    pub fn has_no_success_since(&self, id: &EndpointId, since: f64) -> bool {
+        self.endpoints.get(id).is_some_and(|endpoint| endpoint.outlier.last_success_at < since)
     }
 
     /// Whether an attempt without a response is more likely lost than slow.
-    pub fn seems_lost(&self, id: &EndpointId, class: usize) -> bool {
+    pub fn is_likely_lost(&self, id: &EndpointId, class: usize) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| {
             let slow_attempts = endpoint.class_breaker.consecutive_slow_attempts(class);
             endpoint.outlier.consecutive_failures.max(slow_attempts) >= LOST_AFTER_FAILURES
--- a/crates/decision/src/endpoints/selection.rs
+++ b/crates/decision/src/endpoints/selection.rs
@@ -6,15 +6,15 @@
 //! `tests/decision/class_breaker.rs`.
 
 use super::endpoint::{Endpoint, Location};
-use super::endpoint_set::{fleet_objective, EndpointSet};
+use super::endpoint_set::{fleet_objective_s, EndpointSet};
 use super::subset::GOLDEN_RATIO_FRACTION;
 use crate::context::Context;
 use crate::interface::{DeduplicationScope, EndpointId};
 
 /// Factor on the score of an endpoint in another zone.
-const CROSS_ZONE_FACTOR: f64 = 1.1;
+const CROSS_ZONE_PENALTY: f64 = 1.1;
 /// Factor on the score of an endpoint that the request was sent to before.
-const TRIED_FACTOR: f64 = 10.0;
+const TRIED_PENALTY: f64 = 10.0;
 /// Largest random addition to a score, as a share of it: breaks ties.
 const JITTER: f64 = 0.05;
 
@@ -48,9 +48,9 @@
 
 /// The candidate with the lowest score so far; the first of equals.
 #[derive(Default)]
-struct Lowest<'a>(Option<(f64, &'a EndpointId)>);
+struct LowestScore<'a>(Option<(f64, &'a EndpointId)>);
 
-impl<'a> Lowest<'a> {
+impl<'a> LowestScore<'a> {
     fn offer(&mut self, score: f64, id: &'a EndpointId) {
         if self.0.is_none_or(|(lowest, _)| score < lowest) {
             self.0 = Some((score, id));
@@ -65,11 +65,11 @@
     considered: f64,
     /// Those of them that do not reject the class.
     accepting: u32,
-    best: Lowest<'a>,
+    best: LowestScore<'a>,
     /// Best of those that reject the class.
-    rejecting: Lowest<'a>,
+    rejecting: LowestScore<'a>,
     /// Ejected, idle, and the first to return.
-    ejected: Lowest<'a>,
+    ejected: LowestScore<'a>,
 }
 
 impl<'a> Candidates<'a> {
@@ -84,7 +84,7 @@
 struct Scoring<'a> {
     context: Context<'a>,
     /// The fleet's latency objective in seconds.
-    objective: f64,
+    objective_s: f64,
     /// Index of the request's class.
     class: usize,
 }
@@ -93,14 +93,14 @@
     /// How little an endpoint is wanted: its expected latency under the load that it would have, times
     /// factors for its zone and for what went badly there.
     fn score(&self, endpoint: &Endpoint, slow_start_factor: f64, is_tried: bool, tie_break: f64) -> f64 {
-        let &Scoring { context: Context { settings, now }, objective, class } = self;
+        let &Scoring { context: Context { settings, now }, objective_s, class } = self;
         let capacity = slow_start_factor * endpoint.weight;
-        let load = endpoint.latency.faded(objective, now) * f64::from(endpoint.in_flight + 1) / capacity;
-        let zone = if *endpoint.location.zone == *settings.zone { 1.0 } else { CROSS_ZONE_FACTOR };
-        let slow_attempts = endpoint.class_breaker.slow_attempt_penalty(class, objective, now);
-        let rejections = endpoint.class_breaker.rejection_penalty(class, objective, now);
+        let load = endpoint.latency.decayed(objective_s, now) * f64::from(endpoint.in_flight + 1) / capacity;
+        let zone = if *endpoint.location.zone == *settings.zone { 1.0 } else { CROSS_ZONE_PENALTY };
+        let slow_attempts = endpoint.class_breaker.slow_attempt_penalty(class, objective_s, now);
+        let rejections = endpoint.class_breaker.rejection_penalty(class, objective_s, now);
         let failures = f64::from(1 + endpoint.outlier.consecutive_failures());
-        let tried = if is_tried { TRIED_FACTOR } else { 1.0 };
+        let tried = if is_tried { TRIED_PENALTY } else { 1.0 };
         let jitter = 1.0 + JITTER * tie_break;
         load * zone * slow_attempts * rejections * (failures * tried) * jitter
     }
@@ -111,8 +111,8 @@
     /// 1, breaks ties.
     pub fn select(&self, context: Context, constraints: &Constraints, draw: f64) -> Option<EndpointId> {
         let Context { settings, now } = context;
-        let objective = fleet_objective(settings);
-        let scoring = Scoring { context, objective, class: constraints.class };
+        let objective_s = fleet_objective_s(settings);
+        let scoring = Scoring { context, objective_s, class: constraints.class };
         let fleet_has_capacity = self.fleet.has_capacity();
         let class_limit_factor = self.class_limit_factor(constraints.class);
         let mut candidates = Candidates::default();
@@ -130,7 +130,7 @@
                 break;
             }
             candidates.considered += 1.0;
-            let rejects = endpoint.class_breaker.is_open(constraints.class, objective, now);
+            let rejects = endpoint.class_breaker.is_open(constraints.class, objective_s, now);
             candidates.accepting += u32::from(!rejects);
             let slow_start_factor = endpoint.slow_start_factor(settings, now);
             let limit = endpoint.effective_limit(slow_start_factor, class_limit_factor);
@@ -142,8 +142,8 @@
             let tie_break = (draw + GOLDEN_RATIO_FRACTION * candidates.considered).fract();
             let is_tried = constraints.tried.contains(&id);
             let score = scoring.score(endpoint, slow_start_factor, is_tried, tie_break);
-            let place = if rejects { &mut candidates.rejecting } else { &mut candidates.best };
-            place.offer(score, id);
+            let lowest = if rejects { &mut candidates.rejecting } else { &mut candidates.best };
+            lowest.offer(score, id);
         }
         candidates.selected().cloned()
     }
@@ -168,7 +168,7 @@
     /// attempt holds only as long as the fleet's limit does.
     fn has_capacity(&self, limit: f64, fleet_has_capacity: bool) -> bool {
         let is_full = f64::from(self.in_flight) + 1.0 > limit.max(1.0);
-        let is_held_back = limit < 1.0 && !fleet_has_capacity;
-        !is_full && !is_held_back
+        let is_fleet_limited = limit < 1.0 && !fleet_has_capacity;
+        !is_full && !is_fleet_limited
     }
 }
--- a/crates/decision/src/endpoints/slow_start.rs
+++ b/crates/decision/src/endpoints/slow_start.rs
@@ -42,9 +42,10 @@
     /// Attempts in an overload window that an endpoint may get from this limiter.
     fn window_attempts(&self, settings: &Settings, weight: f64, factor: f64, instances: f64) -> f64 {
         let responses = self.warm_responses.len() as f64;
-        let like_warm =
+        let proportional_attempts =
             if self.warm_weight > 0.0 { responses / self.warm_weight * weight * factor } else { 0.0 };
-        (like_warm * settings.overload_multiple * BUDGET_USE_RATIO).max(MIN_WINDOW_ATTEMPTS / instances)
+        (proportional_attempts * settings.overload_multiple * BUDGET_USE_RATIO)
+            .max(MIN_WINDOW_ATTEMPTS / instances)
     }
 }
 
@@ -94,15 +95,15 @@
         }
         let instances = self.subset.instances_per_endpoint();
         let budget = self.slow_start.window_attempts(settings, endpoint.weight, factor, instances);
-        let window = settings.overload_window_s.max(settings.tick_interval_s);
-        let recent = endpoint.slow_start_sends.iter().filter(|sent| now - **sent <= window).count() as f64;
-        if recent + 1.0 <= budget * ((now - self.slow_start.started_at) / window).min(1.0) {
+        let window_s = settings.overload_window_s.max(settings.tick_interval_s);
+        let recent = endpoint.slow_start_sends.iter().filter(|sent| now - **sent <= window_s).count() as f64;
+        if recent + 1.0 <= budget * ((now - self.slow_start.started_at) / window_s).min(1.0) {
             return true;
         }
         let seed = fnv1a(id) ^ u64::from(settings.instance_index) << 32;
         let phase = fastrand::Rng::with_seed(seed).f64();
-        let turn = (now / window + phase).floor();
-        let has_started = (turn - phase) * window >= endpoint.listed_at;
-        recent < 1.0 && has_started && fastrand::Rng::with_seed(seed ^ turn as u64).f64() < budget
+        let window_index = (now / window_s + phase).floor();
+        let has_started = (window_index - phase) * window_s >= endpoint.listed_at;
+        recent < 1.0 && has_started && fastrand::Rng::with_seed(seed ^ window_index as u64).f64() < budget
     }
 }
--- a/crates/decision/src/requests/admission.rs
+++ b/crates/decision/src/requests/admission.rs
@@ -58,7 +58,7 @@
             return None;
         }
         let Some(endpoint) = self.find_endpoint(context, request, class, has_capacity) else {
-            self.reject(context, request.id, self.service_times.mean(), actions);
+            self.reject(context, request.id, self.service_times.overall_mean_s(), actions);
             return None;
         };
         self.quota.draw(customer, units);
@@ -92,7 +92,7 @@
         has_capacity: bool,
     ) -> Option<EndpointId> {
         let draw = self.rng.f64();
-        let is_shed = self.sheds(context.settings, class);
+        let is_shed = self.should_shed(context.settings, class);
         if is_shed || !has_capacity || self.quota.is_at_concurrency_limit(context.settings, &request.customer)
         {
             return None;
--- a/crates/decision/src/requests/attempt.rs
+++ b/crates/decision/src/requests/attempt.rs
@@ -13,7 +13,7 @@
     /// Its end was not reported yet.
     pub is_in_flight: bool,
     /// It holds a place in its endpoint's concurrency limit.
-    pub holds_place: bool,
+    pub holds_slot: bool,
     /// It may have run; an outcome may prove that it did not.
     pub may_have_run: bool,
 }
@@ -36,7 +36,7 @@
             location,
             sent_at: now,
             is_in_flight: true,
-            holds_place: true,
+            holds_slot: true,
             may_have_run: true,
         });
         self.quota.on_attempt_started(&request.customer);
@@ -46,12 +46,12 @@
 
     /// Frees an attempt's place in its endpoint's concurrency limit, once: at its end, or when it takes so
     /// long that it may be lost or hang.
-    pub(super) fn release_place(&mut self, id: RequestId, attempt: u32) {
+    pub(super) fn release_slot(&mut self, id: RequestId, attempt: u32) {
         let request = self.in_flight.get_mut(&id);
         let Some(attempt) = request.and_then(|request| request.attempts.get_mut(attempt as usize)) else {
             return;
         };
-        if std::mem::take(&mut attempt.holds_place) {
+        if std::mem::take(&mut attempt.holds_slot) {
             self.endpoints.release_attempt(&attempt.endpoint);
         }
     }
--- a/crates/decision/src/requests/completion.rs
+++ b/crates/decision/src/requests/completion.rs
@@ -10,10 +10,16 @@
 
 impl Requests {
     /// Rejects a request; `wait` is after how many seconds a retry is worth it.
-    pub(super) fn reject(&mut self, context: Context, id: RequestId, wait: f64, actions: &mut Vec<Action>) {
+    pub(super) fn reject(
+        &mut self,
+        context: Context,
+        id: RequestId,
+        retry_after_s: f64,
+        actions: &mut Vec<Action>,
+    ) {
         let settings = context.settings;
         let retry_after_s = if settings.may_send_retry_after {
-            wait.clamp(0.0, settings.max_retry_after_s.max(0.0))
+            retry_after_s.clamp(0.0, settings.max_retry_after_s.max(0.0))
         } else {
             0.0
         };
@@ -22,7 +28,12 @@
     }
 
     /// Answers a request that has no attempt left: rejected if that promise may be given, else failed.
-    pub(super) fn exhaust_attempts(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn finish_without_response(
+        &mut self,
+        context: Context,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.in_flight.get(&id).filter(|request| !request.is_answered) else { return };
         if request.may_be_rejected(context.settings) {
             return self.reject(context, id, 0.0, actions);
@@ -56,8 +67,8 @@
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         if request.awaits_answer() && settings.may_cancel {
             let attempts = request.attempts.iter().enumerate();
-            for (number, _) in attempts.filter(|(_, attempt)| attempt.is_in_flight) {
-                actions.push(Action::Cancel { id, attempt: number as u32 });
+            for (index, _) in attempts.filter(|(_, attempt)| attempt.is_in_flight) {
+                actions.push(Action::Cancel { id, attempt: index as u32 });
             }
         }
         request.is_answered = true;
--- a/crates/decision/src/requests/idempotency.rs
+++ b/crates/decision/src/requests/idempotency.rs
@@ -16,11 +16,11 @@
 /// Share of the deduplication window in which a request may be retried; the rest is for clocks that differ.
 const USABLE_WINDOW_RATIO: f64 = 0.9;
 /// Ticks before the end of the window by which an attempt must be decided, so that it is written in time.
-const SEND_TICKS: f64 = 2.0;
+const SEND_MARGIN_TICKS: f64 = 2.0;
 
 impl InFlightRequest {
     /// The first attempt by which endpoints may remember the request's idempotency key.
-    fn deduplicated_attempt(&self, class: &Class) -> Option<&Attempt> {
+    fn first_deduplicated_attempt(&self, class: &Class) -> Option<&Attempt> {
         let has_key = class.idempotency == Idempotency::IdempotencyKey;
         self.attempts.iter().find(|attempt| attempt.may_have_run && has_key)
     }
@@ -28,7 +28,7 @@
     /// What it asks of its next endpoint.
     pub fn constraints(&self, settings: &Settings) -> Constraints<'_> {
         let class = &settings.classes[self.class];
-        let binding = self.deduplicated_attempt(class).map(|attempt| DeduplicationBinding {
+        let binding = self.first_deduplicated_attempt(class).map(|attempt| DeduplicationBinding {
             scope: class.deduplication_scope,
             location: &attempt.location,
         });
@@ -42,9 +42,9 @@
     /// Time by which a further attempt must be written: while endpoints remember the key of the first one.
     pub fn send_deadline(&self, settings: &Settings) -> f64 {
         let class = &settings.classes[self.class];
-        self.deduplicated_attempt(class).map_or(f64::INFINITY, |attempt| {
+        self.first_deduplicated_attempt(class).map_or(f64::INFINITY, |attempt| {
             attempt.sent_at + class.deduplication_window_s * USABLE_WINDOW_RATIO
-                - settings.tick_interval_s * SEND_TICKS
+                - settings.tick_interval_s * SEND_MARGIN_TICKS
         })
     }
 
--- a/crates/decision/src/requests/load_shedding.rs
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -12,7 +12,7 @@
 
 impl Requests {
     /// Whether a request of a class is shed.
-    pub(super) fn sheds(&mut self, settings: &Settings, class: usize) -> bool {
+    pub(super) fn should_shed(&mut self, settings: &Settings, class: usize) -> bool {
         let saturation = self.endpoints.update_saturation();
         let best =
             (0..settings.classes.len()).map(|class| self.value_density(settings, class)).fold(0.0, f64::max);
@@ -22,6 +22,6 @@
 
     /// Priority per second of service time.
     fn value_density(&self, settings: &Settings, class: usize) -> f64 {
-        settings.classes[class].priority_weight / self.service_times.of_class(class).max(1e-6)
+        settings.classes[class].priority_weight / self.service_times.per_unit_s(class).max(1e-6)
     }
 }
--- a/crates/decision/src/requests/retry.rs
+++ b/crates/decision/src/requests/retry.rs
@@ -13,7 +13,7 @@
     pub(super) fn may_retry(&self, context: Context, request: &InFlightRequest) -> bool {
         let Context { settings, now } = context;
         let has_attempts_left = (request.attempts.len() as u32) < settings.max_attempts;
-        let has_time_left = request.deadline - now > self.service_times.of_class(request.class);
+        let has_time_left = request.deadline - now > self.service_times.per_unit_s(request.class);
         self.retry_budget.allows_retry()
             && request.awaits_answer()
             && has_attempts_left
--- a/crates/decision/src/requests/retry_budget.rs
+++ b/crates/decision/src/requests/retry_budget.rs
@@ -5,9 +5,9 @@
 //! requests fail that a retry would have served. Held by `tests/decision/retry.rs`.
 
 /// Retries earned by each request.
-const EARNED_BY_REQUEST: f64 = 0.1;
+const EARNED_PER_REQUEST: f64 = 0.1;
 /// Retries earned back by one that is answered within the latency objective.
-const EARNED_BY_SUCCESS: f64 = 0.8;
+const EARNED_PER_SUCCESSFUL_RETRY: f64 = 0.8;
 /// Most retries that are saved.
 const MAX_BALANCE: f64 = 10.0;
 
@@ -24,12 +24,12 @@
 
     /// Earns the part of a request.
     pub fn on_request(&mut self) {
-        self.balance = (self.balance + EARNED_BY_REQUEST).min(MAX_BALANCE);
+        self.balance = (self.balance + EARNED_PER_REQUEST).min(MAX_BALANCE);
     }
 
     /// Earns back a part of a retry that was answered in time.
     pub fn on_retry_success(&mut self) {
-        self.balance = (self.balance + EARNED_BY_SUCCESS).min(MAX_BALANCE);
+        self.balance = (self.balance + EARNED_PER_SUCCESSFUL_RETRY).min(MAX_BALANCE);
     }
 
     /// Whether a whole retry is left.
--- a/crates/decision/src/requests/service_times.rs
+++ b/crates/decision/src/requests/service_times.rs
@@ -15,30 +15,30 @@
 
 /// The means, by class.
 pub struct ServiceTimes {
-    means: Vec<f64>,
+    means_s: Vec<f64>,
 }
 
 impl ServiceTimes {
     /// The means before any response.
     pub fn new(settings: &Settings) -> Self {
-        let initial = |objective: f64| objective * INITIAL_MEAN_OBJECTIVES;
+        let initial = |objective_s: f64| objective_s * INITIAL_MEAN_OBJECTIVES;
         ServiceTimes {
-            means: settings.classes.iter().map(|class| initial(class.latency_objective_s)).collect(),
+            means_s: settings.classes.iter().map(|class| initial(class.latency_objective_s)).collect(),
         }
     }
 
     /// Seconds per unit of a class.
-    pub fn of_class(&self, class: usize) -> f64 {
-        self.means[class]
+    pub fn per_unit_s(&self, class: usize) -> f64 {
+        self.means_s[class]
     }
 
     /// Takes in one response.
-    pub fn record(&mut self, class: usize, seconds_per_unit: f64) {
-        self.means[class] = ewma(self.means[class], seconds_per_unit, GAIN);
+    pub fn record(&mut self, class: usize, per_unit_s: f64) {
+        self.means_s[class] = ewma(self.means_s[class], per_unit_s, GAIN);
     }
 
     /// The mean of all classes: after this time a place that is taken now is most likely free.
-    pub fn mean(&self) -> f64 {
-        self.means.iter().sum::<f64>() / self.means.len().max(1) as f64
+    pub fn overall_mean_s(&self) -> f64 {
+        self.means_s.iter().sum::<f64>() / self.means_s.len().max(1) as f64
     }
 }
--- a/crates/decision/src/requests/slow_attempt.rs
+++ b/crates/decision/src/requests/slow_attempt.rs
@@ -11,7 +11,7 @@
 use super::service_times::ServiceTimes;
 use super::Requests;
 use crate::context::Context;
-use crate::endpoints::Progress;
+use crate::endpoints::AttemptStatus;
 use crate::interface::{Action, EndpointId, RequestId};
 use crate::timer::Timer;
 
@@ -21,16 +21,16 @@
 const MIN_SLOW_OBJECTIVES: f64 = 0.5;
 const MAX_SLOW_OBJECTIVES: f64 = 0.8;
 /// Seconds after a pause of this process until attempts are looked at again.
-const RECHECK_AFTER_PAUSE_SECONDS: f64 = 0.05;
+const RECHECK_AFTER_PAUSE_S: f64 = 0.05;
 
 /// An attempt that takes long.
 struct SlowAttempt {
     endpoint: EndpointId,
     class: usize,
-    number: u32,
+    attempt_index: u32,
     sent_at: f64,
     /// Usual seconds for a request of its units.
-    usual: f64,
+    expected_s: f64,
 }
 
 impl Requests {
@@ -42,11 +42,13 @@
         request: &InFlightRequest,
         service_times: &ServiceTimes,
     ) -> Option<Action> {
-        let objective = settings.classes[request.class].latency_objective_s;
-        let wait = SLOW_AFTER_SERVICE_TIMES * service_times.of_class(request.class) * request.units.max(1.0);
-        let wait = wait.clamp(MIN_SLOW_OBJECTIVES * objective, MAX_SLOW_OBJECTIVES * objective);
-        let is_in_time = now + wait < request.deadline;
-        is_in_time.then(|| Action::SetTimer { expires_at: now + wait, token: Timer::SlowAttempt(id).token() })
+        let objective_s = settings.classes[request.class].latency_objective_s;
+        let wait_s =
+            SLOW_AFTER_SERVICE_TIMES * service_times.per_unit_s(request.class) * request.units.max(1.0);
+        let wait_s = wait_s.clamp(MIN_SLOW_OBJECTIVES * objective_s, MAX_SLOW_OBJECTIVES * objective_s);
+        let is_in_time = now + wait_s < request.deadline;
+        is_in_time
+            .then(|| Action::SetTimer { expires_at: now + wait_s, token: Timer::SlowAttempt(id).token() })
     }
 
     /// The latest attempt of a request, if it still waits for a response.
@@ -56,9 +58,9 @@
         Some(SlowAttempt {
             endpoint: attempt.endpoint.clone(),
             class: request.class,
-            number: request.attempts.len() as u32 - 1,
+            attempt_index: request.attempts.len() as u32 - 1,
             sent_at: attempt.sent_at,
-            usual: self.service_times.of_class(request.class) * request.units.max(1.0),
+            expected_s: self.service_times.per_unit_s(request.class) * request.units.max(1.0),
         })
     }
 
@@ -67,48 +69,49 @@
         &mut self,
         context: Context,
         id: RequestId,
-        last_pause: f64,
+        last_pause_ended_at: f64,
         actions: &mut Vec<Action>,
     ) {
         let Context { settings, now } = context;
         let Some(slow) = self.slow_attempt(id) else { return };
-        let objective = settings.classes[slow.class].latency_objective_s;
+        let objective_s = settings.classes[slow.class].latency_objective_s;
         let elapsed_s = now - slow.sent_at;
-        if elapsed_s < MIN_SLOW_OBJECTIVES * objective {
+        if elapsed_s < MIN_SLOW_OBJECTIVES * objective_s {
             return;
         }
-        if elapsed_s >= objective {
-            return self.release_place(id, slow.number);
+        if elapsed_s >= objective_s {
+            return self.release_slot(id, slow.attempt_index);
         }
-        let is_own_pause = now <= last_pause + settings.tick_interval_s && slow.sent_at < last_pause;
-        let expires_at = if is_own_pause {
-            now + RECHECK_AFTER_PAUSE_SECONDS
+        let is_affected_by_pause =
+            now <= last_pause_ended_at + settings.tick_interval_s && slow.sent_at < last_pause_ended_at;
+        let expires_at = if is_affected_by_pause {
+            now + RECHECK_AFTER_PAUSE_S
         } else {
-            slow.sent_at + objective + settings.tick_interval_s
+            slow.sent_at + objective_s + settings.tick_interval_s
         };
         actions.push(Action::SetTimer { expires_at, token: Timer::SlowAttempt(id).token() });
-        if !is_own_pause {
+        if !is_affected_by_pause {
             self.record_slow_attempt(context, &slow, elapsed_s);
-            if self.is_cancelled_for_retry(context, id, &slow) {
+            if self.should_cancel_for_retry(context, id, &slow) {
                 // One attempt at a time: the end of this one brings the next.
-                actions.push(Action::Cancel { id, attempt: slow.number });
+                actions.push(Action::Cancel { id, attempt: slow.attempt_index });
             }
         }
     }
 
     fn record_slow_attempt(&mut self, context: Context, slow: &SlowAttempt, elapsed_s: f64) {
-        if self.endpoints.is_silent_since(&slow.endpoint, context.now - elapsed_s) {
+        if self.endpoints.has_no_success_since(&slow.endpoint, context.now - elapsed_s) {
             self.endpoints.record_failure(context, &slow.endpoint);
         }
-        let latency_ratio = elapsed_s / slow.usual.max(1e-6);
-        let progress = Progress::StillWaiting;
-        self.endpoints.record_latency(context, &slow.endpoint, slow.class, latency_ratio, progress);
+        let latency_ratio = elapsed_s / slow.expected_s.max(1e-6);
+        let status = AttemptStatus::Pending;
+        self.endpoints.record_latency(context, &slow.endpoint, slow.class, latency_ratio, status);
     }
 
     /// Whether a retry is allowed and the attempt is more likely lost than slow: the work of a slow one would
     /// be wasted.
-    fn is_cancelled_for_retry(&self, context: Context, id: RequestId, slow: &SlowAttempt) -> bool {
+    fn should_cancel_for_retry(&self, context: Context, id: RequestId, slow: &SlowAttempt) -> bool {
         let may_retry = self.in_flight.get(&id).is_some_and(|request| self.may_retry(context, request));
-        may_retry && self.endpoints.seems_lost(&slow.endpoint, slow.class) && context.settings.may_cancel
+        may_retry && self.endpoints.is_likely_lost(&slow.endpoint, slow.class) && context.settings.may_cancel
     }
 }
