--- a/crates/decision/src/endpoints/class_breaker.rs
+++ b/crates/decision/src/endpoints/class_breaker.rs
@@ -1,30 +1,30 @@
 //! Circuit breaker per endpoint and class: an endpoint may fail one class and serve the others.
 //!
-//! The first rejection of a class says that the endpoint is full, as far as anyone can tell. A second one
-//! with no good response of that class between opens the breaker for the class and says nothing of the
-//! others. Meanwhile the limits of the other endpoints widen for the class. What it can get wrong: an
-//! endpoint that is full twice in a row is avoided for a while; a class that all endpoints reject still gets
-//! some attempts through. Held by `tests/decision/class_breaker.rs`.
+//! The first rejection of a class is taken as a sign that the endpoint is overloaded. A second consecutive
+//! one, without a successful response of that class in between, opens the breaker for this class only. While
+//! it is open, the limits of the other endpoints are raised for the class. What it can get wrong: an endpoint
+//! that was only overloaded, but rejected twice in a row, is avoided until the breaker closes; a class that
+//! all endpoints reject still gets some attempts through. Held by `tests/decision/class_breaker.rs`.
 
 use super::endpoint_set::{fleet_objective_s, EndpointSet};
 use super::latency::AttemptStatus;
 use crate::context::Context;
 use crate::interface::EndpointId;
 
-/// Rejections in a row that open the breaker.
+/// Consecutive rejections that open the breaker.
 const OPEN_AFTER_REJECTIONS: u32 = 2;
-/// Time for which it stays open, in latency objectives.
+/// Time for which the breaker stays open after the latest rejection, in latency objectives.
 const OPEN_OBJECTIVES: f64 = 4.0;
-/// Most by which the limits of the other endpoints widen meanwhile.
+/// Upper bound of the factor on the limits of the other endpoints while a breaker is open.
 const MAX_LIMIT_FACTOR: f64 = 2.0;
-/// Weight of each slow or rejected attempt of a class against its endpoint, and for how many latency
-/// objectives each.
+/// Penalty added to the endpoint's score factor for each slow or rejected attempt of a class.
 const PENALTY: f64 = 4.0;
+/// Time constant with which a penalty decays, in latency objectives for each attempt of the streak.
 const PENALTY_OBJECTIVES: f64 = 8.0;
-/// Latency ratio by which an endpoint counts that rejects: its fast rejections would make it look idle.
+/// Latency ratio recorded for a rejection: its actual, short latency would make the endpoint look idle.
 const REJECTION_LATENCY_RATIO: f64 = 10.0;
 
-/// Attempts of a class that went badly since its last good response.
+/// Consecutive slow or rejected attempts of a class.
 #[derive(Clone, Copy)]
 struct Streak {
     count: u32,
@@ -36,7 +36,7 @@
         Streak { count: 0, latest_at: now }
     }
 
-    /// Factor on the endpoint's score; fades with time.
+    /// Factor on the endpoint's score; decays to 1 with time.
     fn penalty(&self, objective_s: f64, now: f64) -> f64 {
         if self.count == 0 {
             return 1.0;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Per class, what went badly at one endpoint.
+/// The streaks of slow and rejected attempts at one endpoint, per class.
 #[derive(Default)]
 pub struct ClassBreaker {
     slow_attempts: Vec<Streak>,
@@ -55,7 +55,7 @@
 }
 
 impl ClassBreaker {
-    /// Whether the endpoint rejects a class now, again and again.
+    /// Whether the breaker is open for a class after consecutive recent rejections.
     pub fn is_open(&self, class: usize, objective_s: f64, now: f64) -> bool {
         self.rejections.get(class).is_some_and(|rejections| {
             rejections.count >= OPEN_AFTER_REJECTIONS
@@ -73,7 +73,7 @@
         self.rejections.get(class).map_or(1.0, |rejections| rejections.penalty(objective_s, now))
     }
 
-    /// Slow attempts of a class since its last response.
+    /// Number of consecutive slow attempts of a class.
     pub fn consecutive_slow_attempts(&self, class: usize) -> u32 {
         self.slow_attempts.get(class).map_or(0, |slow| slow.count)
     }
@@ -82,7 +82,7 @@
         self.rejections.get(class).map_or(0, |rejections| rejections.count)
     }
 
-    /// Records a response, which ends both streaks of its class, or a slow attempt.
+    /// Records a response, which resets both streaks of its class, or a slow attempt, which extends one.
     pub fn record(&mut self, class: usize, class_count: usize, status: AttemptStatus, now: f64) {
         self.slow_attempts.resize(class_count, Streak::none(now));
         self.rejections.resize(class_count, Streak::none(now));
@@ -97,7 +97,8 @@
 }
 
 impl EndpointSet {
-    /// Records that an endpoint rejected an attempt as overloaded; true for the first time in a row.
+    /// Records that an endpoint rejected an attempt as overloaded. Returns whether this is the first
+    /// rejection of a streak.
     pub fn record_rejection(&mut self, context: Context, id: &EndpointId, class: usize) -> bool {
         let endpoint = self.endpoints.get(id);
         let previous_rejections =
@@ -113,7 +114,8 @@
         previous_rejections == 0
     }
 
-    /// Computes for each class by how much the limits of the endpoints widen that do not reject it.
+    /// Recomputes the limit factor of each class: endpoints in service divided by those that accept the
+    /// class.
     pub(super) fn refresh_class_limit_factors(
         &mut self,
         Context { settings, now }: Context,
@@ -130,7 +132,7 @@
             .collect();
     }
 
-    /// By how much the endpoints' limits widen for a class.
+    /// Factor on the endpoints' limits for a class.
     pub(super) fn class_limit_factor(&self, class: usize) -> f64 {
         self.class_limit_factors.get(class).copied().unwrap_or(1.0)
     }
--- a/crates/decision/src/endpoints/concurrency_limit.rs
+++ b/crates/decision/src/endpoints/concurrency_limit.rs
@@ -1,38 +1,38 @@
-//! The limit of attempts in flight at one endpoint from this limiter: additive increase, multiplicative
+//! The limit of this limiter's attempts in flight at one endpoint: additive increase, multiplicative
 //! decrease.
 //!
-//! The limit grows while responses come as fast as the work allows and the limit is used, and shrinks by a
-//! factor when attempts fail or responses wait. What it can get wrong: a burst of late responses to one queue
-//! is one event; therefore it shrinks once in half a latency objective. Held by
+//! The limit grows while latency is near its baseline and the limit is in use, and shrinks by a factor when
+//! attempts fail or responses are queued. What it can get wrong: one overload event causes many late
+//! responses; therefore the limit shrinks at most once in half a latency objective. Held by
 //! `tests/decision/concurrency_limit.rs`.
 
-/// Attempts from all limiters together that an endpoint gets at first.
+/// Initial limit of one endpoint, over all limiters.
 const INITIAL_ATTEMPTS: f64 = 4.0;
-/// Attempts from all limiters together that an endpoint gets at least. A share below one attempt stands for
-/// one attempt in so many response times.
+/// Least limit of one endpoint, over all limiters. A limiter's share of 1/k attempts permits one attempt in k
+/// response times.
 pub const MIN_ATTEMPTS: f64 = 4.0;
-/// Most attempts from one limiter.
+/// Largest limit of one endpoint at one limiter.
 const MAX_ATTEMPTS: f64 = 64.0;
 /// Latency ratio below which the limit grows.
 const INCREASE_BELOW_RATIO: f64 = 1.1;
-/// Latency ratio above which it shrinks.
+/// Latency ratio above which the limit shrinks.
 pub const DECREASE_ABOVE_RATIO: f64 = 2.8;
-/// Factor by which it shrinks.
+/// Factor by which the limit shrinks.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Growth with each response, divided by the limit: this much in one round of responses.
+/// Growth of the limit in one round of responses; each response adds this divided by the limit.
 const INCREASE: f64 = 0.3;
-/// Least limit that the growth is divided by.
+/// Lower bound of that divisor.
 const MIN_INCREASE_DIVISOR: f64 = 4.0;
-/// Free places from which on a limit counts as not used.
+/// A limit with this many or more free slots counts as unused and does not grow.
 const UNUSED_HEADROOM: u32 = 2;
 
-/// How an attempt went, as far as limits depend on it.
+/// Latency and result of an attempt, from which limits are adjusted.
 pub struct AttemptSample {
     /// Seconds from sending to the end.
     pub elapsed_s: f64,
     /// The latency objective of its class, in seconds.
     pub latency_objective_s: f64,
-    /// It got no response in time, or the endpoint rejected it as overloaded.
+    /// The attempt timed out, or the endpoint rejected it as overloaded.
     pub failed: bool,
 }
 
@@ -43,18 +43,18 @@
 }
 
 impl ConcurrencyLimit {
-    /// This limiter's even part of what an endpoint gets at first.
+    /// The initial limit: an even share of what all limiters together may send at first.
     pub fn new(instance_count: u32) -> Self {
         ConcurrencyLimit { limit: INITIAL_ATTEMPTS / f64::from(instance_count.max(1)), decreased_at: 0.0 }
     }
 
-    /// Attempts that may be in flight; below 1, one attempt in so many response times.
+    /// Attempts that may be in flight. A limit of 1/k permits one attempt in k response times.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Adjusts the limit by an attempt that ended, with `in_flight` attempts left and the latency at this
-    /// endpoint as a ratio of what is usual.
+    /// Adjusts the limit after an attempt ended. `in_flight` attempts remain, and `latency_ratio` is the
+    /// endpoint's latency divided by the expected one.
     pub fn adjust(
         &mut self,
         instance_count: u32,
--- a/crates/decision/src/endpoints/endpoint.rs
+++ b/crates/decision/src/endpoints/endpoint.rs
@@ -1,4 +1,4 @@
-//! What this limiter knows of one endpoint.
+//! The state that this limiter keeps for one endpoint.
 
 use super::class_breaker::ClassBreaker;
 use super::concurrency_limit::ConcurrencyLimit;
@@ -7,35 +7,35 @@
 use crate::interface::{EndpointEntry, EndpointState};
 use std::sync::Arc;
 
-/// The zone and cell of an endpoint, which bound where a request with an idempotency key may be retried.
+/// The zone and cell of an endpoint; a deduplication scope restricts retries to one of them.
 #[derive(Clone)]
 pub struct Location {
     pub zone: Arc<str>,
     pub cell: i64,
 }
 
-/// One endpoint, as its attempts from here show it.
+/// An endpoint: its entry in the endpoint list, and the state derived from the attempts sent to it.
 pub struct Endpoint {
     pub location: Location,
     /// Capacity relative to other endpoints.
     pub weight: f64,
     pub state: EndpointState,
-    /// Its latest start, if that is recent.
+    /// Time of its latest start; `None` if that is too long ago to matter.
     pub started_at: Option<f64>,
-    /// When the list first named it, or named it as restarted.
+    /// When the endpoint list first contained it, or first reported its latest restart.
     pub listed_at: f64,
-    /// Attempts in flight from here.
+    /// Attempts of this limiter that are in flight at this endpoint.
     pub in_flight: u32,
     pub concurrency: ConcurrencyLimit,
     pub latency: LatencyRatio,
     pub outlier: OutlierState,
     pub class_breaker: ClassBreaker,
-    /// Times of the attempts sent within the last overload window, while in slow start.
+    /// Send times of the attempts within the last overload window, recorded only during slow start.
     pub slow_start_sends: Vec<f64>,
 }
 
 impl Endpoint {
-    /// An endpoint of which only its entry in the list is known; its state is not taken from it yet.
+    /// A new endpoint without attempts. The caller sets state and weight from the entry.
     pub fn new(entry: &EndpointEntry, instance_count: u32, now: f64) -> Self {
         Endpoint {
             location: Location { zone: entry.zone.clone(), cell: entry.cell },
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether the list has it in service.
+    /// Whether the endpoint list reports it as in service.
     pub fn is_in_service(&self) -> bool {
         self.state == EndpointState::InService
     }
 
-    /// Whether it may get attempts: in service, and not ejected.
+    /// Whether it is in service and not ejected.
     pub fn is_serving(&self, now: f64) -> bool {
         self.is_in_service() && !self.outlier.is_ejected(now)
     }
--- a/crates/decision/src/endpoints/endpoint_set.rs
+++ b/crates/decision/src/endpoints/endpoint_set.rs
@@ -1,7 +1,7 @@
-//! All endpoints: applies endpoint lists and records how attempts went.
+//! All known endpoints: applies endpoint lists and records the outcomes of attempts.
 //!
-//! What it can get wrong: a list that names an endpoint as started anew although only its start time was
-//! corrected. Therefore attempts in flight and recent sends of slow start are kept over it. Held by
+//! What it can get wrong: a changed start time counts as a restart, although the list may only have corrected
+//! it. Therefore attempts in flight and the recent sends of slow start survive a restart. Held by
 //! `tests/decision/endpoint_list.rs` and `tests/decision/slow_start.rs`.
 
 use super::concurrency_limit::AttemptSample;
@@ -15,28 +15,28 @@
 use crate::interface::{EndpointEntry, EndpointId, EndpointState, Settings};
 use std::collections::{BTreeMap, HashSet};
 
-/// Longest latency objective that times of the whole fleet are measured by, in seconds.
+/// Upper bound of the fleet's latency objective, in seconds.
 const MAX_FLEET_OBJECTIVE_S: f64 = 10.0;
 
-/// The endpoints and what is known of all of them together.
+/// The endpoints, and the limits and budgets that they share.
 pub struct EndpointSet {
     pub(super) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(super) subset: Subset,
     pub(super) ejection_budget: EjectionBudget,
     pub(super) fleet: FleetLimit,
     pub(super) slow_start: SlowStartBudget,
-    /// Per class: by how much the limits of endpoints widen where others reject the class.
+    /// Per class: factor on the limits of endpoints while other endpoints reject the class.
     pub(super) class_limit_factors: Vec<f64>,
 }
 
-/// The tightest latency objective of all classes, by which times of the whole fleet are measured.
+/// The fleet's latency objective in seconds: the shortest one of all classes.
 pub fn fleet_objective_s(settings: &Settings) -> f64 {
     let objectives = settings.classes.iter().map(|class| class.latency_objective_s);
     objectives.fold(f64::MAX, f64::min).min(MAX_FLEET_OBJECTIVE_S)
 }
 
 impl EndpointSet {
-    /// A set without endpoints, for one of so many limiters.
+    /// An empty set, for one of `instance_count` limiters.
     pub fn new(instance_count: u32, now: f64) -> Self {
         EndpointSet {
             endpoints: BTreeMap::new(),
@@ -48,16 +48,16 @@
         }
     }
 
-    /// Applies a complete list: endpoints that it does not name are removed.
+    /// Applies a complete endpoint list: endpoints that it does not contain are removed.
     pub fn apply_list(&mut self, context: Context, entries: &[EndpointEntry]) {
-        let named: HashSet<&EndpointId> = entries.iter().map(|entry| &entry.id).collect();
-        for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
+        let listed: HashSet<&EndpointId> = entries.iter().map(|entry| &entry.id).collect();
+        for (_, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
             endpoint.state = EndpointState::Removed;
         }
         self.apply_changes(context, entries);
     }
 
-    /// Applies changed entries.
+    /// Applies an incremental update; endpoints without an entry are unchanged.
     pub fn apply_changes(&mut self, context: Context, entries: &[EndpointEntry]) {
         for entry in entries {
             self.apply_entry(context, entry);
@@ -75,8 +75,8 @@
             .entry(entry.id.clone())
             .or_insert_with(|| Endpoint::new(entry, settings.instance_count, now));
         if endpoint.started_at != entry.started_at && entry.started_at.is_some() {
-            // A restarted process has nothing of its former self but what is in flight. Where only its start
-            // was corrected, its recent sends are kept: no slow-start budget is given twice.
+            // A restart resets the endpoint's state, except for its attempts in flight. Recent sends are kept
+            // in case only the start time was corrected, so that the slow-start budget is not granted twice.
             let in_flight = endpoint.in_flight;
             let slow_start_sends = std::mem::take(&mut endpoint.slow_start_sends);
             *endpoint = Endpoint {
@@ -89,7 +89,8 @@
         endpoint.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
     }
 
-    /// Computes what depends on all endpoints, once a tick, so that no request has to.
+    /// Recomputes the values that depend on all endpoints. Called once a tick to keep this cost off the
+    /// request path.
     pub fn refresh(&mut self, context: Context) {
         let Context { settings, now } = context;
         let (mut in_service, mut ejected, mut limit_sum) = (0.0f64, 0.0, 0.0);
@@ -99,14 +100,14 @@
             ejected += 1.0 - serves;
             limit_sum += serves * endpoint.concurrency.limit();
         }
-        self.ejection_budget = EjectionBudget::of(in_service, ejected);
+        self.ejection_budget = EjectionBudget::new(in_service, ejected);
         self.fleet.refresh(limit_sum, settings.instance_count);
         self.refresh_class_limit_factors(context, in_service);
         self.subset.resize(settings.instance_count, in_service, ejected);
         self.refresh_slow_start(context);
     }
 
-    /// Counts an attempt as in flight; gives the endpoint's location, or none if it is not known.
+    /// Counts an attempt as in flight and returns the endpoint's location, or `None` for an unknown endpoint.
     pub fn on_attempt_started(
         &mut self,
         Context { settings, now }: Context,
@@ -119,7 +120,7 @@
         Some(endpoint.location.clone())
     }
 
-    /// No longer counts an attempt as in flight.
+    /// Stops counting an attempt as in flight.
     pub fn release_attempt(&mut self, id: &EndpointId) {
         self.fleet.on_attempt_released();
         if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Records a good response: nothing is held against the endpoint any more.
+    /// Records a successful response, which resets the endpoint's failures and ejections.
     pub fn record_success(&mut self, Context { settings, now }: Context, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.outlier.record_success(now);
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Adjusts the limits of an endpoint and of the fleet by how an attempt went.
+    /// Adjusts the concurrency limits of an endpoint and of the fleet after an attempt.
     pub fn adjust_limits(
         &mut self,
         Context { settings, now }: Context,
@@ -153,7 +154,7 @@
         endpoint.concurrency.adjust(settings.instance_count, in_flight, latency_ratio, sample, now);
     }
 
-    /// Records how long an attempt took or takes, as a ratio of its usual time.
+    /// Records the latency of an attempt that ended or is still pending, as a ratio of its expected time.
     pub fn record_latency(
         &mut self,
         Context { settings, now }: Context,
--- a/crates/decision/src/endpoints/latency.rs
+++ b/crates/decision/src/endpoints/latency.rs
@@ -1,29 +1,29 @@
-//! How long an endpoint takes compared with what is usual for the class.
+//! Latency of an endpoint as a ratio of the expected latency of the class.
 //!
-//! The ratio is an average that forgets: without news it returns to 1, and news weighs more the older the
-//! average is, so that an endpoint that is used rarely is judged by its latest responses. Held by
+//! The ratio is a moving average that decays to 1 without new samples. The older the average, the higher the
+//! weight of a new sample, so that a rarely used endpoint is judged by its latest responses. Held by
 //! `tests/decision/endpoint_selection.rs`.
 
 use crate::ewma::ewma;
 
-/// Weight of one response in the average, where there is recent news.
+/// Smoothing factor while the average is recent.
 const MIN_RATIO_GAIN: f64 = 0.15;
-/// Weight of one response where all before is forgotten.
+/// Smoothing factor once the average has decayed completely.
 const MAX_RATIO_GAIN: f64 = 0.5;
-/// Time constant with which the ratio returns to 1 without news, in latency objectives.
+/// Time constant with which the ratio decays to 1 without samples, in latency objectives.
 const DECAY_OBJECTIVES: f64 = 8.0;
 /// Bounds of one sample.
 const MIN_RATIO: f64 = 0.1;
 const MAX_RATIO: f64 = 30.0;
 
-/// Whether a time is that of a response, or of an attempt that still waits for one.
+/// Whether a latency sample is from a response, or from an attempt that is still pending.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStatus {
     Responded,
     Pending,
 }
 
-/// Average of response times as a ratio of what is usual for their class.
+/// Moving average of latencies as ratios of the expected latency of their class.
 pub struct LatencyRatio {
     ratio: f64,
     updated_at: f64,
@@ -40,7 +40,7 @@
         self.ratio
     }
 
-    /// The average now, as far as it is not forgotten.
+    /// The average, decayed towards 1 for the time since its last update.
     pub fn decayed(&self, objective_s: f64, now: f64) -> f64 {
         1.0 + (self.ratio - 1.0) * self.decay_factor(objective_s, now)
     }
@@ -49,7 +49,7 @@
         (-(now - self.updated_at) / (DECAY_OBJECTIVES * objective_s)).exp()
     }
 
-    /// Takes in one ratio; `objective` is the fleet's latency objective in seconds.
+    /// Adds a sample to the average; `objective_s` is the fleet's latency objective in seconds.
     pub fn record(&mut self, sample: f64, objective_s: f64, now: f64) {
         let decay_factor = self.decay_factor(objective_s, now);
         let gain = MIN_RATIO_GAIN.max(MAX_RATIO_GAIN * (1.0 - decay_factor));
--- a/crates/decision/src/endpoints/mod.rs
+++ b/crates/decision/src/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! Which endpoint takes an attempt, and how many attempts may be in flight.
+//! Endpoint selection and the limits of attempts in flight.
 //!
-//! [`EndpointSet`] holds what is known of each endpoint and of all together. Evidence comes from the
-//! limiter's own attempts alone; load reports decide nothing. [`selection`] is the rule that picks an
-//! endpoint from it.
+//! [`EndpointSet`] holds the state of each endpoint and of the fleet. Apart from endpoint lists, only the
+//! outcomes of this limiter's own attempts change the state; load reports are not used. [`selection`] picks
+//! an endpoint by this state.
 
 mod class_breaker;
 mod concurrency_limit;
--- a/crates/decision/src/endpoints/outlier_detection.rs
+++ b/crates/decision/src/endpoints/outlier_detection.rs
@@ -1,25 +1,28 @@
-//! Outlier detection: endpoints that fail several times in a row are ejected for a while.
+//! Outlier detection: endpoints with consecutive failures are ejected for a limited time.
 //!
-//! Ejections get longer with each in a row. What it can get wrong: a fault that all endpoints share looks
-//! like many outliers, and ejecting them would move all load to the rest; therefore a share of the endpoints
-//! always stays. Held by `tests/decision/outlier_detection.rs`.
+//! Each consecutive ejection lasts twice as long as the one before, up to a maximum. What it can get wrong: a
+//! fault that all endpoints share looks like many outliers, and ejecting them would move all load to the
+//! rest; therefore only some of the endpoints may be ejected at once. Held by
+//! `tests/decision/outlier_detection.rs`.
 
 use super::endpoint_set::{fleet_objective_s, EndpointSet};
 use crate::context::Context;
 use crate::interface::EndpointId;
 
-/// Failures in a row that eject an endpoint.
+/// Consecutive failures that eject an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// Length of the first ejection, in latency objectives; each further one in a row is twice as long.
+/// Length of the first ejection, in latency objectives; each further consecutive one is twice as long.
 const FIRST_EJECTION_OBJECTIVES: f64 = 3.0;
-/// Most doublings of it.
+/// Largest number of times that the length of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Share of the endpoints that may be ejected: half of them may be cut off by a partition.
+/// Ratio of the endpoints that may be ejected. It is above one half because a network partition may cut off
+/// half of them.
 const MAX_EJECTED_RATIO: f64 = 0.6;
-/// Failures, or slow attempts of one class, in a row from which an attempt without a response counts as lost.
+/// Consecutive failures, or consecutive slow attempts of one class, after which an attempt without a response
+/// counts as lost.
 const LOST_AFTER_FAILURES: u32 = 2;
 
-/// What is held against one endpoint.
+/// Failures and ejections of one endpoint.
 pub struct OutlierState {
     consecutive_failures: u32,
     consecutive_ejections: u32,
@@ -28,7 +31,7 @@
 }
 
 impl OutlierState {
-    /// The state of an endpoint that was not used yet.
+    /// The initial state, without failures.
     pub fn healthy() -> Self {
         OutlierState {
             consecutive_failures: 0,
@@ -38,34 +41,35 @@
         }
     }
 
-    /// Whether it is ejected at a time.
+    /// Whether the endpoint is ejected at `now`.
     pub fn is_ejected(&self, now: f64) -> bool {
         self.ejected_until > now
     }
 
-    /// End of its latest ejection.
+    /// End of the latest ejection.
     pub fn ejected_until(&self) -> f64 {
         self.ejected_until
     }
 
-    /// Failures since its last good response.
+    /// Failures since the last successful response.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// Whether it failed often enough to be ejected, and has not succeeded since.
+    /// Whether the endpoint has enough consecutive failures to be ejected. This outlasts the ejection itself,
+    /// until a response succeeds.
     pub fn is_suspect(&self) -> bool {
         self.consecutive_failures >= EJECT_AFTER_FAILURES
     }
 
-    /// Records a good response: failures and ejections count from zero again.
+    /// Records a successful response, which resets the counts of failures and ejections.
     pub fn record_success(&mut self, now: f64) {
         self.last_success_at = now;
         self.consecutive_failures = 0;
         self.consecutive_ejections = 0;
     }
 
-    /// Counts a failure; true if it ejects the endpoint, where that is allowed.
+    /// Counts a failure and returns whether it ejects the endpoint, which requires `may_eject`.
     fn record_failure(&mut self, may_eject: bool, objective_s: f64, now: f64) -> bool {
         self.consecutive_failures += 1;
         let ejects = self.is_suspect() && !self.is_ejected(now) && may_eject;
@@ -85,14 +89,14 @@
 }
 
 impl EjectionBudget {
-    /// The budget with so many endpoints in service, of which some are ejected.
-    pub fn of(in_service: f64, ejected: f64) -> Self {
+    /// The budget for `in_service` endpoints, of which `ejected` are ejected already.
+    pub fn new(in_service: f64, ejected: f64) -> Self {
         EjectionBudget { remaining: in_service * MAX_EJECTED_RATIO - ejected }
     }
 }
 
 impl EndpointSet {
-    /// Records a failure of an endpoint, which may eject it.
+    /// Records a failure of an endpoint and ejects it if its failures and the budget call for that.
     pub fn record_failure(&mut self, Context { settings, now }: Context, id: &EndpointId) {
         let objective_s = fleet_objective_s(settings);
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Whether an endpoint has given no good response since a time.
+    /// Whether a known endpoint has had no successful response since `since`.
     pub fn has_no_success_since(&self, id: &EndpointId, since: f64) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| endpoint.outlier.last_success_at < since)
     }
--- a/crates/decision/src/endpoints/selection.rs
+++ b/crates/decision/src/endpoints/selection.rs
@@ -1,7 +1,7 @@
-//! Which endpoint gets an attempt: of those with capacity, the one with the lowest score.
+//! Endpoint selection: of the endpoints with capacity, an attempt goes to the one with the lowest score.
 //!
 //! The score is a product of named factors, see [`Scoring::score`]. What it can get wrong: if every endpoint
-//! is ejected or rejects the class, a wrong guess would stop all requests; therefore the least suspect one
+//! is ejected or rejects the class, excluding all of them would stop all requests; therefore the best of them
 //! still gets some. Held by `tests/decision/endpoint_selection.rs`, `tests/decision/outlier_detection.rs` and
 //! `tests/decision/class_breaker.rs`.
 
@@ -13,22 +13,23 @@
 
 /// Factor on the score of an endpoint in another zone.
 const CROSS_ZONE_PENALTY: f64 = 1.1;
-/// Factor on the score of an endpoint that the request was sent to before.
+/// Factor on the score of an endpoint to which the request was already sent.
 const TRIED_PENALTY: f64 = 10.0;
-/// Largest random addition to a score, as a share of it: breaks ties.
+/// Largest random addition to a score, as a ratio of it, to break ties.
 const JITTER: f64 = 0.05;
 
-/// What a request asks of its next endpoint.
+/// Constraints on the endpoint of a request's next attempt.
 pub struct Constraints<'a> {
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Where a request with an idempotency key may have run.
+    /// Set once an attempt with an idempotency key may have run.
     pub binding: Option<DeduplicationBinding<'a>>,
-    /// Endpoints that it was sent to before.
+    /// Endpoints of the earlier attempts.
     pub tried: Vec<&'a EndpointId>,
 }
 
-/// Where a request may have run, and which endpoints share the memory of its idempotency key.
+/// Restricts retries to the endpoints that can recognize the request's idempotency key: those that share the
+/// deduplication scope with the location where it may have run.
 pub struct DeduplicationBinding<'a> {
     pub scope: DeduplicationScope,
     pub location: &'a Location,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The candidate with the lowest score so far; the first of equals.
+/// The candidate with the lowest score so far; of equal scores the first one wins.
 #[derive(Default)]
 struct LowestScore<'a>(Option<(f64, &'a EndpointId)>);
 
@@ -58,17 +59,18 @@
     }
 }
 
-/// The candidates of one selection.
+/// The candidates found during one selection.
 #[derive(Default)]
 struct Candidates<'a> {
-    /// Endpoints of the subset that were considered.
+    /// Number of endpoints of the subset that were considered.
     considered: f64,
-    /// Those of them that do not reject the class.
+    /// Number of considered endpoints whose breaker is closed for the class.
     accepting: u32,
     best: LowestScore<'a>,
-    /// Best of those that reject the class.
+    /// Best endpoint whose breaker is open; used if all considered endpoints reject the class.
     rejecting: LowestScore<'a>,
-    /// Ejected, idle, and the first to return.
+    /// The ejected endpoint without attempts in flight whose ejection ends first; used if no endpoint was
+    /// considered.
     ejected: LowestScore<'a>,
 }
 
@@ -80,7 +82,7 @@
     }
 }
 
-/// What the scores of one selection have in common.
+/// Inputs to the scores that are the same for all endpoints of one selection.
 struct Scoring<'a> {
     context: Context<'a>,
     /// The fleet's latency objective in seconds.
@@ -90,8 +92,9 @@
 }
 
 impl Scoring<'_> {
-    /// How little an endpoint is wanted: its expected latency under the load that it would have, times
-    /// factors for its zone and for what went badly there.
+    /// The score of an endpoint, lower is better: its expected latency with one more attempt in flight, times
+    /// penalties for another zone, slow attempts, rejections, failures and an earlier attempt of this
+    /// request.
     fn score(&self, endpoint: &Endpoint, slow_start_factor: f64, is_tried: bool, tie_break: f64) -> f64 {
         let &Scoring { context: Context { settings, now }, objective_s, class } = self;
         let capacity = slow_start_factor * endpoint.weight;
@@ -107,8 +110,8 @@
 }
 
 impl EndpointSet {
-    /// The best endpoint for a request, or none if each that may take it is at its limit. `draw`, from 0 to
-    /// 1, breaks ties.
+    /// The best endpoint for a request, or `None` if no eligible endpoint has capacity. `draw` is a random
+    /// number from 0 to 1 that breaks ties.
     pub fn select(&self, context: Context, constraints: &Constraints, draw: f64) -> Option<EndpointId> {
         let Context { settings, now } = context;
         let objective_s = fleet_objective_s(settings);
@@ -148,14 +151,16 @@
         candidates.selected().cloned()
     }
 
-    /// Share of the requests that find the fleet's limit reached, this one included.
+    /// Records for one request whether the fleet's limit is reached, and returns the ratio of requests that
+    /// found it reached.
     pub fn update_saturation(&mut self) -> f64 {
         self.fleet.update_saturation()
     }
 }
 
 impl Endpoint {
-    /// Its limit of attempts in flight now. A suspect endpoint gets one at a time.
+    /// Limit of attempts in flight, with slow start and the class factor applied. A suspect endpoint gets one
+    /// attempt at a time.
     fn effective_limit(&self, slow_start_factor: f64, class_limit_factor: f64) -> f64 {
         if self.outlier.is_suspect() {
             1.0
@@ -164,8 +169,8 @@
         }
     }
 
-    /// Whether one more attempt fits. Many limiters with one attempt each can be too much: a limit below one
-    /// attempt holds only as long as the fleet's limit does.
+    /// Whether one more attempt fits the limit. A limit below one permits one attempt only while the fleet's
+    /// limit has capacity, since one attempt from each of many limiters can overload an endpoint.
     fn has_capacity(&self, limit: f64, fleet_has_capacity: bool) -> bool {
         let is_full = f64::from(self.in_flight) + 1.0 > limit.max(1.0);
         let is_fleet_limited = limit < 1.0 && !fleet_has_capacity;
--- a/crates/decision/src/endpoints/slow_start.rs
+++ b/crates/decision/src/endpoints/slow_start.rs
@@ -1,10 +1,11 @@
-//! Slow start: an endpoint that started lately gets a budget of attempts in each overload window.
+//! Slow start: a recently started endpoint gets a limited budget of attempts in each overload window.
 //!
-//! The settings name the capacity at the start, the time to full capacity and the multiple of the present
-//! capacity at which an endpoint fails if the load lasts for the overload window. The budget is a share of
-//! that multiple of what warm endpoints take. What it can get wrong: many limiters with one attempt each
-//! exceed a budget below one attempt. Therefore each sends a part of an attempt in that part of its windows,
-//! at moments of its own. Held by `tests/decision/slow_start.rs`.
+//! The settings give the capacity at the start, the time to full capacity, and the multiple of the current
+//! capacity at which an endpoint fails if the load lasts for the overload window. The budget is a fixed ratio
+//! of that multiple, relative to the throughput of warm endpoints. What it can get wrong: with a budget below
+//! one attempt for each limiter, one attempt from each would exceed it. Therefore a limiter with a budget of,
+//! say, 0.2 sends one attempt in a fifth of its windows, and the windows of the limiters are offset against
+//! each other. Held by `tests/decision/slow_start.rs`.
 
 use super::endpoint::Endpoint;
 use super::endpoint_set::EndpointSet;
@@ -13,18 +14,19 @@
 use crate::interface::{EndpointId, Settings};
 use std::collections::VecDeque;
 
-/// Share of the budget that the settings allow which is used.
+/// Ratio of the budget allowed by the settings that is used.
 const BUDGET_USE_RATIO: f64 = 0.6;
-/// Attempts in an overload window, from all limiters together, where no warm endpoint shows what it takes.
+/// Least number of attempts in an overload window, over all limiters. It is the whole budget where no warm
+/// endpoint shows what an endpoint can serve.
 const MIN_WINDOW_ATTEMPTS: f64 = 4.0;
 
-/// What warm endpoints of the subset took lately.
+/// Recent throughput of the warm endpoints of the subset, from which slow-start budgets are derived.
 pub struct SlowStartBudget {
-    /// When this limiter started: it does not know what it sent before.
+    /// When this limiter started; attempts sent before a restart are not known.
     started_at: f64,
-    /// Times of good responses of warm endpoints within the last overload window.
+    /// Times of successful responses of warm endpoints within the last overload window.
     warm_responses: VecDeque<f64>,
-    /// Weight of the warm endpoints in use.
+    /// Total weight of the warm endpoints in use.
     warm_weight: f64,
 }
 
@@ -34,12 +36,13 @@
         SlowStartBudget { started_at: now, warm_responses: VecDeque::new(), warm_weight: 0.0 }
     }
 
-    /// Counts a good response of a warm endpoint.
+    /// Counts a successful response of a warm endpoint.
     pub fn on_warm_response(&mut self, now: f64) {
         self.warm_responses.push_back(now);
     }
 
-    /// Attempts in an overload window that an endpoint may get from this limiter.
+    /// Attempts in an overload window that this limiter may send to an endpoint. `factor` is the endpoint's
+    /// slow-start factor, and `instances` the number of limiters that use it.
     fn window_attempts(&self, settings: &Settings, weight: f64, factor: f64, instances: f64) -> f64 {
         let responses = self.warm_responses.len() as f64;
         let proportional_attempts =
@@ -50,7 +53,7 @@
 }
 
 impl Endpoint {
-    /// Share of its full capacity that an endpoint has at least, by its age.
+    /// Ratio of its full capacity that an endpoint has at least at its age; 1 once slow start is over.
     pub fn slow_start_factor(&self, settings: &Settings, now: f64) -> f64 {
         let progress = self
             .started_at
@@ -58,7 +61,7 @@
         settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * progress.min(1.0)
     }
 
-    /// Notes an attempt that is sent during slow start.
+    /// Records the send time of an attempt during slow start.
     pub fn note_slow_start_send(&mut self, settings: &Settings, now: f64) {
         if self.slow_start_factor(settings, now) < 1.0 {
             self.slow_start_sends.retain(|sent| now - sent <= settings.overload_window_s);
@@ -68,7 +71,7 @@
 }
 
 impl EndpointSet {
-    /// Computes once a tick what the warm endpoints of the subset take.
+    /// Updates the throughput of the warm endpoints of the subset, once a tick.
     pub(super) fn refresh_slow_start(&mut self, Context { settings, now }: Context) {
         let used = self.subset.order().iter().map(|id| &self.endpoints[id]);
         let used = used.filter(|endpoint| endpoint.is_serving(now)).take(self.subset.size() as usize);
@@ -77,12 +80,13 @@
         self.slow_start.warm_responses.retain(|response| now - response <= settings.overload_window_s);
     }
 
-    /// Whether an endpoint may get one more attempt from here within the overload window.
+    /// Whether this limiter may send one more attempt to an endpoint within the overload window.
     ///
-    /// A budget below one attempt is sent in that part of the windows, each limiter in its own turn, and the
-    /// windows of each limiter begin at another moment: over all limiters no moment is better than others, so
-    /// that any stretch of a window's length gets what one window may, once the first one has begun. After a
-    /// restart, which forgot what was sent, the budget of whole attempts grows from none.
+    /// With a budget below one attempt, a limiter sends one attempt in that ratio of its windows, chosen at
+    /// random. The windows of each limiter start at a different phase, so that the attempts of all limiters
+    /// are spread evenly, and any interval of a window's length gets the budget of one window. The first
+    /// window is the first that starts after the endpoint was listed. After a restart of this limiter, which
+    /// loses the record of sent attempts, the budget of whole attempts grows from zero over one window.
     pub(super) fn has_slow_start_budget(
         &self,
         Context { settings, now }: Context,
--- a/crates/decision/src/requests/admission.rs
+++ b/crates/decision/src/requests/admission.rs
@@ -1,7 +1,8 @@
-//! Admission: whether a request is sent on, checked in order of quota, load, concurrency limit and endpoints.
+//! Admission control: a request must pass quota, load shedding, the concurrency limit and endpoint selection,
+//! in this order.
 //!
-//! Units are drawn only once an endpoint is found. A rejection that the quota does not cause advises a retry
-//! after one service time. Held by `tests/decision/admission.rs`.
+//! Units are drawn only after an endpoint was found. A rejection for another reason than the quota advises a
+//! retry after one service time. Held by `tests/decision/admission.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
@@ -11,19 +12,20 @@
 use crate::quota::{Demand, QuotaExceeded};
 use crate::timer::Timer;
 
-/// Ticks before its deadline at which a request without a response fails, so that the client gets the answer.
+/// A request without a response fails this many ticks before its deadline, so that the answer reaches the
+/// client in time.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
-/// What an admitted request needs to be sent.
+/// Class, endpoint and units of a request that passed admission.
 pub struct Admitted {
-    /// Index of its class.
+    /// Index of the request's class.
     class: usize,
     endpoint: EndpointId,
     units: f64,
 }
 
 impl Requests {
-    /// Sends a request to an endpoint, or rejects it.
+    /// Admits a request and sends its first attempt, or rejects it.
     pub fn admit(&mut self, context: Context, request: Request, actions: &mut Vec<Action>) {
         let Some(admitted) = self.check_admission(context, &request, true, actions) else { return };
         let Request { id, customer, deadline, .. } = request;
@@ -34,8 +36,8 @@
         self.send(context, id, admitted.endpoint, actions);
     }
 
-    /// Checks a request and draws its units; rejects it if it is not admitted. `has_capacity` is whether this
-    /// limiter can keep another one of its kind.
+    /// Checks a request and draws its units, or rejects it. `has_capacity` is whether this limiter can track
+    /// another request of this kind.
     pub(super) fn check_admission(
         &mut self,
         context: Context,
@@ -75,7 +77,7 @@
         exceeded: QuotaExceeded,
         actions: &mut Vec<Action>,
     ) {
-        // The demand of a retry was counted where it first came.
+        // The limiter that got the first try of this request has already counted its demand.
         if !request.is_retry {
             let demand = Demand { customer: &request.customer, units, admitted: false };
             self.quota.report_demand(context, &mut self.rng, &demand, actions);
@@ -83,7 +85,8 @@
         self.reject(context, request.id, exceeded.retry_after_s, actions);
     }
 
-    /// The endpoint for a request within its quota, unless load or the concurrency limit forbid it.
+    /// The endpoint for a request within its quota, or `None` if load shedding, the concurrency limit or the
+    /// endpoints' capacity do not permit it.
     fn find_endpoint(
         &mut self,
         context: Context,
--- a/crates/decision/src/requests/attempt.rs
+++ b/crates/decision/src/requests/attempt.rs
@@ -5,21 +5,21 @@
 use crate::endpoints::Location;
 use crate::interface::{Action, EndpointId, RequestId};
 
-/// An attempt, and what is known of its end.
+/// The state of an attempt.
 pub struct Attempt {
     pub endpoint: EndpointId,
     pub location: Location,
     pub sent_at: f64,
-    /// Its end was not reported yet.
+    /// Its end has not been reported yet.
     pub is_in_flight: bool,
-    /// It holds a place in its endpoint's concurrency limit.
+    /// It counts against its endpoint's concurrency limit.
     pub holds_slot: bool,
-    /// It may have run; an outcome may prove that it did not.
+    /// The endpoint may have run it. True until an outcome proves the contrary.
     pub may_have_run: bool,
 }
 
 impl Requests {
-    /// Sends a request to an endpoint, and sets the timer after which the attempt counts as slow.
+    /// Sends an attempt to an endpoint, and sets the timer after which it counts as slow.
     pub(super) fn send(
         &mut self,
         context: Context,
@@ -44,8 +44,8 @@
         actions.push(Action::Send { id, endpoint, timeout_s: 0.0, send_deadline });
     }
 
-    /// Frees an attempt's place in its endpoint's concurrency limit, once: at its end, or when it takes so
-    /// long that it may be lost or hang.
+    /// Frees an attempt's slot in its endpoint's concurrency limit, when the attempt ends or when it takes so
+    /// long that it may be lost or hang. Later calls for the same attempt have no effect.
     pub(super) fn release_slot(&mut self, id: RequestId, attempt: u32) {
         let request = self.in_flight.get_mut(&id);
         let Some(attempt) = request.and_then(|request| request.attempts.get_mut(attempt as usize)) else {
--- a/crates/decision/src/requests/authorization.rs
+++ b/crates/decision/src/requests/authorization.rs
@@ -1,19 +1,21 @@
-//! Authorizations: a client calls the endpoints by itself, on the same quota as requests that go through the
-//! limiter.
+//! Authorizations: the limiter admits a call that the client makes to an endpoint directly, under the same
+//! quota as requests that go through the limiter.
 //!
-//! Nobody tells of the call's end: it counts as in flight until its deadline, or until the client is known
-//! not to have got the authorization. Its units stay drawn. Held by `tests/decision/authorization.rs`.
+//! The end of such a call is not reported. It counts as in flight until its deadline, or until the client is
+//! known not to have received the authorization. Its units are not returned. Held by
+//! `tests/decision/authorization.rs`.
 
 use super::Requests;
 use crate::context::Context;
 use crate::interface::{Action, Request, RequestId};
 use crate::timer::Timer;
 
-/// Most authorized calls that are kept as in flight: each takes about a hundred bytes, whoever asks.
+/// Largest number of authorized calls tracked as in flight, to bound memory: each takes about a hundred
+/// bytes, and any client can cause them.
 const MAX_AUTHORIZATIONS: usize = 100_000;
 
 impl Requests {
-    /// Authorizes a client's own call, or rejects it.
+    /// Authorizes a direct call of a client, or rejects it.
     pub fn authorize(&mut self, context: Context, request: Request, actions: &mut Vec<Action>) {
         let has_capacity = self.authorizations.len() < MAX_AUTHORIZATIONS;
         if self.check_admission(context, &request, has_capacity, actions).is_none() {
@@ -27,7 +29,7 @@
         actions.push(Action::Authorize { id });
     }
 
-    /// An authorized call is over, or was never made.
+    /// Stops tracking an authorized call, which has reached its deadline or was never made.
     pub fn release_authorization(&mut self, context: Context, id: RequestId) {
         if let Some(customer) = self.authorizations.remove(&id) {
             self.quota.on_attempt_ended(context, &customer, 0.0);
--- a/crates/decision/src/requests/completion.rs
+++ b/crates/decision/src/requests/completion.rs
@@ -1,7 +1,7 @@
-//! The one final answer of a request.
+//! Completion: each request gets exactly one final answer.
 //!
-//! A rejection promises that the request has no effect, or that a repeat has none; where that cannot be
-//! promised the request fails. Held by `tests/decision/request_answers.rs`.
+//! A rejection guarantees that the request had no effect, or that repeating it has no further effect; where
+//! this cannot be guaranteed, the request fails. Held by `tests/decision/request_answers.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
@@ -9,7 +9,7 @@
 use crate::interface::{Action, RequestId};
 
 impl Requests {
-    /// Rejects a request; `wait` is after how many seconds a retry is worth it.
+    /// Rejects a request and advises the client to retry after `retry_after_s`, bounded by the settings.
     pub(super) fn reject(
         &mut self,
         context: Context,
@@ -27,7 +27,8 @@
         self.finish(context, id, actions);
     }
 
-    /// Answers a request that has no attempt left: rejected if that promise may be given, else failed.
+    /// Answers a request that has no attempts left: rejects it if a retry by the client is safe, else fails
+    /// it.
     pub(super) fn finish_without_response(
         &mut self,
         context: Context,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Ends a request or an authorization whose client has gone.
+    /// Ends a request or an authorization whose client has disconnected.
     pub fn on_client_disconnected(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
         self.release_authorization(context, id);
         self.finish(context, id, actions);
--- a/crates/decision/src/requests/idempotency.rs
+++ b/crates/decision/src/requests/idempotency.rs
@@ -1,10 +1,10 @@
-//! Whether the effect of a request allows a retry, where it may go, and whether it may be rejected after an
-//! attempt.
+//! Rules by a class's idempotency: whether a request may be retried, at which endpoints, and whether it may
+//! be rejected after an attempt.
 //!
 //! An idempotent request may always be retried. A request without an idempotency key is retried only if no
 //! attempt may have run. One with a key is retried within its deduplication scope and window, counted from
 //! the first attempt that may have run. What it can get wrong: an attempt counts as run until its outcome
-//! proves otherwise, so that some retries that would have been safe are not sent. Held by
+//! proves otherwise, so some retries are not sent although they would be safe. Held by
 //! `tests/decision/retry.rs`.
 
 use super::attempt::Attempt;
@@ -13,19 +13,21 @@
 use crate::endpoints::{Constraints, DeduplicationBinding};
 use crate::interface::{Class, DeduplicationScope, Idempotency, Settings};
 
-/// Share of the deduplication window in which a request may be retried; the rest is for clocks that differ.
+/// Ratio of the deduplication window within which a request may be retried; the rest allows for differences
+/// between the clocks of limiter and endpoints.
 const USABLE_WINDOW_RATIO: f64 = 0.9;
-/// Ticks before the end of the window by which an attempt must be decided, so that it is written in time.
+/// Ticks subtracted from the end of that time, so that an attempt is written before it.
 const SEND_MARGIN_TICKS: f64 = 2.0;
 
 impl InFlightRequest {
-    /// The first attempt by which endpoints may remember the request's idempotency key.
+    /// For a class with idempotency keys, the first attempt that may have run; the deduplication window
+    /// starts with it.
     fn first_deduplicated_attempt(&self, class: &Class) -> Option<&Attempt> {
         let has_key = class.idempotency == Idempotency::IdempotencyKey;
         self.attempts.iter().find(|attempt| attempt.may_have_run && has_key)
     }
 
-    /// What it asks of its next endpoint.
+    /// The constraints on the endpoint of the next attempt.
     pub fn constraints(&self, settings: &Settings) -> Constraints<'_> {
         let class = &settings.classes[self.class];
         let binding = self.first_deduplicated_attempt(class).map(|attempt| DeduplicationBinding {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// Time by which a further attempt must be written: while endpoints remember the key of the first one.
+    /// Time by which a further attempt must be written, while the endpoints still recognize the idempotency
+    /// key; infinite if no deduplication applies.
     pub fn send_deadline(&self, settings: &Settings) -> f64 {
         let class = &settings.classes[self.class];
         self.first_deduplicated_attempt(class).map_or(f64::INFINITY, |attempt| {
@@ -48,7 +51,7 @@
         })
     }
 
-    /// Whether the request's effect allows a retry now.
+    /// Whether the idempotency of the request's class permits a retry now.
     pub fn effect_allows_retry(&self, Context { settings, now }: Context) -> bool {
         match settings.classes[self.class].idempotency {
             Idempotency::Idempotent => true,
@@ -57,8 +60,8 @@
         }
     }
 
-    /// Whether a client may be told that it is safe to retry: the request has no effect, or its repeat has
-    /// none.
+    /// Whether the client may be told that a retry is safe: the request had no effect, or repeating it has no
+    /// further effect.
     pub fn may_be_rejected(&self, settings: &Settings) -> bool {
         let class = &settings.classes[self.class];
         let is_deduplicated_everywhere = class.idempotency == Idempotency::IdempotencyKey
--- a/crates/decision/src/requests/in_flight_request.rs
+++ b/crates/decision/src/requests/in_flight_request.rs
@@ -1,4 +1,4 @@
-//! A request that was admitted and whose attempts have not all ended.
+//! The state of an admitted request until all its attempts have ended.
 
 use super::attempt::Attempt;
 use crate::interface::RequestId;
@@ -8,21 +8,21 @@
 /// The request and its attempts.
 pub struct InFlightRequest {
     pub customer: Arc<str>,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Units, as the client or the estimate has them.
+    /// Units drawn at admission, which may be an estimate.
     pub units: f64,
-    /// Time at which the client gives up.
+    /// Time after which the client no longer waits for the answer.
     pub deadline: f64,
-    /// Its response is a stream that has started.
+    /// A streamed response has started.
     pub is_streaming: bool,
-    /// It has its final answer; only ends of attempts are still to come.
+    /// The final answer was given; only the ends of its attempts are outstanding.
     pub is_answered: bool,
     pub attempts: Vec<Attempt>,
 }
 
 impl InFlightRequest {
-    /// A request without attempts.
+    /// A request without attempts yet.
     pub fn new(customer: Arc<str>, class: usize, units: f64, deadline: f64) -> Self {
         InFlightRequest {
             customer,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Whether it still waits for its final answer, and is no stream that has started.
+    /// Whether the final answer is outstanding and no streamed response has started.
     pub fn awaits_answer(&self) -> bool {
         !self.is_answered && !self.is_streaming
     }
 
-    /// Whether the end of an attempt is still to come.
+    /// Whether any attempt has not ended yet.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
@@ -52,7 +52,7 @@
 }
 
 impl Requests {
-    /// A streamed response has started: deadlines no longer apply.
+    /// Records that a streamed response has started, after which the deadline no longer applies.
     pub fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.in_flight.get_mut(&id) {
             request.is_streaming = true;
--- a/crates/decision/src/requests/load_shedding.rs
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -1,17 +1,19 @@
-//! Load shedding: where the fleet is full, the classes that are worth least for their work give way.
+//! Load shedding: when the fleet is saturated, classes with a low priority per service time are rejected
+//! first.
 //!
-//! The quota has decided before, so that shedding takes nothing from one customer for another. What it can get
-//! wrong: a class with long service times is shed first although it may be the one that clients need. Held by
-//! `tests/decision/admission.rs`, `a_full_fleet_sheds_the_class_of_least_value`.
+//! The quota is checked before, so shedding does not move capacity from one customer to another. What it can
+//! get wrong: of classes with equal priority, the one with the longest service times is shed first, although
+//! it may be the one that clients need. Held by `tests/decision/admission.rs`,
+//! `a_full_fleet_sheds_the_class_of_least_value`.
 
 use super::Requests;
 use crate::interface::Settings;
 
-/// How strongly a full fleet sheds classes of less value.
+/// Factor on the probability with which a saturated fleet sheds classes of lower value.
 const SHEDDING_STRENGTH: f64 = 4.0;
 
 impl Requests {
-    /// Whether a request of a class is shed.
+    /// Whether to shed a request of this class; decided at random.
     pub(super) fn should_shed(&mut self, settings: &Settings, class: usize) -> bool {
         let saturation = self.endpoints.update_saturation();
         let best =
--- a/crates/decision/src/requests/mod.rs
+++ b/crates/decision/src/requests/mod.rs
@@ -1,7 +1,7 @@
-//! The course of a request: admitted or rejected, sent, retried, and answered once.
+//! The lifecycle of a request: admission or rejection, attempts, retries, and exactly one answer.
 //!
-//! [`Requests`] holds the requests in flight and asks [`crate::quota`] whether a customer may, and
-//! [`crate::endpoints`] which endpoint takes it. Those two do not know each other, nor this module.
+//! [`Requests`] holds the requests in flight. It uses [`crate::quota`] to check a customer's quota and
+//! [`crate::endpoints`] to select an endpoint. Those two modules do not depend on each other or on this one.
 
 mod admission;
 mod attempt;
@@ -27,7 +27,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The requests in flight, and what decides their course.
+/// The requests in flight, with the quotas, endpoints and budgets that decide on them.
 pub struct Requests {
     pub quota: Quota,
     pub endpoints: EndpointSet,
@@ -40,7 +40,7 @@
 }
 
 impl Requests {
-    /// No requests; the seed determines all random draws.
+    /// Creates an empty set of requests; the seed determines all random draws.
     pub fn new(settings: &Settings, seed: u64, now: f64) -> Self {
         Requests {
             quota: Quota::new(now),
--- a/crates/decision/src/requests/outcome.rs
+++ b/crates/decision/src/requests/outcome.rs
@@ -1,7 +1,7 @@
-//! What the end of an attempt says of its endpoint, and what becomes of the request.
+//! Handles the end of an attempt: records the outcome for its endpoint, then finishes or retries the request.
 //!
-//! Rejections and failed connections prove that an attempt did not run. What it can get wrong: a time-out
-//! says nothing of whether it ran, so it counts as run. Held by `tests/decision/retry.rs` and
+//! Rejections and failed connections prove that an attempt did not run. What it can get wrong: after a
+//! timeout it is unknown whether the attempt ran, so it counts as run. Held by `tests/decision/retry.rs` and
 //! `tests/decision/request_answers.rs`.
 
 use super::in_flight_request::InFlightRequest;
@@ -18,16 +18,16 @@
     pub outcome: Outcome,
     /// Seconds since the attempt was sent.
     pub elapsed_s: f64,
-    /// The true units, where they are settled with the response; otherwise 0.
+    /// Actual units as reported with the response, or 0 if not reported.
     pub units: f64,
 }
 
-/// The attempt that ended.
+/// The properties of an ended attempt that are needed to record its outcome.
 struct EndedAttempt {
     endpoint: EndpointId,
     /// Index of the request's class.
     class: usize,
-    /// Units of the request, as they were drawn.
+    /// Units drawn for the request.
     units: f64,
     is_retry: bool,
 }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Records what an outcome says of the endpoint.
+    /// Updates the endpoint's state and limits, the service times and the retry budget by an outcome.
     fn record_outcome(&mut self, context: Context, ended: &EndedAttempt, end: &AttemptEnd) {
         let endpoint = &ended.endpoint;
         let latency_objective_s = context.settings.classes[ended.class].latency_objective_s;
--- a/crates/decision/src/requests/retry.rs
+++ b/crates/decision/src/requests/retry.rs
@@ -1,7 +1,8 @@
-//! Whether a request is retried, and the retry itself.
+//! Retries of a request by this limiter.
 //!
-//! A retry needs a request that still waits for its answer, an attempt left, time for a usual response, an
-//! effect that allows it and a retry in the budget. Held by `tests/decision/retry.rs`.
+//! A request is retried only if it still awaits its answer, has attempts left and time for a response of mean
+//! service time, its idempotency permits a retry, and the retry budget is not exhausted. Held by
+//! `tests/decision/retry.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
@@ -9,7 +10,7 @@
 use crate::interface::{Action, RequestId};
 
 impl Requests {
-    /// Whether the rules and the retry budget allow a request another attempt.
+    /// Whether the request's state and the retry budget permit another attempt.
     pub(super) fn may_retry(&self, context: Context, request: &InFlightRequest) -> bool {
         let Context { settings, now } = context;
         let has_attempts_left = (request.attempts.len() as u32) < settings.max_attempts;
@@ -21,7 +22,8 @@
             && request.effect_allows_retry(context)
     }
 
-    /// Sends a request again if that is allowed and an endpoint takes it; true if it did.
+    /// Sends another attempt if a retry is permitted and an endpoint has capacity; returns whether it was
+    /// sent.
     pub(super) fn retry(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let draw = self.rng.f64();
         let request = self.in_flight.get(&id).filter(|request| self.may_retry(context, request));
--- a/crates/decision/src/requests/service_times.rs
+++ b/crates/decision/src/requests/service_times.rs
@@ -1,25 +1,25 @@
 //! Mean service time per class and unit, in seconds, over all endpoints.
 //!
-//! It says how long a response usually takes: for slow attempts, for the time left for a retry and for the
-//! advice on when to retry. What it can get wrong: it follows a change over some tens of responses only. Held
-//! by `tests/decision/admission.rs`,
+//! It is the expected time of a response: for detecting slow attempts, for the time that a retry needs, and
+//! for the advised delay of a client's retry. What it can get wrong: after a change it takes some tens of
+//! responses to converge. Held by `tests/decision/admission.rs`,
 //! `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
 
 use crate::ewma::ewma;
 use crate::interface::Settings;
 
-/// Mean before any response, in latency objectives.
+/// Initial mean, in latency objectives.
 const INITIAL_MEAN_OBJECTIVES: f64 = 0.2;
-/// Weight of one response.
+/// Smoothing factor for each response.
 const GAIN: f64 = 0.02;
 
-/// The means, by class.
+/// Moving averages of the service time, by class.
 pub struct ServiceTimes {
     means_s: Vec<f64>,
 }
 
 impl ServiceTimes {
-    /// The means before any response.
+    /// The initial means, derived from the classes' latency objectives.
     pub fn new(settings: &Settings) -> Self {
         let initial = |objective_s: f64| objective_s * INITIAL_MEAN_OBJECTIVES;
         ServiceTimes {
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Seconds per unit of a class.
+    /// Mean seconds per unit of a class.
     pub fn per_unit_s(&self, class: usize) -> f64 {
         self.means_s[class]
     }
 
-    /// Takes in one response.
+    /// Adds a response of a class to its mean.
     pub fn record(&mut self, class: usize, per_unit_s: f64) {
         self.means_s[class] = ewma(self.means_s[class], per_unit_s, GAIN);
     }
 
-    /// The mean of all classes: after this time a place that is taken now is most likely free.
+    /// The mean over all classes. An occupied slot is likely to be free after this time.
     pub fn overall_mean_s(&self) -> f64 {
         self.means_s.iter().sum::<f64>() / self.means_s.len().max(1) as f64
     }
--- a/crates/decision/src/requests/slow_attempt.rs
+++ b/crates/decision/src/requests/slow_attempt.rs
@@ -1,11 +1,11 @@
-//! What happens when an attempt takes long: it counts against its endpoint, and is cancelled for a retry if
-//! it seems lost.
+//! Slow attempts: an attempt without a response after several mean service times is recorded against its
+//! endpoint, and cancelled for a retry if it is likely lost.
 //!
-//! A timer expires after several usual service times. Near the latency objective the attempt frees its place
-//! in the endpoint's limit, since it may hang. What it can get wrong: after a pause of this process
-//! everything looks slow, which is no endpoint's fault; an endpoint that is seen rarely is not lost after one
-//! slow response; and an endpoint that answered others meanwhile is slow, not gone: ejecting it would move
-//! its load to the rest. Held by `tests/decision/slow_attempt.rs`.
+//! Once the latency objective has passed, the attempt frees its slot in the endpoint's limit, since it may
+//! hang. What it can get wrong: after a pause of this process all attempts look slow, so they are checked
+//! again later; one slow response of a rarely used endpoint does not mean that it is lost; and an endpoint
+//! that answered other attempts meanwhile is slow but alive, so it gets no failure, as its ejection would
+//! move its load to the rest. Held by `tests/decision/slow_attempt.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::service_times::ServiceTimes;
@@ -15,27 +15,27 @@
 use crate::interface::{Action, EndpointId, RequestId};
 use crate::timer::Timer;
 
-/// An attempt is slow after this many usual service times ...
+/// Number of mean service times after which an attempt is slow.
 const SLOW_AFTER_SERVICE_TIMES: f64 = 6.0;
-/// ... and within these shares of the latency objective.
+/// Bounds of that time, in latency objectives.
 const MIN_SLOW_OBJECTIVES: f64 = 0.5;
 const MAX_SLOW_OBJECTIVES: f64 = 0.8;
-/// Seconds after a pause of this process until attempts are looked at again.
+/// Delay after a pause of this process before an attempt is checked again, in seconds.
 const RECHECK_AFTER_PAUSE_S: f64 = 0.05;
 
-/// An attempt that takes long.
+/// A pending attempt whose timer has expired.
 struct SlowAttempt {
     endpoint: EndpointId,
     class: usize,
     attempt_index: u32,
     sent_at: f64,
-    /// Usual seconds for a request of its units.
+    /// Mean service time for the request's units.
     expected_s: f64,
 }
 
 impl Requests {
-    /// The timer after which an attempt that is sent now counts as slow, unless the request's deadline comes
-    /// first.
+    /// The timer after which an attempt that is sent now counts as slow, or `None` if the request's deadline
+    /// comes first.
     pub(super) fn slow_attempt_timer(
         Context { settings, now }: Context,
         id: RequestId,
@@ -51,7 +51,7 @@
             .then(|| Action::SetTimer { expires_at: now + wait_s, token: Timer::SlowAttempt(id).token() })
     }
 
-    /// The latest attempt of a request, if it still waits for a response.
+    /// The latest attempt of a request, if it is pending.
     fn slow_attempt(&self, id: RequestId) -> Option<SlowAttempt> {
         let request = self.in_flight.get(&id).filter(|request| request.awaits_answer())?;
         let attempt = request.attempts.last().filter(|attempt| attempt.is_in_flight)?;
@@ -64,7 +64,8 @@
         })
     }
 
-    /// Handles the timer of a slow attempt. `last_pause` is the end of the latest pause of this process.
+    /// Handles the expiry of a slow-attempt timer. `last_pause_ended_at` is the end of the latest pause of
+    /// this process.
     pub fn on_slow_attempt(
         &mut self,
         context: Context,
@@ -93,7 +94,7 @@
         if !is_affected_by_pause {
             self.record_slow_attempt(context, &slow, elapsed_s);
             if self.should_cancel_for_retry(context, id, &slow) {
-                // One attempt at a time: the end of this one brings the next.
+                // Attempts of a request do not overlap: the retry is sent once this attempt has ended.
                 actions.push(Action::Cancel { id, attempt: slow.attempt_index });
             }
         }
@@ -108,8 +109,8 @@
         self.endpoints.record_latency(context, &slow.endpoint, slow.class, latency_ratio, status);
     }
 
-    /// Whether a retry is allowed and the attempt is more likely lost than slow: the work of a slow one would
-    /// be wasted.
+    /// Whether to cancel the attempt for a retry. This requires that it is more likely lost than slow, since
+    /// cancelling a slow attempt wastes the work done.
     fn should_cancel_for_retry(&self, context: Context, id: RequestId, slow: &SlowAttempt) -> bool {
         let may_retry = self.in_flight.get(&id).is_some_and(|request| self.may_retry(context, request));
         may_retry && self.endpoints.is_likely_lost(&slow.endpoint, slow.class) && context.settings.may_cancel
