--- a/crates/decision/src/requests/completion.rs
+++ b/crates/decision/src/requests/completion.rs
@@ -1,7 +1,7 @@
-//! The one final answer of a request.
+//! Completion: each request gets exactly one final answer.
 //!
-//! A rejection promises that the request has no effect, or that a repeat has none; where that cannot be
-//! promised the request fails. Held by `tests/decision/request_answers.rs`.
+//! A rejection guarantees that the request had no effect, or that repeating it has no further effect; where
+//! this cannot be guaranteed, the request fails. Held by `tests/decision/request_answers.rs`.
 
 use super::in_flight_request::InFlightRequest;
 use super::Requests;
@@ -9,11 +9,17 @@
 use crate::interface::{Action, RequestId};
 
 impl Requests {
-    /// Rejects a request; `wait` is after how many seconds a retry is worth it.
-    pub(super) fn reject(&mut self, context: Context, id: RequestId, wait: f64, actions: &mut Vec<Action>) {
+    /// Rejects a request and advises the client to retry after `retry_after_s`, bounded by the settings.
+    pub(super) fn reject(
+        &mut self,
+        context: Context,
+        id: RequestId,
+        retry_after_s: f64,
+        actions: &mut Vec<Action>,
+    ) {
         let settings = context.settings;
         let retry_after_s = if settings.may_send_retry_after {
-            wait.clamp(0.0, settings.max_retry_after_s.max(0.0))
+            retry_after_s.clamp(0.0, settings.max_retry_after_s.max(0.0))
         } else {
             0.0
         };
@@ -21,8 +27,14 @@
         self.finish(context, id, actions);
     }
 
-    /// Answers a request that has no attempt left: rejected if that promise may be given, else failed.
-    pub(super) fn exhaust_attempts(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
+    /// Answers a request that has no attempts left: rejects it if a retry by the client is safe, else fails
+    /// it.
+    pub(super) fn finish_without_response(
+        &mut self,
+        context: Context,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.in_flight.get(&id).filter(|request| !request.is_answered) else { return };
         if request.may_be_rejected(context.settings) {
             return self.reject(context, id, 0.0, actions);
@@ -39,7 +51,7 @@
         }
     }
 
-    /// Ends a request or an authorization whose client has gone.
+    /// Ends a request or an authorization whose client has disconnected.
     pub fn on_client_disconnected(&mut self, context: Context, id: RequestId, actions: &mut Vec<Action>) {
         self.release_authorization(context, id);
         self.finish(context, id, actions);
@@ -56,8 +68,8 @@
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         if request.awaits_answer() && settings.may_cancel {
             let attempts = request.attempts.iter().enumerate();
-            for (number, _) in attempts.filter(|(_, attempt)| attempt.is_in_flight) {
-                actions.push(Action::Cancel { id, attempt: number as u32 });
+            for (index, _) in attempts.filter(|(_, attempt)| attempt.is_in_flight) {
+                actions.push(Action::Cancel { id, attempt: index as u32 });
             }
         }
         request.is_answered = true;
