--- a/crates/daemon/src/authoriser/client.rs
+++ b/crates/daemon/src/authoriser/client.rs
@@ -5,7 +5,7 @@
 use super::pool::{ConnectionPool, SilenceGuard};
 use super::settings::AuthoriserSettings;
 use super::Authorisation;
-use crate::count::Count;
+use crate::count_guard::CountGuard;
 use crate::log::log;
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
 use liftrouter_authz::{frame, verdict, Breaker, Leave, Verdict};
@@ -52,7 +52,7 @@
             Ok(leave) => leave,
             Err(retry_after) => return Authorisation::Undecided { retry_after },
         };
-        let _open = Count::new(&self.open_checks);
+        let _open = CountGuard::new(&self.open_checks);
         let mut permit = BreakerPermit { authoriser: self, leave: Some(leave) };
         let until = deadline.min(Instant::now() + self.settings.timeout);
         let result = timeout_at(until, self.check_with_retry(request, via, until)).await;
@@ -83,7 +83,7 @@
         let body = frame(request);
         for _ in 0..MAX_ATTEMPTS {
             let connection = self.pool.least_loaded().await;
-            let _open = Count::new(connection.open_checks.clone());
+            let _open = CountGuard::new(connection.open_checks.clone());
             let silence = SilenceGuard::new(&self.pool, &connection);
             let http_request = build_request(&self.settings, body.clone(), via, deadline);
             let response = exchange(connection.sender, http_request, self.settings.message).await;
--- a/crates/daemon/src/authoriser/pool.rs
+++ b/crates/daemon/src/authoriser/pool.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::Sender;
 use super::settings::AuthoriserSettings;
-use crate::http2::{Local, Metered};
+use crate::http2::{LocalExecutor, MeteredStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http2::{self, Connection};
@@ -106,9 +106,9 @@
     async fn open(&self) -> Option<(Sender, Rc<Cell<Instant>>, Driver)> {
         let stream = TcpStream::connect(self.settings.address).await.ok()?;
         let _ = stream.set_nodelay(true);
-        let socket = Metered::new(stream, FrameMeter::client(FRAME_LIMITS, 0.0));
+        let socket = MeteredStream::new(stream, FrameMeter::client(FRAME_LIMITS, 0.0));
         let last_read = socket.last_read();
-        let mut builder = http2::Builder::new(Local);
+        let mut builder = http2::Builder::new(LocalExecutor);
         builder
             .timer(TokioTimer::new())
             .initial_stream_window_size((self.settings.message as u32).saturating_add(MAX_FRAME_BYTES))
@@ -127,7 +127,7 @@
     }
 }
 
-type Driver = Connection<TokioIo<Metered>, Full<Bytes>, Local>;
+type Driver = Connection<TokioIo<MeteredStream>, Full<Bytes>, LocalExecutor>;
 
 /// Takes a connection out of the pool if an abandoned check request shows that it is dead: nothing has come over it
 /// since the request was sent, for at least the timeout.
--- a/crates/daemon/src/counter/client.rs
+++ b/crates/daemon/src/counter/client.rs
@@ -1,8 +1,8 @@
 //! The client of one counter: adds to a named count and reads its total, on a few kept connections.
 
-use crate::count::Count;
+use crate::count_guard::CountGuard;
 use crate::log;
-use crate::upstream::connection::{Failure, HttpConnection};
+use crate::upstream::connection::{ExchangeError, HttpConnection};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::HOST;
@@ -50,7 +50,7 @@
 pub struct CallPermit {
     /// Where the call goes.
     pub address: SocketAddr,
-    _counted: Count<Rc<Cell<usize>>>,
+    _counted: CountGuard<Rc<Cell<usize>>>,
 }
 
 /// How a call ended.
@@ -115,7 +115,7 @@
         if self.calls_in_flight.get() >= MAX_CONCURRENT_CALLS {
             return Err(Outcome::Overloaded);
         }
-        Ok(CallPermit { address, _counted: Count::new(self.calls_in_flight.clone()) })
+        Ok(CallPermit { address, _counted: CountGuard::new(self.calls_in_flight.clone()) })
     }
 
     /// Adds to a count that lives `ttl_s` seconds, and waits for the outcome and the total.
@@ -135,7 +135,7 @@
     /// Keeps a connection for further calls, if it can take them.
     pub async fn keep(&self, address: SocketAddr, connection: Option<HttpConnection>) {
         if let Some(mut connection) = connection {
-            if connection.settle().await && self.address.get() == Some(address) {
+            if connection.wait_until_ready().await && self.address.get() == Some(address) {
                 self.idle.borrow_mut().push(connection);
             }
         }
@@ -161,11 +161,11 @@
             let Ok(request) = request else { return CounterTotal::failed(Outcome::ConnectFailed) };
             return match timeout_at(deadline, connection.exchange(request)).await {
                 Ok(Ok(answer)) => self.read_answer(&answer, connection, key, &target),
-                Ok(Err(Failure::NotSent)) if reused => continue,
-                Ok(Err(Failure::NotSent)) => CounterTotal::failed(Outcome::ConnectFailed),
+                Ok(Err(ExchangeError::NotSent)) if reused => continue,
+                Ok(Err(ExchangeError::NotSent)) => CounterTotal::failed(Outcome::ConnectFailed),
                 // It may have been added, or may still be: to the decision module that is a call without an answer. The
                 // connection is closed with the call, so nobody reads a late answer.
-                Ok(Err(Failure::Broken | Failure::TooLarge)) | Err(_) => {
+                Ok(Err(ExchangeError::Broken | ExchangeError::TooLarge)) | Err(_) => {
                     CounterTotal::failed(Outcome::Timeout)
                 }
             };
@@ -217,9 +217,10 @@
 
     fn take_idle(&self) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|connection| connection.used.elapsed() < IDLE_TIMEOUT);
-        let last_rested = || idle.iter().rposition(HttpConnection::rested).map(|index| idle.remove(index));
-        std::iter::from_fn(last_rested).find(HttpConnection::usable)
+        idle.retain(|connection| connection.last_used.elapsed() < IDLE_TIMEOUT);
+        let last_rested =
+            || idle.iter().rposition(HttpConnection::is_past_reuse_delay).map(|index| idle.remove(index));
+        std::iter::from_fn(last_rested).find(HttpConnection::is_usable)
     }
 
     /// Logs the first malformed answer and then ever fewer: a counter that is broken all day must not fill the log.
--- a/crates/daemon/src/number.rs
+++ b/crates/daemon/src/decimal.rs
@@ -4,7 +4,7 @@
 const MAX_CHARACTERS: usize = 20;
 
 /// Reads digits with at most one point. What else `f64` parses (signs, exponents, infinity) is no number here.
-pub fn read_number(text: &str) -> Option<f64> {
+pub fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text.len() <= MAX_CHARACTERS && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse::<f64>().ok().filter(|number| is_plain && number.is_finite())
 }
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -158,7 +158,7 @@
         let request = Request::get(self.request.target());
         let request = request.header(HOST, self.address.to_string()).body(Full::default());
         let request = request.map_err(WatchError::Request)?;
-        let answer = link.open(request).await.map_err(|_| WatchError::BrokeBeforeAnswer)?;
+        let answer = link.send_request(request).await.map_err(|_| WatchError::BrokeBeforeAnswer)?;
         Ok((link, answer))
     }
 }
--- a/crates/daemon/src/events/answer.rs
+++ b/crates/daemon/src/events/answer.rs
@@ -24,7 +24,7 @@
 /// A rejected request: it was not forwarded, so a retry is harmless.
 pub struct Rejection {
     /// Seconds after which the client should retry; 0 if there is no advice.
-    pub retry_after: f64,
+    pub retry_after_s: f64,
     /// Why it was rejected.
     pub cause: RejectionCause,
 }
@@ -40,12 +40,12 @@
 
 impl Rejection {
     /// A rejection because of the quota or the servers' capacity.
-    pub fn limit(retry_after: f64) -> Self {
-        Rejection { retry_after, cause: RejectionCause::Limit }
+    pub fn over_limit(retry_after_s: f64) -> Self {
+        Rejection { retry_after_s, cause: RejectionCause::Limit }
     }
 
     /// The answer's body: one line of text.
-    pub fn text(&self) -> &'static str {
+    pub fn body(&self) -> &'static str {
         match self.cause {
             RejectionCause::Limit => "refused: trying again is harmless\n",
             RejectionCause::EndpointListExpired => {
--- a/crates/daemon/src/events/queue.rs
+++ b/crates/daemon/src/events/queue.rs
@@ -1,7 +1,7 @@
 //! The queue of events, and the number of requests that are open.
 
 use super::{Answer, HostEvent, IncomingRequest};
-use crate::count::Count;
+use crate::count_guard::CountGuard;
 use liftrouter_decision::RequestId;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,7 +11,7 @@
 /// Where the one answer to a request goes. While it exists, the request counts as unanswered.
 pub struct ReplySender {
     sender: oneshot::Sender<Answer>,
-    _unanswered: Count<Rc<Cell<usize>>>,
+    _unanswered: CountGuard<Rc<Cell<usize>>>,
 }
 
 impl ReplySender {
@@ -49,7 +49,7 @@
         self.last_id.set(id);
         self.open_requests.set(self.open_requests.get() + 1);
         let (sender, answer) = oneshot::channel();
-        let reply = ReplySender { sender, _unanswered: Count::new(self.unanswered_requests.clone()) };
+        let reply = ReplySender { sender, _unanswered: CountGuard::new(self.unanswered_requests.clone()) };
         self.push(HostEvent::RequestReceived { id, request, reply });
         (id, answer)
     }
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -179,7 +179,7 @@
             }
             Action::Reject { id, retry_after_s } => {
                 let cause = self.rejection_cause;
-                self.answer(id, Answer::Rejected(Rejection { retry_after: retry_after_s, cause }));
+                self.answer(id, Answer::Rejected(Rejection { retry_after_s, cause }));
             }
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
@@ -188,7 +188,7 @@
                 }
             }
             Action::IncrementCounter { key, increment, ttl_s } => {
-                self.increment_counter(key, increment, ttl_s)
+                self.increment_counter(key, increment, ttl_s);
             }
             Action::SetTimer { expires_at, token } => self.timers.set(self.clock.instant(expires_at), token),
             Action::CheckHealth { endpoint } => self.check_health(endpoint),
--- a/crates/daemon/src/host/pauses.rs
+++ b/crates/daemon/src/host/pauses.rs
@@ -12,7 +12,7 @@
 
 impl Host {
     /// Detects pauses, so that shares of quotas learned before one are not used after it.
-    pub fn watch_pauses(mut self) -> Self {
+    pub fn with_pause_detection(mut self) -> Self {
         self.pause_detector = Some(PauseDetector::new(MAX_GAP, self.clock.seconds(Instant::now())));
         self
     }
--- a/crates/daemon/src/http2.rs
+++ b/crates/daemon/src/http2.rs
@@ -14,9 +14,9 @@
 
 /// Runs the tasks that hyper starts on this thread.
 #[derive(Clone, Copy)]
-pub struct Local;
+pub struct LocalExecutor;
 
-impl<F: Future + 'static> Executor<F> for Local {
+impl<F: Future + 'static> Executor<F> for LocalExecutor {
     fn execute(&self, task: F) {
         // The handle is not needed: the task ends with its stream.
         drop(tokio::task::spawn_local(async move {
@@ -26,7 +26,7 @@
 }
 
 /// A socket that ends with an error when its peer exceeds the frame rates of a meter.
-pub struct Metered {
+pub struct MeteredStream {
     stream: TcpStream,
     meter: FrameMeter,
     /// Times of the meter are seconds from here.
@@ -34,11 +34,11 @@
     last_read: Rc<Cell<Instant>>,
 }
 
-impl Metered {
+impl MeteredStream {
     /// Meters a socket from now on.
-    pub fn new(stream: TcpStream, meter: FrameMeter) -> Metered {
+    pub fn new(stream: TcpStream, meter: FrameMeter) -> MeteredStream {
         let now = Instant::now();
-        Metered { stream, meter, opened_at: now, last_read: Rc::new(Cell::new(now)) }
+        MeteredStream { stream, meter, opened_at: now, last_read: Rc::new(Cell::new(now)) }
     }
 
     /// When anything last came, kept up to date.
@@ -47,7 +47,7 @@
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -63,7 +63,7 @@
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -6,9 +6,9 @@
 use super::body_budget::{BodyBudget, BodyReservation};
 use super::open_ids::{OpenRequestId, OpenRequestIds};
 use crate::authoriser::{Authorisation, AuthorisationRequest, Authoriser, Authorisers, WhenUnsure};
-use crate::count::Count;
+use crate::count_guard::CountGuard;
 use crate::events::{Answer, DisconnectGuard, EventQueue, IncomingRequest, Rejection, RequestKind};
-use crate::upstream::headers::OWN;
+use crate::upstream::headers::RESERVED;
 use hyper::header::HeaderValue;
 use liftrouter_authz::{Changes, Verdict};
 use liftrouter_decision::Settings;
@@ -112,7 +112,7 @@
         if let RequestKind::Forward(forward) = &mut request.kind {
             // The request is shared only once it is submitted.
             if let Some(forward) = Rc::get_mut(forward) {
-                changes.apply(&mut forward.headers, &OWN);
+                changes.apply(&mut forward.headers, &RESERVED);
             }
         }
         (self.submit(request).await, changes)
@@ -125,7 +125,7 @@
         request: &AuthorisationRequest<'_>,
     ) -> Authorised {
         let authorisation = {
-            let _awaiting = Count::new(&self.awaiting_authorisation);
+            let _awaiting = CountGuard::new(&self.awaiting_authorisation);
             self.authorisers.authorise(authoriser, request).await
         };
         let changes = match (authorisation, when_unsure) {
@@ -136,11 +136,11 @@
             (Authorisation::Undecided { .. }, WhenUnsure::Pass) => Changes::default(),
             // Nothing was forwarded, so a retry is harmless.
             (Authorisation::Undecided { retry_after }, WhenUnsure::Refuse) => {
-                return Authorised::No(Answer::Rejected(Rejection::limit(retry_after)));
+                return Authorised::No(Answer::Rejected(Rejection::over_limit(retry_after)));
             }
         };
         if Instant::now() >= request.deadline {
-            return Authorised::No(Answer::Rejected(Rejection::limit(0.0)));
+            return Authorised::No(Answer::Rejected(Rejection::over_limit(0.0)));
         }
         Authorised::Yes(changes)
     }
--- a/crates/daemon/src/listeners/fields.rs
+++ b/crates/daemon/src/listeners/fields.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::number::read_number;
+use crate::decimal::parse_decimal;
 use liftrouter_decision::{Class, Settings};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
         _ => return None,
     };
     let max_seconds = if class.deadline_s > 0.0 { class.deadline_s } else { f64::MAX };
-    Duration::try_from_secs_f64((read_number(number)? * seconds_per_unit).min(max_seconds)).ok()
+    Duration::try_from_secs_f64((parse_decimal(number)? * seconds_per_unit).min(max_seconds)).ok()
 }
 
 /// Checks the units of a request: above zero, and at most what the settings allow one request.
--- a/crates/daemon/src/listeners/grpc/authorization.rs
+++ b/crates/daemon/src/listeners/grpc/authorization.rs
@@ -3,10 +3,10 @@
 use super::context::CallContext;
 use super::unary::{deadline_exceeded, invalid_argument, read_deadline, read_message, MAX_WAIT};
 use crate::authoriser::{AuthorisationRequest, VIA};
+use crate::decimal::parse_decimal;
 use crate::events::{Answer, DisconnectGuard, IncomingRequest, RequestKind};
 use crate::listeners::fields::{self, MAX_ID_BYTES};
-use crate::number::read_number;
-use crate::upstream::headers::OWN;
+use crate::upstream::headers::RESERVED;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::StatusCode;
@@ -89,11 +89,11 @@
     let authorisation = AuthorisationRequest { build: &build, via: &via, deadline };
     match timeout_at(deadline, admission.answer(request, &authorisation)).await {
         Ok((Answer::Authorized(disconnect), changes)) => {
-            let response = permitted(&changes, &OWN, fields.add);
+            let response = permitted(&changes, &RESERVED, fields.add);
             Ok(Decision { response, disconnect: Some(disconnect) })
         }
         Ok((Answer::Denied(denial), _)) => Ok(Decision::denied(denial)),
-        Ok((Answer::Rejected(rejection), _)) => Ok(Decision::denied(rejected(rejection.retry_after))),
+        Ok((Answer::Rejected(rejection), _)) => Ok(Decision::denied(rejected(rejection.retry_after_s))),
         // An authorisation is never served, and the host fails none.
         Ok((Answer::Failed | Answer::Served(_), _)) => Err(Status::new(Code::Unavailable, "no decision")),
         Err(_) => Err(deadline_exceeded()),
@@ -120,9 +120,9 @@
     if !settings.plans.iter().any(|plan| plan.name == fields.plan) {
         return Err(invalid_argument("the plan is unknown"));
     }
-    let units = read_number(&fields.units).and_then(|units| fields::check_units(units, settings));
+    let units = parse_decimal(&fields.units).and_then(|units| fields::check_units(units, settings));
     let units = units.ok_or_else(|| invalid_argument("the units are malformed"))?;
-    let width = read_number(&fields.width);
+    let width = parse_decimal(&fields.width);
     let reachable_instances = width.and_then(|width| fields::check_reachable_instances(width, settings));
     let reachable_instances =
         reachable_instances.ok_or_else(|| invalid_argument("the width is malformed"))?;
--- a/crates/daemon/src/listeners/grpc/serve.rs
+++ b/crates/daemon/src/listeners/grpc/serve.rs
@@ -4,7 +4,7 @@
 use super::connection::{Connection, Next, OpenCall};
 use super::context::CallContext;
 use super::reply::Reply;
-use crate::http2::{Local, Metered};
+use crate::http2::{LocalExecutor, MeteredStream};
 use hyper::server::conn::http2;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
@@ -33,7 +33,7 @@
         let (context, open_call) = (context.clone(), OpenCall::new(connection));
         async move { Ok::<_, Infallible>(call::respond(&context, open_call, request).await) }
     });
-    let mut builder = http2::Builder::new(Local);
+    let mut builder = http2::Builder::new(LocalExecutor);
     builder
         .timer(TokioTimer::new())
         .max_concurrent_streams(limits.streams)
@@ -46,7 +46,7 @@
         .max_pending_accept_reset_streams(limits.frames.resets as usize * 2)
         .keep_alive_interval(PING_INTERVAL)
         .keep_alive_timeout(PING_TIMEOUT);
-    let socket = Metered::new(stream, FrameMeter::server(limits.frames, 0.0));
+    let socket = MeteredStream::new(stream, FrameMeter::server(limits.frames, 0.0));
     let mut http = pin!(builder.serve_connection::<_, _, Reply>(TokioIo::new(socket), service));
     let mut shutdown_started = false;
     loop {
--- a/crates/daemon/src/listeners/http/exchange.rs
+++ b/crates/daemon/src/listeners/http/exchange.rs
@@ -30,7 +30,7 @@
 impl HttpServer {
     /// Serves a connection until it is closed.
     pub(super) async fn serve_connection(self: &Rc<Self>, socket: &Rc<Socket>, connection: &Rc<Connection>) {
-        socket.record(MAX_HEAD_BYTES);
+        socket.record_up_to(MAX_HEAD_BYTES);
         if !self.serve_requests(socket, connection).await {
             return;
         }
@@ -70,7 +70,7 @@
                 () = client_disconnected(socket, connection) => return false,
                 () = connection.close.notified() => {
                     // A request that lies unread would be lost with its connection: it is served first.
-                    if connection.busy.get() || socket.is_quiet() {
+                    if connection.busy.get() || socket.is_idle() {
                         if connection.is_silent() {
                             // A partial head would hold up hyper's own shutdown.
                             return false;
@@ -105,15 +105,15 @@
         accepted_at: Option<Instant>,
     ) -> Reply {
         let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let raw = if is_chunked { socket.recorded() } else { Vec::new() };
-        socket.record(0);
+        let raw = if is_chunked { socket.take_recorded() } else { Vec::new() };
+        socket.record_up_to(0);
         let mut reply = if request.uri().path() == "/up" {
             reply::readiness(request.method(), self.ready.get() && !self.draining.get())
         } else {
             let result = self.handle(request, raw, connection, accepted_at).await;
             result.unwrap_or_else(reply::not_admitted)
         };
-        socket.record(MAX_HEAD_BYTES);
+        socket.record_up_to(MAX_HEAD_BYTES);
         // Behind a chunked body nothing is read as a request, whatever another reader would find there; nor where the
         // socket brought more than was recorded.
         if is_chunked || socket.is_overrun() || self.draining.get() {
--- a/crates/daemon/src/listeners/http/head.rs
+++ b/crates/daemon/src/listeners/http/head.rs
@@ -4,8 +4,8 @@
 //! stay cheap, and nothing is kept or logged of the request: malformed requests may come at full speed.
 
 use super::rejection::RequestError;
+use crate::decimal::parse_decimal;
 use crate::listeners::fields::{self, MAX_ID_BYTES};
-use crate::number::read_number;
 use crate::upstream::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -133,7 +133,7 @@
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
-        let value = read_number(value.trim())?;
+        let value = parse_decimal(value.trim())?;
         let duplicate = match name.trim() {
             "units" => units.replace(value),
             "spread" => spread.replace(value),
--- a/crates/daemon/src/listeners/http/reply.rs
+++ b/crates/daemon/src/listeners/http/reply.rs
@@ -61,9 +61,9 @@
 }
 
 fn rejected(rejection: &Rejection) -> Reply {
-    let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, rejection.text());
-    if rejection.retry_after > 0.0 {
-        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", rejection.retry_after)) {
+    let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, rejection.body());
+    if rejection.retry_after_s > 0.0 {
+        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", rejection.retry_after_s)) {
             reply.headers_mut().insert(RETRY_AFTER, seconds);
         }
     }
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -82,14 +82,14 @@
         let (counters, events) = (counters.clone(), events.clone());
         let validation = CounterValidation::new(counters, events, &validation, failover, &settings, seed);
         spawn_local(validation.run());
-        host = host.watch_pauses();
+        host = host.with_pause_detection();
     }
     let longest_deadline = longest_deadline(&settings);
     let admission = Admission::new(events.clone(), settings, body_budget(&config.limits), authorisers);
 
     spawn_local(host.run());
     let cluster = cluster_node.map(|node| node.start(&servers));
-    spawn_local(async move { servers.sweep().await });
+    spawn_local(async move { servers.close_idle_connections().await });
     list.follow(&events, retry_seed);
     spawn_local(reload(hangup, path, list.discovery().clone(), counters));
     let listeners = Listeners::start(bound, &admission, sockets.clients, name);
--- a/crates/daemon/src/upstream/answer.rs
+++ b/crates/daemon/src/upstream/answer.rs
@@ -2,8 +2,8 @@
 
 use super::headers::{SETTLED, UNPROCESSED};
 use super::load_report;
+use crate::decimal::parse_decimal;
 use crate::events::AttemptResult;
-use crate::number::read_number;
 use bytes::Bytes;
 use hyper::{Response, StatusCode};
 use liftrouter_decision::Outcome;
@@ -18,7 +18,7 @@
         _ => Outcome::Error,
     };
     // More than a request can use is not a valid number: taken from a bucket, it would stop a customer for good.
-    let units = headers.get(SETTLED).and_then(|value| read_number(value.to_str().ok()?.trim()));
+    let units = headers.get(SETTLED).and_then(|value| parse_decimal(value.to_str().ok()?.trim()));
     let units = units.filter(|units| *units > 0.0 && *units <= max_units);
     let report = load_report::from_headers(headers);
     AttemptResult { outcome, units, report, answer: (outcome == Outcome::Ok).then_some(answer) }
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt of a request at one server.
 
 use super::answer;
-use super::connection::{Failure, HttpConnection};
+use super::connection::{ExchangeError, HttpConnection};
 use super::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, INVENTORY, TIME_LEFT};
 use super::servers::Servers;
-use super::socket::{Socket, Written};
+use super::socket::{Socket, WriteProgress};
 use crate::events::{AttemptResult, EventQueue, ForwardedRequest, HostEvent};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -51,7 +51,7 @@
 
     /// Whether its request may have reached the server completely, while its result is not reported.
     pub fn sent(&self) -> bool {
-        self.socket.borrow().as_ref().is_some_and(|socket| socket.written() == Written::Whole)
+        self.socket.borrow().as_ref().is_some_and(|socket| socket.write_progress() == WriteProgress::Complete)
     }
 }
 
@@ -141,17 +141,17 @@
             *attempt.socket.borrow_mut() = Some(connection.socket().clone());
             let request = request_to(address, forward, attempt.endpoint_list_version, give_up);
             let result = connection.exchange(request).await;
-            let unsent = connection.socket().written() == Written::Nothing;
+            let unsent = connection.socket().write_progress() == WriteProgress::None;
             return match result {
                 Ok(answer) => (answer::interpret(answer, self.max_units), Some((address, connection))),
                 // A reused connection that broke before a byte was written says nothing of the server.
-                Err(Failure::NotSent) if reused && unsent => {
+                Err(ExchangeError::NotSent) if reused && unsent => {
                     attempt.release();
                     continue;
                 }
-                Err(Failure::NotSent) => failed(Outcome::ConnectFailed),
-                Err(Failure::Broken) => failed(Outcome::Reset),
-                Err(Failure::TooLarge) => failed(Outcome::Error),
+                Err(ExchangeError::NotSent) => failed(Outcome::ConnectFailed),
+                Err(ExchangeError::Broken) => failed(Outcome::Reset),
+                Err(ExchangeError::TooLarge) => failed(Outcome::Error),
             };
         }
     }
--- a/crates/daemon/src/upstream/connection.rs
+++ b/crates/daemon/src/upstream/connection.rs
@@ -2,8 +2,8 @@
 //!
 //! Dropping an [`HttpConnection`] closes its socket at once, and nothing is ever sent twice.
 
-use super::socket::{Socket, SocketIo, Written};
-use crate::count::Count;
+use super::socket::{Socket, SocketIo, WriteProgress};
+use crate::count_guard::CountGuard;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -32,13 +32,13 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time for which a connection is idle before it is used again: bytes that come late behind an answer and belong to none
 /// must not be read as the answer to the next request.
-const REST_TIME: Duration = Duration::from_millis(20);
+const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// Time that a connection has to become ready for the next request after an answer before it is closed.
-const SETTLE_TIMEOUT: Duration = Duration::from_millis(100);
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Why there is no usable answer.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Failure {
+pub enum ExchangeError {
     /// The connection was not established, or broke before the last byte of the request was written.
     #[error("the request was not sent completely")]
     NotSent,
@@ -80,9 +80,9 @@
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
     socket: Rc<Socket>,
-    _counted: Count<Rc<Cell<usize>>>,
+    _counted: CountGuard<Rc<Cell<usize>>>,
     /// When it was last used.
-    pub used: Instant,
+    pub last_used: Instant,
 }
 
 impl HttpConnection {
@@ -91,14 +91,14 @@
     /// # Errors
     /// The error of the socket.
     pub async fn connect(address: SocketAddr, open_sockets: &Rc<Cell<usize>>) -> io::Result<HttpConnection> {
-        let counted = Count::new(open_sockets.clone());
+        let counted = CountGuard::new(open_sockets.clone());
         let socket = Socket::new(TcpStream::connect(address).await?);
         let mut http = http1::Builder::new();
         http.max_buf_size(MAX_BUFFER);
         let handshake = http.handshake(TokioIo::new(SocketIo(socket.clone())));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let driver = Driver { connection: Box::pin(connection), has_ended: false };
-        Ok(HttpConnection { sender, driver, socket, _counted: counted, used: Instant::now() })
+        Ok(HttpConnection { sender, driver, socket, _counted: counted, last_used: Instant::now() })
     }
 
     /// The socket.
@@ -108,26 +108,29 @@
 
     /// Whether it can be used for requests, now or once it has rested. Bytes behind the last answer are no answer to
     /// anything: with them the connection is of no further use.
-    pub fn usable(&self) -> bool {
-        !self.driver.has_ended && self.sender.is_ready() && self.socket.is_quiet()
+    pub fn is_usable(&self) -> bool {
+        !self.driver.has_ended && self.sender.is_ready() && self.socket.is_idle()
     }
 
     /// Whether it has been idle long enough to be used again.
-    pub fn rested(&self) -> bool {
-        self.used.elapsed() >= REST_TIME
+    pub fn is_past_reuse_delay(&self) -> bool {
+        self.last_used.elapsed() >= REUSE_DELAY
     }
 
     /// Sends a request and returns the head of the answer; its body comes through [`HttpConnection::drive`].
     ///
     /// # Errors
-    /// [`Failure::NotSent`] or [`Failure::Broken`].
-    pub async fn open(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failure> {
+    /// [`ExchangeError::NotSent`] or [`ExchangeError::Broken`].
+    pub async fn send_request(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, ExchangeError> {
         self.socket.begin_message();
         let response = self.sender.send_request(request);
         let result = self.driver.drive(response).await;
-        result.map_err(|_| match self.socket.written() {
-            Written::Whole => Failure::Broken,
-            Written::Nothing | Written::Part => Failure::NotSent,
+        result.map_err(|_| match self.socket.write_progress() {
+            WriteProgress::Complete => ExchangeError::Broken,
+            WriteProgress::None | WriteProgress::Partial => ExchangeError::NotSent,
         })
     }
 
@@ -137,26 +140,29 @@
     /// a second answer to the request before, or noise.
     ///
     /// # Errors
-    /// Each [`Failure`].
-    pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, Failure> {
+    /// Each [`ExchangeError`].
+    pub async fn exchange(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let socket = self.socket.clone();
-        if !socket.is_quiet() {
+        if !socket.is_idle() {
             socket.begin_message();
-            return Err(Failure::NotSent);
+            return Err(ExchangeError::NotSent);
         }
         socket.reset_answered_early();
         let result = self.answer_in_time(request).await;
-        match socket.written() {
-            Written::Whole if socket.answered_early() => Err(Failure::Broken),
-            Written::Nothing | Written::Part => Err(Failure::NotSent),
-            Written::Whole => result,
+        match socket.write_progress() {
+            WriteProgress::Complete if socket.answered_early() => Err(ExchangeError::Broken),
+            WriteProgress::None | WriteProgress::Partial => Err(ExchangeError::NotSent),
+            WriteProgress::Complete => result,
         }
     }
 
     async fn answer_in_time(
         &mut self,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, Failure> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let socket = self.socket.clone();
         socket.expect_answer();
         // An informational answer means that the final one is still to begin.
@@ -181,22 +187,25 @@
             match timeout(ANSWER_TIMEOUT, answer.as_mut()).await {
                 Ok(complete) => return complete,
                 Err(_) if informational.load(Ordering::Relaxed) => {}
-                Err(_) => return Err(Failure::Broken),
+                Err(_) => return Err(ExchangeError::Broken),
             }
         }
     }
 
-    async fn complete_answer(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, Failure> {
-        let (head, body) = self.open(request).await?.into_parts();
+    async fn complete_answer(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Bytes>, ExchangeError> {
+        let (head, body) = self.send_request(request).await?.into_parts();
         // A body that is announced as too large need not be read first.
         if body.size_hint().lower() > MAX_BODY as u64 {
-            return Err(Failure::TooLarge);
+            return Err(ExchangeError::TooLarge);
         }
         let body = self.drive(Limited::new(body, MAX_BODY).collect()).await;
         match body {
             Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
-            Err(error) if error.is::<LengthLimitError>() => Err(Failure::TooLarge),
-            Err(_) => Err(Failure::Broken),
+            Err(error) if error.is::<LengthLimitError>() => Err(ExchangeError::TooLarge),
+            Err(_) => Err(ExchangeError::Broken),
         }
     }
 
@@ -206,14 +215,14 @@
     }
 
     /// Waits until the connection can take the next request; `false` if it has to be closed.
-    pub async fn settle(&mut self) -> bool {
+    pub async fn wait_until_ready(&mut self) -> bool {
         let HttpConnection { sender, driver, .. } = self;
         let ready = poll_fn(|cx| {
             driver.poll(cx);
             sender.poll_ready(cx)
         });
-        let is_ready = matches!(timeout(SETTLE_TIMEOUT, ready).await, Ok(Ok(())));
-        self.used = Instant::now();
+        let is_ready = matches!(timeout(READY_TIMEOUT, ready).await, Ok(Ok(())));
+        self.last_used = Instant::now();
         is_ready && !self.driver.has_ended
     }
 }
--- a/crates/daemon/src/upstream/headers.rs
+++ b/crates/daemon/src/upstream/headers.rs
@@ -18,7 +18,7 @@
 pub(super) const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
 /// Headers that are reserved for the limiter: no authoriser sets or removes them.
-pub const OWN: [HeaderName; 11] = [
+pub const RESERVED: [HeaderName; 11] = [
     CORRELATION_ID,
     IDEMPOTENCY_KEY,
     TIME_LEFT,
--- a/crates/daemon/src/upstream/load_report.rs
+++ b/crates/daemon/src/upstream/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports of servers: `name=value` pairs in a header of an answer, or in the body of a health check.
 
 use super::headers::BACKEND_LOAD;
-use crate::number::read_number;
+use crate::decimal::parse_decimal;
 use hyper::header::HeaderMap;
 use liftrouter_decision::LoadReport;
 
@@ -20,7 +20,7 @@
 /// Reads comma-separated `name=value` pairs into a report. A pair that is malformed or cannot be a load is left out.
 pub(super) fn read_into(text: &str, report: &mut LoadReport) {
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        if let Some(value) = read_number(value.trim()).filter(|load| *load <= MAX_LOAD) {
+        if let Some(value) = parse_decimal(value.trim()).filter(|load| *load <= MAX_LOAD) {
             report.set(name.trim(), value);
         }
     }
--- a/crates/daemon/src/upstream/servers.rs
+++ b/crates/daemon/src/upstream/servers.rs
@@ -17,7 +17,7 @@
 /// Seconds that a connect may take, where the settings do not say.
 const DEFAULT_CONNECT_TIMEOUT: f64 = 0.25;
 /// Time between two rounds that close idle connections.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the pool knows of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,14 +107,15 @@
     pub(super) fn take_idle(&self, id: &EndpointId) -> Option<HttpConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.get_mut(id)?.idle;
-        let last_rested = || idle.iter().rposition(HttpConnection::rested).map(|index| idle.remove(index));
+        let last_rested =
+            || idle.iter().rposition(HttpConnection::is_past_reuse_delay).map(|index| idle.remove(index));
         std::iter::from_fn(last_rested)
-            .find(|connection| connection.usable() && connection.used.elapsed() < self.idle_timeout)
+            .find(|connection| connection.is_usable() && connection.last_used.elapsed() < self.idle_timeout)
     }
 
     /// Keeps a connection once it is ready for the next request, if its server still takes work at that address.
     pub(super) async fn keep(&self, id: &EndpointId, address: SocketAddr, mut connection: HttpConnection) {
-        if !connection.settle().await {
+        if !connection.wait_until_ready().await {
             return;
         }
         if let Some(server) = self.table.borrow_mut().get_mut(id) {
@@ -131,7 +132,7 @@
         }
         let mut table = self.table.borrow_mut();
         let with_idle = table.values_mut().filter(|server| !server.idle.is_empty());
-        let oldest = with_idle.min_by_key(|server| server.idle[0].used);
+        let oldest = with_idle.min_by_key(|server| server.idle[0].last_used);
         oldest.map(|server| server.idle.remove(0)).is_some()
     }
 
@@ -142,12 +143,12 @@
     }
 
     /// Closes connections that were idle too long or that the server has closed, for as long as it is polled.
-    pub async fn sweep(&self) {
+    pub async fn close_idle_connections(&self) {
         loop {
-            tokio::time::sleep(SWEEP_INTERVAL).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
             for server in self.table.borrow_mut().values_mut() {
                 server.idle.retain(|connection| {
-                    connection.used.elapsed() < self.idle_timeout && connection.usable()
+                    connection.last_used.elapsed() < self.idle_timeout && connection.is_usable()
                 });
             }
         }
--- a/crates/daemon/src/upstream/socket.rs
+++ b/crates/daemon/src/upstream/socket.rs
@@ -25,24 +25,24 @@
 
 /// How much of the latest message has been handed to the kernel.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteProgress {
     /// No byte.
-    Nothing,
+    None,
     /// Some bytes.
-    Part,
+    Partial,
     /// All bytes.
-    Whole,
+    Complete,
 }
 
 /// A socket that knows how far the latest message was written.
 pub struct Socket {
     stream: TcpStream,
-    written: Cell<Written>,
+    write_progress: Cell<WriteProgress>,
     /// Whether the peer has sent anything since the latest message was begun.
     is_answering: Cell<bool>,
     /// Whether any of it came before the message was written completely.
     answered_early: Cell<bool>,
-    /// The first bytes received since [`Socket::record`], at most `record_limit`.
+    /// The first bytes received since [`Socket::record_up_to`], at most `record_limit`.
     recorded: RefCell<Vec<u8>>,
     record_limit: Cell<usize>,
     read_ahead: RefCell<ReadAhead>,
@@ -54,7 +54,7 @@
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             stream,
-            written: Cell::new(Written::Nothing),
+            write_progress: Cell::new(WriteProgress::None),
             is_answering: Cell::new(false),
             answered_early: Cell::new(false),
             recorded: RefCell::default(),
@@ -64,13 +64,13 @@
     }
 
     /// How much of the latest message was written.
-    pub fn written(&self) -> Written {
-        self.written.get()
+    pub fn write_progress(&self) -> WriteProgress {
+        self.write_progress.get()
     }
 
     /// The next message begins: nothing of it is written.
     pub(super) fn begin_message(&self) {
-        self.written.set(Written::Nothing);
+        self.write_progress.set(WriteProgress::None);
     }
 
     /// Whether the peer has sent anything since [`Socket::expect_answer`].
@@ -100,7 +100,7 @@
     }
 
     /// Records what comes in from now on, up to `most` bytes; nothing for 0.
-    pub fn record(&self, most: usize) {
+    pub fn record_up_to(&self, most: usize) {
         self.recorded.borrow_mut().clear();
         self.record_limit.set(most);
     }
@@ -111,7 +111,7 @@
     }
 
     /// Takes what was recorded, and stops recording.
-    pub fn recorded(&self) -> Vec<u8> {
+    pub fn take_recorded(&self) -> Vec<u8> {
         self.record_limit.set(0);
         self.recorded.take()
     }
@@ -166,7 +166,7 @@
 
     /// Whether the connection is open and has nothing to read. Asks the kernel, since the runtime may not have noticed
     /// yet.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         if !self.read_ahead.borrow().is_empty() {
             return false;
         }
@@ -178,7 +178,8 @@
     /// Takes in `count` bytes that were read into the unfilled part of `buffer`.
     fn received(&self, buffer: &mut ReadBuf<'_>, count: usize) {
         self.is_answering.set(true);
-        self.answered_early.set(self.answered_early.get() || self.written.get() != Written::Whole);
+        self.answered_early
+            .set(self.answered_early.get() || self.write_progress.get() != WriteProgress::Complete);
         let mut recorded = self.recorded.borrow_mut();
         let capacity = self.record_limit.get().saturating_sub(recorded.len());
         recorded.extend_from_slice(&buffer.initialize_unfilled()[..count.min(capacity)]);
@@ -233,7 +234,7 @@
             match self.0.stream.try_write_vectored(slices) {
                 Ok(count) => {
                     if count > 0 {
-                        self.0.written.set(Written::Part);
+                        self.0.write_progress.set(WriteProgress::Partial);
                     }
                     return Poll::Ready(Ok(count));
                 }
@@ -250,8 +251,8 @@
     /// hyper flushes once its buffer is empty, and buffers a request with a ready body completely before it writes any
     /// of it: a flush after a write means that the last byte is out.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.0.written.get() == Written::Part {
-            self.0.written.set(Written::Whole);
+        if self.0.write_progress.get() == WriteProgress::Partial {
+            self.0.write_progress.set(WriteProgress::Complete);
         }
         Poll::Ready(Ok(()))
     }
