--- a/crates/daemon/src/count_guard.rs
+++ b/crates/daemon/src/count_guard.rs
@@ -1,13 +1,13 @@
-//! Counts that go down by themselves.
+//! A counter of live objects that is decremented on drop.
 
 use std::cell::Cell;
 use std::ops::Deref;
 
-/// Adds one to a count, borrowed or shared, until it is dropped.
+/// Increments a borrowed or shared counter, and decrements it again when dropped.
 pub struct CountGuard<C: Deref<Target = Cell<usize>>>(C);
 
 impl<C: Deref<Target = Cell<usize>>> CountGuard<C> {
-    /// Adds one to `count`.
+    /// Increments `count` for the lifetime of the guard.
     pub fn new(count: C) -> Self {
         count.set(count.get() + 1);
         CountGuard(count)
--- a/crates/daemon/src/events/answer.rs
+++ b/crates/daemon/src/events/answer.rs
@@ -1,4 +1,4 @@
-//! The final answer to a request.
+//! The final answer to a client's request.
 
 use super::{EventQueue, HostEvent};
 use bytes::Bytes;
@@ -7,44 +7,45 @@
 use liftrouter_decision::RequestId;
 use std::rc::Rc;
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets exactly one.
 pub enum Answer {
-    /// A server's complete answer.
+    /// The complete response of a server.
     Served(Response<Bytes>),
-    /// The request was not forwarded; a retry is harmless.
+    /// The request was not forwarded, so the client may safely retry it.
     Rejected(Rejection),
-    /// The request failed, and its effect is unknown.
+    /// The request failed, and whether a server executed it is unknown.
     Failed,
-    /// The client may make its call itself. Until it has received this, it can still disconnect.
+    /// The client is authorized to call a server itself. The guard reports a disconnect if the client does not receive
+    /// this answer.
     Authorized(DisconnectGuard),
-    /// An authoriser denied the request; nothing was forwarded.
+    /// An external authorizer denied the request; it was not forwarded.
     Denied(Denial),
 }
 
-/// A rejected request: it was not forwarded, so a retry is harmless.
+/// Why a request was rejected, and when to retry. A rejected request was not forwarded, so a retry is safe.
 pub struct Rejection {
-    /// Seconds after which the client should retry; 0 if there is no advice.
+    /// Seconds after which the client should retry; 0 if no `Retry-After` is sent.
     pub retry_after_s: f64,
     /// Why it was rejected.
     pub cause: RejectionCause,
 }
 
-/// The cause of a rejection, as operators and clients see it.
+/// The cause of a rejection, as shown to clients.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum RejectionCause {
-    /// The quota, or the capacity of the servers.
+    /// The quota is used up, or the servers have no free capacity.
     Limit,
-    /// The endpoint list could not be confirmed in time.
+    /// The endpoint list has not been confirmed in time and may be out of date.
     EndpointListExpired,
 }
 
 impl Rejection {
-    /// A rejection because of the quota or the servers' capacity.
+    /// A rejection with the cause [`RejectionCause::Limit`].
     pub fn over_limit(retry_after_s: f64) -> Self {
         Rejection { retry_after_s, cause: RejectionCause::Limit }
     }
 
-    /// The answer's body: one line of text.
+    /// The body of the HTTP response: one line of text.
     pub fn body(&self) -> &'static str {
         match self.cause {
             RejectionCause::Limit => "refused: trying again is harmless\n",
@@ -55,16 +56,16 @@
     }
 }
 
-/// Reports that a client disconnected when it is dropped, unless the client got its answer.
+/// Reports on drop that the client disconnected, unless [`DisconnectGuard::disarm`] was called.
 pub struct DisconnectGuard {
-    /// Where it reports.
+    /// The queue that receives [`HostEvent::ClientDisconnected`].
     pub events: Rc<EventQueue>,
-    /// The request; none once the guard is disarmed.
+    /// The request's id; `None` once the guard is disarmed.
     pub id: Option<RequestId>,
 }
 
 impl DisconnectGuard {
-    /// The client has its answer: nothing is reported.
+    /// Drops the guard without a report, because the client has received its answer.
     pub fn disarm(mut self) {
         self.id = None;
     }
--- a/crates/daemon/src/events/endpoint.rs
+++ b/crates/daemon/src/events/endpoint.rs
@@ -1,13 +1,13 @@
-//! An endpoint as discovery lists it.
+//! An endpoint in an update of the endpoint list.
 
 use liftrouter_decision::EndpointEntry;
 use std::net::SocketAddr;
 
-/// An endpoint of the list, and where it listens.
+/// An entry of the endpoint list, with the address of its server.
 #[derive(Clone)]
 pub struct ListedEndpoint {
-    /// What the decision module has to know of it.
+    /// The entry that is passed to the decision module.
     pub entry: EndpointEntry,
-    /// Where it listens.
+    /// The address on which its server listens.
     pub address: SocketAddr,
 }
--- a/crates/daemon/src/events/mod.rs
+++ b/crates/daemon/src/events/mod.rs
@@ -1,8 +1,7 @@
-//! The events of the host: every part of the daemon reports what happened to one queue, and only the host takes events
-//! out.
+//! The event queue of the host. Every part of the daemon pushes events to it, and only the host takes them out.
 //!
-//! Listeners, upstream connections and discovery hold a handle and push; none of them knows the host. Events are taken
-//! in the order in which they were pushed. Everything runs on one thread, so there is no lock.
+//! Listeners, upstream connections and discovery hold a handle to the queue and do not depend on the host. Events are
+//! handled in the order in which they were pushed. Everything runs on one thread, so the queue needs no lock.
 
 mod answer;
 mod attempt;
@@ -19,7 +18,7 @@
 use liftrouter_decision::{EndpointId, LoadReport, Outcome, RequestId};
 use std::time::Duration;
 
-/// What happened.
+/// An event that the host handles.
 pub enum HostEvent {
     /// A request has been received completely.
     RequestReceived {
@@ -27,12 +26,12 @@
         id: RequestId,
         /// The request.
         request: IncomingRequest,
-        /// Where its one answer goes.
+        /// Channel for the answer.
         reply: ReplySender,
     },
-    /// The client closed its connection before it was answered.
+    /// A client closed its connection before it received the answer to this request.
     ClientDisconnected(RequestId),
-    /// An attempt has ended, and with it its use of a connection unless that can be used again.
+    /// An attempt has ended. Its connection is closed, unless it can be reused.
     AttemptEnded {
         /// The request's id.
         id: RequestId,
@@ -43,46 +42,47 @@
     },
     /// A call to the counter has ended.
     CounterReply {
-        /// Name of the count.
+        /// Key of the count at the counter service.
         key: String,
         /// How the call ended.
         outcome: Outcome,
-        /// The total; 0 unless the outcome is [`Outcome::Ok`].
+        /// The count's total after the increment; 0 unless the outcome is [`Outcome::Ok`].
         total: f64,
         /// How long the call took.
         elapsed: Duration,
     },
-    /// How far the counter's totals may be relied on from now on.
+    /// The counter validation has a new verdict on how far the counter's totals are reliable.
     CounterValidity {
-        /// Share of each quota that the totals may divide, from 0 to 1.
+        /// The ratio of each quota, from 0 to 1, that may be divided among limiters by the totals.
         usable_quota_ratio: f64,
-        /// Pauses of the process that the validation knew of.
+        /// Number of pauses of the process that the validation had been notified of.
         pauses: u32,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
         /// How the check ended.
         outcome: Outcome,
         /// The load that the endpoint reported.
         report: LoadReport,
     },
-    /// The endpoint list, or changes to it.
+    /// The complete endpoint list, or changes to it.
     EndpointUpdate {
-        /// Whether `endpoints` is the complete list.
+        /// Whether `endpoints` is the complete list; otherwise endpoints that are not named are unchanged.
         complete: bool,
-        /// The endpoints.
+        /// The listed or changed endpoints.
         endpoints: Vec<ListedEndpoint>,
-        /// Version of the list, if requests carry it to servers.
+        /// Version of the inventory file, which requests carry in `X-Inventory`; `None` if the list comes from the
+        /// discovery service.
         version: Option<u64>,
     },
-    /// The endpoint list can no longer be followed.
+    /// The watch of the endpoint list has failed.
     WatchFailed,
-    /// The endpoint list could not be confirmed in time; new requests are rejected until it is.
+    /// The endpoint list has not been confirmed in time; new requests are rejected until it is.
     EndpointListExpired,
     /// The endpoint list has been confirmed again.
     EndpointListConfirmed,
-    /// The process ends soon: requests without an answer are answered now.
+    /// The time for a graceful shutdown is nearly over: every unanswered request fails now.
     ShutdownDeadline,
 }
--- a/crates/daemon/src/events/queue.rs
+++ b/crates/daemon/src/events/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events, and the number of requests that are open.
+//! The event queue, and the numbers of open and unanswered requests.
 
 use super::{Answer, HostEvent, IncomingRequest};
 use crate::count_guard::CountGuard;
@@ -8,20 +8,20 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// Where the one answer to a request goes. While it exists, the request counts as unanswered.
+/// Sends the answer to a request. The request counts as unanswered until this is dropped.
 pub struct ReplySender {
     sender: oneshot::Sender<Answer>,
     _unanswered: CountGuard<Rc<Cell<usize>>>,
 }
 
 impl ReplySender {
-    /// Sends the answer. The client may have disconnected, so nobody may receive it.
+    /// Sends the answer. It is discarded if the client has disconnected.
     pub fn send(self, answer: Answer) {
         let _ = self.sender.send(answer);
     }
 }
 
-/// The queue, shared by handle.
+/// The event queue; its users share it as an `Rc`.
 #[derive(Default)]
 pub struct EventQueue {
     events: RefCell<VecDeque<HostEvent>>,
@@ -43,7 +43,7 @@
         self.pushed.notify_one();
     }
 
-    /// Hands a request in; the receiver gets its one answer.
+    /// Assigns an id to a request and pushes it to the host. The returned receiver gets the answer.
     pub fn submit(&self, request: IncomingRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
@@ -54,7 +54,7 @@
         (id, answer)
     }
 
-    /// Number of requests that are not over: unanswered, or with an attempt in flight.
+    /// Number of requests that are unanswered or have an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.open_requests.get()
     }
@@ -64,17 +64,17 @@
         self.unanswered_requests.get()
     }
 
-    /// For the host: a request is over.
+    /// Called by the host when a request is answered and has no attempt in flight.
     pub fn request_closed(&self) {
         self.open_requests.set(self.open_requests.get().saturating_sub(1));
     }
 
-    /// For the host: takes the oldest event.
+    /// Called by the host: removes and returns the oldest event.
     pub fn pop(&self) -> Option<HostEvent> {
         self.events.borrow_mut().pop_front()
     }
 
-    /// For the host: waits until there may be an event.
+    /// Called by the host: waits until an event may have been pushed.
     pub async fn wait(&self) {
         self.pushed.notified().await;
     }
--- a/crates/daemon/src/events/request.rs
+++ b/crates/daemon/src/events/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, as a listener hands it in.
+//! A client's request, as a listener passes it to the host.
 
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -7,32 +7,32 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What happens with a request that is admitted.
+/// What happens once a request is admitted.
 pub enum RequestKind {
-    /// It is forwarded to a server.
+    /// The limiter forwards the request to a server.
     Forward(Rc<ForwardedRequest>),
-    /// Its client makes the call itself, which counts as in flight until the deadline at most.
+    /// The client calls a server itself; the call counts as in flight until the deadline at the latest.
     Authorization {
-        /// When the call is over at the latest.
+        /// When the call has ended at the latest.
         deadline: Instant,
     },
 }
 
-/// A client's request as the decision module needs it, and what is forwarded.
+/// A client's request: the parameters for the decision module, and the part to forward.
 pub struct IncomingRequest {
-    /// The customer that it belongs to.
+    /// Id of the customer that the request belongs to.
     pub customer: String,
     /// Name of the customer's plan.
     pub plan: String,
     /// Name of the request's class.
     pub class: String,
-    /// Units that it is expected to use.
+    /// Units that the request is expected to use.
     pub units: f64,
-    /// Number of instances that the customer reaches.
+    /// Number of limiters that the customer's requests can reach.
     pub reachable_instances: u32,
-    /// Whether the client says that it is a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// What happens with it once it is admitted.
+    /// What happens once the request is admitted.
     pub kind: RequestKind,
 }
 
@@ -42,14 +42,14 @@
     pub method: Method,
     /// Path and query.
     pub target: PathAndQuery,
-    /// Id by which client and server correlate the request.
+    /// Value of `X-Correlation-Id`, by which client and server correlate the request.
     pub correlation_id: HeaderValue,
-    /// Key by which a server recognises a repeated request, if there is one.
+    /// Key by which servers detect duplicates of the request, if the client sent one.
     pub idempotency_key: Option<HeaderValue>,
-    /// The client's headers that are forwarded, with an authoriser's changes.
+    /// The client's headers that are forwarded, after changes by the authorizer.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When the answer has to be written.
+    /// When the response has to be written to the client.
     pub deadline: Instant,
 }
--- a/crates/daemon/src/host/attempts.rs
+++ b/crates/daemon/src/host/attempts.rs
@@ -1,30 +1,32 @@
-//! Attempts: started by the module's action, ended by their own task or aborted by the host.
+//! Attempts. The module's actions start them; they end with their own task, or the host aborts them.
 
 use super::Host;
 use crate::events::{Answer, AttemptResult};
-use crate::upstream::attempt::{Attempt, Limits};
+use crate::upstream::attempt::{Attempt, AttemptDeadlines};
 use liftrouter_decision::{EndpointId, Event, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Longest timeout of an attempt, in seconds; a longer one is as good as none.
-const MAX_TIMEOUT: f64 = 1e6;
+/// Longest timeout of an attempt, in seconds. A longer one is shortened to this, which has the same effect as no
+/// timeout.
+const MAX_TIMEOUT_S: f64 = 1e6;
 
-/// The attempt of a request that is in flight.
+/// An attempt that is in flight.
 pub(super) struct RunningAttempt {
-    /// Its number, from 0.
+    /// The attempt's number within its request, from 0.
     pub(super) number: u32,
-    /// The server that it was sent to.
+    /// The server that the attempt is made at.
     pub(super) endpoint: EndpointId,
     started_at: Instant,
-    /// Shared with its task.
+    /// State shared with the attempt's task.
     pub(super) attempt: Rc<Attempt>,
     task: JoinHandle<()>,
 }
 
 impl Host {
+    /// Starts an attempt, or reports that it was not sent if it is not allowed.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -35,8 +37,8 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         let number = open.attempts;
         open.attempts += 1;
-        // Enforces the rules even against the module: no attempt for a request that is answered or that its client
-        // sends itself, never two attempts at once, and no more attempts than the settings allow.
+        // These invariants hold even if the module violates them: no attempt for an answered request or for an
+        // authorization, at most one attempt of a request at a time, and no more attempts than the settings allow.
         let allowed =
             open.reply.is_some() && open.running.is_none() && number < self.max_attempts && timeout_s >= 0.0;
         let Some(forward) = open.forward.clone().filter(|_| allowed) else {
@@ -44,32 +46,33 @@
         };
         let started_at = Instant::now();
         let deadline = forward.deadline;
-        let give_up = if timeout_s > 0.0 {
-            (started_at + Duration::from_secs_f64(timeout_s.min(MAX_TIMEOUT))).min(deadline)
+        let response_deadline = if timeout_s > 0.0 {
+            (started_at + Duration::from_secs_f64(timeout_s.min(MAX_TIMEOUT_S))).min(deadline)
         } else {
             deadline
         };
-        let write_by = give_up.min(self.clock.instant(send_deadline));
-        // Address and version are those of the choice: a later list must not mix in.
+        let write_deadline = response_deadline.min(self.clock.instant(send_deadline));
+        // The address and the inventory version are those of the list from which the module chose the endpoint, even if
+        // the list changes before the request is sent.
         let address = self.clients.servers.address(&endpoint);
-        let attempt = Rc::new(Attempt::new(address, self.endpoint_list_version));
-        let task = tokio::task::spawn_local(self.clients.servers.clone().attempt(
+        let attempt = Rc::new(Attempt::new(address, self.inventory_version));
+        let task = tokio::task::spawn_local(self.clients.servers.clone().run_attempt(
             self.events.clone(),
             (id, number),
             endpoint.clone(),
             (forward, attempt.clone()),
-            Limits { write_by, give_up },
+            AttemptDeadlines { write_deadline, response_deadline },
         ));
         open.running = Some(RunningAttempt { number, endpoint, started_at, attempt, task });
     }
 
-    /// Passes on how an attempt ended: its answer to the client, and its result to the module.
+    /// Handles the end of an attempt: sends its response to the client and reports the result to the module.
     pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(running) = open.running.take_if(|running| running.number == attempt) else { return };
-        if let Some(answer) = result.answer {
+        if let Some(response) = result.response {
             if let Some(reply) = open.reply.take() {
-                reply.send(Answer::Served(answer));
+                reply.send(Answer::Served(response));
             }
         }
         self.pending.push_back(Event::AttemptEnded {
@@ -81,11 +84,11 @@
             units: result.units,
             report: result.report,
         });
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Aborts an attempt: its connection is closed when this returns, and its task runs no further. `false` if it has
-    /// ended already; then its result is in the event queue.
+    /// Aborts an attempt: closes its connection before returning, and stops its task. Returns `false` if the attempt is
+    /// not in flight, or has ended already and its result is in the event queue.
     pub(super) fn abort_attempt(&self, id: RequestId, attempt: u32) -> bool {
         let running = self.requests.get(&id).and_then(|open| open.running.as_ref());
         let Some(running) = running.filter(|r| r.number == attempt && !r.attempt.is_reported()) else {
--- a/crates/daemon/src/host/endpoint_updates.rs
+++ b/crates/daemon/src/host/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and what they mean for attempts in flight.
+//! Applies updates of the endpoint list, and aborts the attempts in flight that they invalidate.
 
 use super::Host;
 use crate::events::{AttemptResult, ListedEndpoint};
@@ -6,40 +6,41 @@
 use liftrouter_decision::{EndpointId, EndpointState, Event, Outcome, RequestId};
 use std::collections::HashSet;
 
-/// Endpoints that take no new work after an update.
+/// Endpoints that accept no new requests after an update.
 #[derive(Default)]
 struct Withdrawn {
     removed: HashSet<EndpointId>,
     draining: HashSet<EndpointId>,
 }
 
-/// An attempt in flight at an endpoint that was withdrawn.
-struct LostAttempt {
+/// An attempt in flight that has to be aborted, because its endpoint was withdrawn.
+struct InvalidatedAttempt {
     id: RequestId,
     number: u32,
-    /// Whether it was written completely.
+    /// Whether the request was written completely.
     sent: bool,
 }
 
 impl Host {
-    /// Applies an update of the list. Attempts in flight at removed endpoints are aborted, and attempts at draining
-    /// endpoints that are not written yet: neither may receive anything new.
+    /// Applies an update of the list. Aborts the attempts in flight at removed endpoints, and those at draining
+    /// endpoints whose request is not written completely: neither kind of endpoint may receive anything new.
     pub(super) fn update_endpoints(&mut self, complete: bool, listed: Vec<ListedEndpoint>) {
         let withdrawn = self.update_servers(complete, &listed);
-        // The module first: it answers the results of aborted attempts with new ones.
+        // The module gets the list first, because it reacts to the result of an aborted attempt by starting a new one.
         let entries = listed.into_iter().map(|endpoint| endpoint.entry).collect();
         self.dispatch(if complete { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) });
-        for LostAttempt { id, number, sent } in self.lost_attempts(&withdrawn) {
-            // The result of an earlier one may have ended this one.
+        for InvalidatedAttempt { id, number, sent } in self.invalidated_attempts(&withdrawn) {
+            // Handling the result of an earlier attempt in this loop may have ended this one.
             if !self.abort_attempt(id, number) {
                 continue;
             }
             let outcome = if sent { Outcome::Reset } else { Outcome::ConnectFailed };
-            self.attempt_ended(id, number, AttemptResult::of(outcome));
+            self.attempt_ended(id, number, AttemptResult::without_response(outcome));
             self.run_pending();
         }
     }
 
+    /// Updates the table of servers, and returns the endpoints that accept no new requests any more.
     fn update_servers(&self, complete: bool, listed: &[ListedEndpoint]) -> Withdrawn {
         let servers = &self.clients.servers;
         let mut withdrawn = Withdrawn::default();
@@ -61,17 +62,17 @@
         withdrawn
     }
 
-    /// Attempts that have to be aborted. One whose end is reported is left alone: its result comes next, and may be that
-    /// it was served.
-    fn lost_attempts(&self, withdrawn: &Withdrawn) -> Vec<LostAttempt> {
+    /// The attempts that have to be aborted. An attempt whose result is in the event queue is left out, because that
+    /// result may be a success.
+    fn invalidated_attempts(&self, withdrawn: &Withdrawn) -> Vec<InvalidatedAttempt> {
         let running = self.requests.iter().filter_map(|(id, open)| Some((*id, open.running.as_ref()?)));
-        let lost = running.filter_map(|(id, running)| {
-            let sent = running.attempt.sent();
+        let invalidated = running.filter_map(|(id, running)| {
+            let sent = running.attempt.is_sent();
             let removed = withdrawn.removed.contains(&running.endpoint);
             let draining = withdrawn.draining.contains(&running.endpoint);
-            let lost = (removed || (draining && !sent)) && !running.attempt.is_reported();
-            lost.then_some(LostAttempt { id, number: running.number, sent })
+            let is_invalidated = (removed || (draining && !sent)) && !running.attempt.is_reported();
+            is_invalidated.then_some(InvalidatedAttempt { id, number: running.number, sent })
         });
-        lost.collect()
+        invalidated.collect()
     }
 }
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -1,8 +1,8 @@
-//! The host of the decision module: takes events one by one, passes them to the module, and carries its actions out.
+//! The host of the decision module: passes events to the module one by one and performs the actions that it returns.
 //!
-//! It owns the [`Limiter`], the clock, the timers and the table of requests; nothing else calls the module. One task runs
-//! it, so an action whose outcome is known at once never re-enters the module: the event that follows from it waits in
-//! the host's own queue and comes before the next event of the daemon.
+//! The host owns the [`Limiter`], the clock, the timers and the table of requests; nothing else calls the module. It
+//! runs in a single task. If the outcome of an action is known at once, the resulting event does not re-enter the
+//! module: it is added to the host's `pending` queue, which is emptied before the next event of the daemon is handled.
 
 mod attempts;
 mod clock;
@@ -27,14 +27,14 @@
 use timers::TimerQueue;
 use tokio::time::{sleep_until, Instant};
 
-/// With no timer set there is nothing to wake up for but events, so any long time will do.
+/// Time until the next wake-up when no timer is set. Events wake the host anyway, so any long time will do.
 const IDLE_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// What the host calls to carry actions out.
+/// The clients that the host uses to perform actions.
 pub struct Clients {
-    /// The servers.
+    /// The servers, with the connections to them.
     pub servers: Rc<Servers>,
-    /// The counters.
+    /// The counter services.
     pub counters: Rc<CounterPool>,
 }
 
@@ -44,21 +44,21 @@
     clock: Clock,
     events: Rc<EventQueue>,
     clients: Clients,
-    /// Events that followed from actions and are not passed to the module yet.
+    /// Events that resulted from actions and have not been passed to the module yet.
     pending: VecDeque<Event>,
     requests: HashMap<RequestId, OpenRequest>,
     timers: TimerQueue,
     max_attempts: u32,
-    /// Why a request is rejected now, as far as it is known outside the module.
+    /// The cause that is given for rejections at present; the module does not name one.
     rejection_cause: RejectionCause,
-    /// Version of the endpoint list that servers are chosen from.
-    endpoint_list_version: Option<u64>,
-    /// Detects pauses of the process, if the counter is validated.
+    /// Version of the inventory file that the endpoint list was read from, if any.
+    inventory_version: Option<u64>,
+    /// Detects pauses of the process; `None` unless the counter is validated.
     pause_detector: Option<PauseDetector>,
 }
 
 impl Host {
-    /// A host with a new decision module.
+    /// Creates a host with a new decision module.
     pub fn new(settings: Settings, seed: u64, events: Rc<EventQueue>, clients: Clients) -> Self {
         let clock = Clock::start();
         let now = clock.seconds(Instant::now());
@@ -72,12 +72,12 @@
             requests: HashMap::new(),
             timers: TimerQueue::default(),
             rejection_cause: RejectionCause::Limit,
-            endpoint_list_version: None,
+            inventory_version: None,
             pause_detector: None,
         }
     }
 
-    /// Runs for as long as it is polled.
+    /// Handles events and timers; never returns.
     pub async fn run(mut self) {
         let events = self.events.clone();
         let mut sleep = pin!(sleep_until(Instant::now() + IDLE_SLEEP));
@@ -123,7 +123,7 @@
                 self.dispatch(Event::CounterReply { key, outcome, total, elapsed_s });
             }
             HostEvent::CounterValidity { usable_quota_ratio, pauses } => {
-                // A verdict from before a pause that the validation did not know of is out of date.
+                // A verdict is out of date if the validation had not been notified of a pause that has happened since.
                 if pauses == self.clients.counters.changes().pauses {
                     self.dispatch(Event::CounterValidity { usable_quota_ratio });
                 }
@@ -132,7 +132,7 @@
                 self.dispatch(Event::HealthChecked { endpoint, outcome, report });
             }
             HostEvent::EndpointUpdate { complete, endpoints, version } => {
-                self.endpoint_list_version = version;
+                self.inventory_version = version;
                 self.update_endpoints(complete, endpoints);
             }
             HostEvent::WatchFailed => self.dispatch(Event::DiscoveryFailed),
@@ -142,33 +142,33 @@
         }
     }
 
-    /// Wakes the module at the times that it asked for. Timers set meanwhile wait for the next round: a timer never
-    /// fires in the round that set it.
+    /// Passes the timers that are due to the module. Timers that it sets meanwhile are left for the next call, even if
+    /// they are due already.
     fn fire_timers(&mut self) {
         for token in self.timers.take_due(Instant::now()) {
             self.dispatch(Event::Timer { token });
         }
     }
 
-    /// Passes an event to the module and carries out what follows.
+    /// Passes an event to the module and performs the actions that result.
     fn dispatch(&mut self, event: Event) {
         self.pending.push_back(event);
         self.run_pending();
     }
 
-    /// Passes pending events to the module until none is left.
+    /// Passes the pending events to the module until none is left.
     fn run_pending(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
             let now = self.clock.seconds(Instant::now());
             self.limiter.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.perform(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send { id, endpoint, timeout_s, send_deadline } => {
                 self.start_attempt(id, endpoint, timeout_s, send_deadline);
@@ -184,7 +184,7 @@
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 if self.abort_attempt(id, attempt) {
-                    self.attempt_ended(id, attempt, AttemptResult::of(Outcome::Cancelled));
+                    self.attempt_ended(id, attempt, AttemptResult::without_response(Outcome::Cancelled));
                 }
             }
             Action::IncrementCounter { key, increment, ttl_s } => {
@@ -192,7 +192,7 @@
             }
             Action::SetTimer { expires_at, token } => self.timers.set(self.clock.instant(expires_at), token),
             Action::CheckHealth { endpoint } => self.check_health(endpoint),
-            // Discovery follows the list all the time.
+            // Discovery watches the list all the time, so nothing has to be started.
             Action::WatchEndpoints => {}
         }
     }
--- a/crates/daemon/src/host/pauses.rs
+++ b/crates/daemon/src/host/pauses.rs
@@ -1,4 +1,4 @@
-//! Pauses of the process: what the module learned before one is out of date after it.
+//! Detects pauses of the process, after which quota shares learned before them are out of date.
 
 use super::Host;
 use crate::log;
@@ -6,22 +6,23 @@
 use liftrouter_decision::Event;
 use tokio::time::Instant;
 
-/// Longest time between two checks of the clock, in seconds, that is not a pause: longer than any work of the process
-/// takes, and shares of quotas change little in less.
-const MAX_GAP: f64 = 1.0;
+/// Longest time between two checks of the clock, in seconds, that is not taken for a pause. No task of the process runs
+/// for that long, and quota shares change little within it.
+const MAX_CHECK_GAP_S: f64 = 1.0;
 
 impl Host {
-    /// Detects pauses, so that shares of quotas learned before one are not used after it.
+    /// Enables the detection of pauses, so that quota shares learned before a pause are not used after it.
     pub fn with_pause_detection(mut self) -> Self {
-        self.pause_detector = Some(PauseDetector::new(MAX_GAP, self.clock.seconds(Instant::now())));
+        self.pause_detector = Some(PauseDetector::new(MAX_CHECK_GAP_S, self.clock.seconds(Instant::now())));
         self
     }
 
-    /// Checks whether the process was paused. This comes before any event is handled, or old shares would be used.
+    /// Checks whether the process was paused. Called before any event is handled, since the event would otherwise be
+    /// decided with outdated quota shares.
     pub(super) fn check_for_pause(&mut self) {
         let now = self.clock.seconds(Instant::now());
         if let Some(gap) = self.pause_detector.as_mut().and_then(|detector| detector.check(now)) {
-            log("liftrouter", format_args!("stood still for {gap:.1} s: shares of quotas are learned anew"));
+            log("liftrouter", format_args!("stood still for {gap:.1} s: relearning quota shares"));
             self.clients.counters.process_resumed();
             self.dispatch(Event::CounterValidity { usable_quota_ratio: 0.0 });
         }
--- a/crates/daemon/src/host/requests.rs
+++ b/crates/daemon/src/host/requests.rs
@@ -1,5 +1,5 @@
-//! The table of requests: each has one answer and at most one attempt in flight, and is removed when it has the first
-//! and none of the second.
+//! The table of open requests. Each gets exactly one answer and has at most one attempt in flight; it is removed once
+//! it is answered and has no attempt in flight.
 
 use super::attempts::RunningAttempt;
 use super::Host;
@@ -9,17 +9,18 @@
 
 /// A request that is unanswered or has an attempt in flight.
 pub(super) struct OpenRequest {
-    /// What is forwarded; none for an authorization.
+    /// The request to forward; `None` for an authorization.
     pub(super) forward: Option<Rc<ForwardedRequest>>,
-    /// Where the answer goes; none once it is answered.
+    /// Channel for the answer; `None` once the request is answered.
     pub(super) reply: Option<ReplySender>,
-    /// Number of attempts so far.
+    /// Number of attempts started so far.
     pub(super) attempts: u32,
     /// The attempt in flight.
     pub(super) running: Option<RunningAttempt>,
 }
 
 impl Host {
+    /// Adds a request to the table and passes it to the module.
     pub(super) fn request_received(&mut self, id: RequestId, incoming: IncomingRequest, reply: ReplySender) {
         let (forward, deadline) = match incoming.kind {
             RequestKind::Forward(forward) => {
@@ -43,18 +44,19 @@
         self.dispatch(if is_authorization { Event::Authorization(request) } else { Event::Request(request) });
     }
 
+    /// Reports to the module that a client disconnected before it received the answer.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
-        // An authorization is removed from the table once it is answered. The module still has to know if its client
-        // never received the answer.
+        // An authorization is removed from the table once it is answered, but the module still has to be notified if
+        // its client never received the answer.
         if self.requests.get_mut(&id).is_none_or(|open| open.reply.take().is_some()) {
             self.dispatch(Event::ClientDisconnected { id });
             self.abort_unsent_attempt(id);
             self.run_pending();
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Fails every request without an answer. For the module that is a client that disconnected: it owes no answer.
+    /// Fails every unanswered request. The module is told that the clients disconnected, so that it sends no answers.
     pub(super) fn fail_unanswered(&mut self) {
         let unanswered = self.requests.iter().filter(|(_, open)| open.reply.is_some());
         let ids: Vec<_> = unanswered.map(|(id, _)| *id).collect();
@@ -64,27 +66,27 @@
         }
     }
 
-    /// Answers a request, unless it is answered already.
+    /// Answers a request unless it is answered already, and aborts its attempt if that is not written completely.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(reply) = self.requests.get_mut(&id).and_then(|open| open.reply.take()) {
             reply.send(answer);
         }
         self.abort_unsent_attempt(id);
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Aborts the attempt of a request that is over, if it has not been written completely: it never runs. That holds
-    /// whether the server supports cancellation or not. An attempt that is written stays in flight until it ends.
+    /// Aborts the attempt in flight of an answered request if it has not been written completely. The server then never
+    /// executes it, whether it supports cancellation or not. An attempt that is written stays in flight until it ends.
     fn abort_unsent_attempt(&mut self, id: RequestId) {
         let running = self.requests.get(&id).and_then(|open| open.running.as_ref());
-        let Some(attempt) = running.filter(|r| !r.attempt.sent()).map(|r| r.number) else { return };
+        let Some(attempt) = running.filter(|r| !r.attempt.is_sent()).map(|r| r.number) else { return };
         if self.abort_attempt(id, attempt) {
-            self.attempt_ended(id, attempt, AttemptResult::of(Outcome::NotSent));
+            self.attempt_ended(id, attempt, AttemptResult::without_response(Outcome::NotSent));
         }
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
-    pub(super) fn remove_if_over(&mut self, id: RequestId) {
+    /// Removes a request if it is answered and has no attempt in flight.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| open.reply.is_none() && open.running.is_none()) {
             self.requests.remove(&id);
             self.events.request_closed();
--- a/crates/daemon/src/http2.rs
+++ b/crates/daemon/src/http2.rs
@@ -1,4 +1,5 @@
-//! What HTTP/2 clients and servers share: an executor of this thread, and a socket whose frames are metered.
+//! Shared by HTTP/2 clients and servers: a hyper executor for the current thread, and a TCP stream whose incoming
+//! frames are rate-limited.
 
 use hyper::rt::Executor;
 use liftrouter_authz::FrameMeter;
@@ -12,36 +13,36 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Runs the tasks that hyper starts on this thread.
+/// A hyper executor that runs every task on the current thread, so that tasks need not be `Send`.
 #[derive(Clone, Copy)]
 pub struct LocalExecutor;
 
 impl<F: Future + 'static> Executor<F> for LocalExecutor {
     fn execute(&self, task: F) {
-        // The handle is not needed: the task ends with its stream.
+        // The task ends by itself when its stream closes, so the join handle is not needed.
         drop(tokio::task::spawn_local(async move {
             task.await;
         }));
     }
 }
 
-/// A socket that ends with an error when its peer exceeds the frame rates of a meter.
+/// A TCP stream that fails with an error once its peer exceeds the frame rates that a [`FrameMeter`] allows.
 pub struct MeteredStream {
     stream: TcpStream,
     meter: FrameMeter,
-    /// Times of the meter are seconds from here.
+    /// Origin of the times, in seconds, that are passed to the meter.
     opened_at: Instant,
     last_read: Rc<Cell<Instant>>,
 }
 
 impl MeteredStream {
-    /// Meters a socket from now on.
+    /// Wraps a stream and meters the frames that it receives from now on.
     pub fn new(stream: TcpStream, meter: FrameMeter) -> MeteredStream {
         let now = Instant::now();
         MeteredStream { stream, meter, opened_at: now, last_read: Rc::new(Cell::new(now)) }
     }
 
-    /// When anything last came, kept up to date.
+    /// A shared cell that holds the time of the most recent read.
     pub fn last_read(&self) -> Rc<Cell<Instant>> {
         self.last_read.clone()
     }
@@ -59,7 +60,7 @@
         self.last_read.set(now);
         let seconds = now.saturating_duration_since(self.opened_at).as_secs_f64();
         let read = self.meter.read(&buffer.filled()[before..], seconds);
-        Poll::Ready(read.map_err(|flood| io::Error::other(flood.to_string())))
+        Poll::Ready(read.map_err(|error| io::Error::other(error.to_string())))
     }
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
-//! The parts of a limiter on real sockets: listeners, upstream connections and discovery report to one event queue, the
-//! host alone calls the decisions. The binary is a thin shell around [`cli::main`]; tools of this workspace use the parts
-//! by themselves.
+//! The limiter daemon. Listeners, upstream connections and discovery push events to one queue, and only the host passes
+//! them to the decision module. The binary just calls [`cli::main`]; other tools of this workspace use single modules
+//! of this library.
 #![forbid(unsafe_code)]
 
 pub mod authoriser;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! liftrouter: a quota-keeping rate limiter on real sockets.
+//! The `liftrouter` program: a rate limiter that enforces shared quotas per customer.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one server.
+//! A single attempt to have a request served by one server.
 
 use super::answer;
 use super::connection::{ExchangeError, HttpConnection};
@@ -17,109 +17,115 @@
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// A running attempt: where it goes, and what it takes to abort it.
+/// The state of a running attempt, shared between its task and the host, which may abort it.
 pub struct Attempt {
     address: Option<SocketAddr>,
-    endpoint_list_version: Option<u64>,
+    inventory_version: Option<u64>,
     socket: RefCell<Option<Rc<Socket>>>,
     is_reported: Cell<bool>,
 }
 
 impl Attempt {
-    /// An attempt at this address, if the server takes new work, chosen by this version of the endpoint list.
-    pub fn new(address: Option<SocketAddr>, endpoint_list_version: Option<u64>) -> Self {
+    /// Creates an attempt at the server with this address, which is `None` if the server accepts no new requests.
+    /// `inventory_version` is the version of the inventory file that the server was chosen from.
+    pub fn new(address: Option<SocketAddr>, inventory_version: Option<u64>) -> Self {
         let (socket, is_reported) = (RefCell::default(), Cell::new(false));
-        Attempt { address, endpoint_list_version, socket, is_reported }
+        Attempt { address, inventory_version, socket, is_reported }
     }
 
-    /// Closes its connection.
+    /// Closes the attempt's connection.
     pub fn abort(&self) {
         if let Some(socket) = self.socket.borrow().as_ref() {
             socket.abort();
         }
     }
 
-    /// Lets go of the connection, which is closed when it is dropped, or kept for other attempts.
+    /// Drops this handle to the socket. The connection's owner then closes the connection or returns it to the pool.
     fn release(&self) {
         self.socket.borrow_mut().take();
     }
 
-    /// Whether its result is in the event queue: nothing can change it any more.
+    /// Whether the attempt's result has been pushed to the event queue and is therefore final.
     pub fn is_reported(&self) -> bool {
         self.is_reported.get()
     }
 
-    /// Whether its request may have reached the server completely, while its result is not reported.
-    pub fn sent(&self) -> bool {
+    /// Whether the request was written completely, so that the server may have received it. `false` again once the
+    /// result is reported.
+    pub fn is_sent(&self) -> bool {
         self.socket.borrow().as_ref().is_some_and(|socket| socket.write_progress() == WriteProgress::Complete)
     }
 }
 
-/// The time limits of an attempt.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub struct AttemptDeadlines {
     /// When the request has to be written completely.
-    pub write_by: Instant,
-    /// When the answer has to be complete.
-    pub give_up: Instant,
+    pub write_deadline: Instant,
+    /// When the response has to be complete.
+    pub response_deadline: Instant,
 }
 
-/// A connection that may be kept, and the address that it leads to.
-type Kept = Option<(SocketAddr, HttpConnection)>;
+/// A connection that may be reused, with the address of its server.
+type Reusable = Option<(SocketAddr, HttpConnection)>;
 
-fn failed(outcome: Outcome) -> (AttemptResult, Kept) {
-    (AttemptResult::of(outcome), None)
+/// The end of an attempt without a response; its connection is not reused.
+fn failed(outcome: Outcome) -> (AttemptResult, Reusable) {
+    (AttemptResult::without_response(outcome), None)
 }
 
 impl Servers {
-    /// Runs an attempt and reports its result; a connection that can be used again is kept.
-    pub async fn attempt(
+    /// Runs an attempt, reports its result, and returns a reusable connection to the pool.
+    pub async fn run_attempt(
         self: Rc<Self>,
         events: Rc<EventQueue>,
         (id, number): (RequestId, u32),
         endpoint: EndpointId,
         (forward, attempt): (Rc<ForwardedRequest>, Rc<Attempt>),
-        limits: Limits,
+        deadlines: AttemptDeadlines,
     ) {
-        let (result, kept) = self.run(&endpoint, &forward, &attempt, limits).await;
-        // This closes the socket of a failed attempt: the next attempt may start.
+        let (result, reusable) = self.send_within(&endpoint, &forward, &attempt, deadlines).await;
+        // Closes the socket of a failed attempt before its result is reported, since the next attempt may start then.
         attempt.release();
         attempt.is_reported.set(true);
         events.push(HostEvent::AttemptEnded { id, attempt: number, result });
-        if let Some((address, connection)) = kept {
-            self.keep(&endpoint, address, connection).await;
+        if let Some((address, connection)) = reusable {
+            self.return_connection(&endpoint, address, connection).await;
         }
     }
 
-    /// Runs an attempt within its limits.
-    async fn run(
+    /// Sends a request and waits for its response, within the attempt's deadlines.
+    async fn send_within(
         &self,
         endpoint: &EndpointId,
         forward: &ForwardedRequest,
         attempt: &Attempt,
-        Limits { write_by, give_up }: Limits,
-    ) -> (AttemptResult, Kept) {
-        let mut sending = pin!(self.send(endpoint, forward, attempt, give_up));
-        let mut result = timeout_at(write_by, sending.as_mut()).await;
-        if result.is_err() && attempt.sent() {
-            result = timeout_at(give_up, sending).await;
+        AttemptDeadlines { write_deadline, response_deadline }: AttemptDeadlines,
+    ) -> (AttemptResult, Reusable) {
+        let mut sending = pin!(self.send(endpoint, forward, attempt, response_deadline));
+        let mut result = timeout_at(write_deadline, sending.as_mut()).await;
+        if result.is_err() && attempt.is_sent() {
+            result = timeout_at(response_deadline, sending).await;
         }
         match result {
             Ok(ended) => ended,
-            // Not written completely in time, it never ran. Too late for its key, that says nothing of the server.
-            Err(_) if !attempt.sent() && write_by < give_up => failed(Outcome::NotSent),
-            Err(_) if !attempt.sent() => failed(Outcome::ConnectFailed),
+            // A request that was not written completely never ran. If only the write deadline has passed, which is
+            // given by the deduplication window, the server is not at fault.
+            Err(_) if !attempt.is_sent() && write_deadline < response_deadline => failed(Outcome::NotSent),
+            Err(_) if !attempt.is_sent() => failed(Outcome::ConnectFailed),
             Err(_) => failed(Outcome::Timeout),
         }
     }
 
+    /// Sends a request over an idle or new connection and waits for its response. Sends it again only if a reused
+    /// connection broke before any byte was written.
     async fn send(
         &self,
         endpoint: &EndpointId,
         forward: &ForwardedRequest,
         attempt: &Attempt,
-        give_up: Instant,
-    ) -> (AttemptResult, Kept) {
+        response_deadline: Instant,
+    ) -> (AttemptResult, Reusable) {
         loop {
             let Some(address) = attempt.address.filter(|at| self.address(endpoint) == Some(*at)) else {
                 return failed(Outcome::ConnectFailed);
@@ -134,17 +140,17 @@
                     None => return failed(Outcome::ConnectFailed),
                 },
             };
-            // Connecting took a while: a server that began to drain meanwhile receives nothing new.
+            // The server may have begun to drain while the connection was made; it must not receive anything new then.
             if self.address(endpoint) != Some(address) {
                 return failed(Outcome::ConnectFailed);
             }
             *attempt.socket.borrow_mut() = Some(connection.socket().clone());
-            let request = request_to(address, forward, attempt.endpoint_list_version, give_up);
+            let request = upstream_request(address, forward, attempt.inventory_version, response_deadline);
             let result = connection.exchange(request).await;
             let unsent = connection.socket().write_progress() == WriteProgress::None;
             return match result {
-                Ok(answer) => (answer::interpret(answer, self.max_units), Some((address, connection))),
-                // A reused connection that broke before a byte was written says nothing of the server.
+                Ok(response) => (answer::interpret(response, self.max_units), Some((address, connection))),
+                // The server may have closed an idle connection at any time; this is no failure of the server.
                 Err(ExchangeError::NotSent) if reused && unsent => {
                     attempt.release();
                     continue;
@@ -157,14 +163,14 @@
     }
 }
 
-/// A request as a server gets it.
-fn request_to(
+/// Builds the HTTP request that is sent to a server.
+fn upstream_request(
     address: SocketAddr,
     forward: &ForwardedRequest,
-    endpoint_list_version: Option<u64>,
-    give_up: Instant,
+    inventory_version: Option<u64>,
+    response_deadline: Instant,
 ) -> Request<Full<Bytes>> {
-    let microseconds_left = give_up.saturating_duration_since(Instant::now()).as_micros();
+    let microseconds_left = response_deadline.saturating_duration_since(Instant::now()).as_micros();
     let mut request = Request::new(Full::new(forward.body.clone()));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = Uri::from(forward.target.clone());
@@ -175,6 +181,6 @@
     insert(CORRELATION_ID, Some(forward.correlation_id.clone()));
     insert(IDEMPOTENCY_KEY, forward.idempotency_key.clone());
     insert(TIME_LEFT, HeaderValue::try_from(format!("{microseconds_left}u")).ok());
-    insert(INVENTORY, endpoint_list_version.map(HeaderValue::from));
+    insert(INVENTORY, inventory_version.map(HeaderValue::from));
     request
 }
--- a/crates/daemon/src/upstream/connection.rs
+++ b/crates/daemon/src/upstream/connection.rs
@@ -1,6 +1,6 @@
-//! One outgoing HTTP/1.1 connection, driven by its owner: no background task, no pool, no retries.
+//! An outgoing HTTP/1.1 connection that is driven by its owner, without a background task, a pool or retries.
 //!
-//! Dropping an [`HttpConnection`] closes its socket at once, and nothing is ever sent twice.
+//! Dropping an [`HttpConnection`] closes its socket at once, and no request is ever sent twice.
 
 use super::socket::{Socket, SocketIo, WriteProgress};
 use crate::count_guard::CountGuard;
@@ -23,34 +23,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// Most bytes of a body, in either direction.
+/// Maximum size of a request or response body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Most bytes of an answer's head, and of what hyper buffers of its body.
+/// Maximum size of a response head, and of the part of a body that hyper buffers, in bytes.
 const MAX_BUFFER: usize = 32 * 1024;
-/// Time from the first byte of an answer to its last; one packet that the kernel loses and sends again fits. Servers
-/// write answers in one go: one that stops midway never ends, and would use up all the time of its request.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for which a connection is idle before it is used again: bytes that come late behind an answer and belong to none
-/// must not be read as the answer to the next request.
+/// Maximum time from the first byte of a response to its last. It leaves room for one lost packet that the kernel
+/// retransmits. Servers write a response in one go, so one that stalls midway never completes; without this limit it
+/// would use up the whole time of its request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for which a connection stays idle before it is reused. Stray bytes that arrive late after a response must not
+/// be read as the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Time that a connection has to become ready for the next request after an answer before it is closed.
+/// Time that a connection has after a response to become ready for the next request; it is closed otherwise.
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why there is no usable answer.
+/// Why a request has no usable response.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was not established, or broke before the last byte of the request was written.
     #[error("the request was not sent completely")]
     NotSent,
-    /// It broke, ended or brought invalid HTTP after that.
-    #[error("the connection broke before the answer was complete")]
+    /// The connection broke, ended or carried invalid HTTP after the request was written.
+    #[error("the connection broke before the response was complete")]
     Broken,
-    /// The answer's body is larger than [`MAX_BODY`].
-    #[error("the answer's body exceeds {MAX_BODY} bytes")]
+    /// The response's body is larger than [`MAX_BODY`].
+    #[error("the response body exceeds {MAX_BODY} bytes")]
     TooLarge,
 }
 
-/// The hyper connection that reads and writes the socket.
+/// The hyper connection, which reads and writes the socket whenever it is polled.
 struct Driver {
     connection: Pin<Box<Connection<TokioIo<SocketIo>, Full<Bytes>>>>,
     has_ended: bool,
@@ -63,33 +64,33 @@
         }
     }
 
-    /// Polls the connection beside what is waited for. It may end in the very poll that brought the answer, so its end
-    /// alone is no failure: the wanted future decides.
-    async fn drive<F: Future>(&mut self, wanted: F) -> F::Output {
-        let mut wanted = pin!(wanted);
+    /// Polls the connection along with a future until the future is ready. The connection may end in the same poll that
+    /// delivers the response, so its end alone is no failure: only the future's output counts.
+    async fn drive<F: Future>(&mut self, future: F) -> F::Output {
+        let mut future = pin!(future);
         poll_fn(|cx| {
             self.poll(cx);
-            wanted.as_mut().poll(cx)
+            future.as_mut().poll(cx)
         })
         .await
     }
 }
 
-/// A connection and the requests on it, one after the other.
+/// An HTTP/1.1 connection that carries one request at a time.
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
     socket: Rc<Socket>,
     _counted: CountGuard<Rc<Cell<usize>>>,
-    /// When it was last used.
+    /// When the latest request on the connection ended, or when the connection was opened.
     pub last_used: Instant,
 }
 
 impl HttpConnection {
-    /// Connects; `open_sockets` counts the socket for as long as it lives. The caller bounds the time.
+    /// Opens a connection, and counts it in `open_sockets` until it is dropped. Has no timeout; the caller sets one.
     ///
     /// # Errors
-    /// The error of the socket.
+    /// The connect or the handshake failed.
     pub async fn connect(address: SocketAddr, open_sockets: &Rc<Cell<usize>>) -> io::Result<HttpConnection> {
         let counted = CountGuard::new(open_sockets.clone());
         let socket = Socket::new(TcpStream::connect(address).await?);
@@ -101,23 +102,24 @@
         Ok(HttpConnection { sender, driver, socket, _counted: counted, last_used: Instant::now() })
     }
 
-    /// The socket.
+    /// The connection's socket.
     pub fn socket(&self) -> &Rc<Socket> {
         &self.socket
     }
 
-    /// Whether it can be used for requests, now or once it has rested. Bytes behind the last answer are no answer to
-    /// anything: with them the connection is of no further use.
+    /// Whether the connection can carry further requests, at once or after the reuse delay. Unread bytes after the last
+    /// response belong to no request, so a connection that has any must not be reused.
     pub fn is_usable(&self) -> bool {
         !self.driver.has_ended && self.sender.is_ready() && self.socket.is_idle()
     }
 
-    /// Whether it has been idle long enough to be used again.
+    /// Whether the connection has been idle long enough to be reused.
     pub fn is_past_reuse_delay(&self) -> bool {
         self.last_used.elapsed() >= REUSE_DELAY
     }
 
-    /// Sends a request and returns the head of the answer; its body comes through [`HttpConnection::drive`].
+    /// Sends a request and returns the head of the response; the caller reads the body within
+    /// [`HttpConnection::drive`].
     ///
     /// # Errors
     /// [`ExchangeError::NotSent`] or [`ExchangeError::Broken`].
@@ -134,13 +136,14 @@
         })
     }
 
-    /// Sends a request and waits for the complete answer, which may take its time to begin, but not to end.
+    /// Sends a request and waits for the complete response. The time until the response begins is not limited, but once
+    /// begun it has to complete within `RESPONSE_TIMEOUT`.
     ///
-    /// A server begins a request when its last byte has come. What it sends before that is an answer to something else:
-    /// a second answer to the request before, or noise.
+    /// A server starts to process a request once it has received the last byte. Anything that it sends earlier, such as
+    /// a second response to the previous request, is not a response to this one and makes the exchange fail.
     ///
     /// # Errors
-    /// Each [`ExchangeError`].
+    /// Any [`ExchangeError`].
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -150,41 +153,43 @@
             socket.begin_message();
             return Err(ExchangeError::NotSent);
         }
-        socket.reset_answered_early();
-        let result = self.answer_in_time(request).await;
+        socket.reset_responded_early();
+        let result = self.receive_response(request).await;
         match socket.write_progress() {
-            WriteProgress::Complete if socket.answered_early() => Err(ExchangeError::Broken),
+            WriteProgress::Complete if socket.responded_early() => Err(ExchangeError::Broken),
             WriteProgress::None | WriteProgress::Partial => Err(ExchangeError::NotSent),
             WriteProgress::Complete => result,
         }
     }
 
-    async fn answer_in_time(
+    /// Sends a request and waits for the response, which has to be complete in time once it has begun.
+    async fn receive_response(
         &mut self,
         mut request: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let socket = self.socket.clone();
-        socket.expect_answer();
-        // An informational answer means that the final one is still to begin.
+        socket.expect_response();
+        // After an informational (1xx) response, the final one has not begun yet.
         let informational = Arc::new(AtomicBool::new(false));
-        let mark = informational.clone();
-        hyper::ext::on_informational(&mut request, move |_| mark.store(true, Ordering::Relaxed));
-        let mut answer = pin!(self.complete_answer(request));
+        let received = informational.clone();
+        hyper::ext::on_informational(&mut request, move |_| received.store(true, Ordering::Relaxed));
+        let mut response = pin!(self.complete_response(request));
         let has_begun = || {
             if informational.swap(false, Ordering::Relaxed) {
-                socket.expect_answer();
+                socket.expect_response();
             }
-            socket.is_answering()
+            socket.is_responding()
         };
         loop {
-            // The answer is polled first, and reading it is what sets the mark: no wake-up is missed.
+            // The response is polled first, and `has_begun` changes only while the response is read, so that no wake-up
+            // is missed.
             let begun = poll_fn(|_| if has_begun() { Poll::Ready(()) } else { Poll::Pending });
             tokio::select! {
                 biased;
-                complete = answer.as_mut() => return complete,
+                complete = response.as_mut() => return complete,
                 () = begun => {}
             }
-            match timeout(ANSWER_TIMEOUT, answer.as_mut()).await {
+            match timeout(RESPONSE_TIMEOUT, response.as_mut()).await {
                 Ok(complete) => return complete,
                 Err(_) if informational.load(Ordering::Relaxed) => {}
                 Err(_) => return Err(ExchangeError::Broken),
@@ -192,12 +197,13 @@
         }
     }
 
-    async fn complete_answer(
+    /// Sends a request and reads the complete response.
+    async fn complete_response(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let (head, body) = self.send_request(request).await?.into_parts();
-        // A body that is announced as too large need not be read first.
+        // Rejects a body whose declared size is too large without reading it.
         if body.size_hint().lower() > MAX_BODY as u64 {
             return Err(ExchangeError::TooLarge);
         }
@@ -209,12 +215,13 @@
         }
     }
 
-    /// Waits for something that comes through this connection, and keeps the connection going meanwhile.
-    pub async fn drive<F: Future>(&mut self, wanted: F) -> F::Output {
-        self.driver.drive(wanted).await
+    /// Waits for a future that depends on this connection, and polls the connection meanwhile.
+    pub async fn drive<F: Future>(&mut self, future: F) -> F::Output {
+        self.driver.drive(future).await
     }
 
-    /// Waits until the connection can take the next request; `false` if it has to be closed.
+    /// Waits until the connection is ready for the next request. Returns `false` if it is not ready in time or has
+    /// ended, and has to be closed.
     pub async fn wait_until_ready(&mut self) -> bool {
         let HttpConnection { sender, driver, .. } = self;
         let ready = poll_fn(|cx| {
--- a/crates/daemon/src/upstream/headers.rs
+++ b/crates/daemon/src/upstream/headers.rs
@@ -1,23 +1,23 @@
-//! Headers between clients, limiter and servers.
+//! Names of the headers that clients, the limiter and servers exchange.
 
 use hyper::header::HeaderName;
 
 /// Id by which client and server correlate a request.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// Key by which a server recognises a repeated request.
+/// Key by which a server detects duplicates of a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Time left until the deadline.
+/// Time left until the deadline of the request.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
-/// Version of the endpoint list that the server was chosen from, if the list is a file.
+/// Version of the inventory file that the server was chosen from, if the endpoint list comes from a file.
 pub(super) const INVENTORY: HeaderName = HeaderName::from_static("x-inventory");
-/// Says that the server did not process the request.
+/// Set to `1` by a server that did not process the request.
 pub(super) const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
-/// Units that the server settled.
+/// Units that the request used, as settled by the server.
 pub(super) const SETTLED: HeaderName = HeaderName::from_static("x-settled");
 /// The server's load report.
 pub(super) const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-/// Headers that are reserved for the limiter: no authoriser sets or removes them.
+/// Headers that are reserved for the limiter: an authorizer cannot set or remove them.
 pub const RESERVED: [HeaderName; 11] = [
     CORRELATION_ID,
     IDEMPOTENCY_KEY,
--- a/crates/daemon/src/upstream/health_check.rs
+++ b/crates/daemon/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: a request for a server's load.
+//! Health checks of servers: a request for the server's load report.
 
 use super::connection::HttpConnection;
 use super::load_report;
@@ -14,62 +14,63 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time that a health check may take, its connect included.
-const TIMEOUT: Duration = Duration::from_millis(250);
-/// What a health check asks for.
-const TARGET: &str = "/metrics/load";
+/// Timeout of a health check, including the time to connect.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Path that a health check requests.
+const LOAD_PATH: &str = "/metrics/load";
 
-/// The answer to a health check, and the connection that it came on.
-struct Checked {
-    answer: Response<Bytes>,
+/// The response to a health check, and the connection that carried it.
+struct CheckResponse {
+    response: Response<Bytes>,
     address: SocketAddr,
     connection: HttpConnection,
 }
 
 impl Servers {
-    /// Asks a server for its load. Both the caller and the event queue get the result.
+    /// Requests the load of a server. Pushes the result to the event queue and returns it too.
     pub async fn check_health(
         self: Rc<Self>,
         events: Rc<EventQueue>,
         id: EndpointId,
     ) -> (Outcome, LoadReport) {
-        let (outcome, report, kept) = match timeout(TIMEOUT, self.check(&id)).await {
-            Ok(Some(Checked { answer, address, connection })) => {
-                let healthy = answer.status() == StatusCode::OK;
+        let (outcome, report, reusable) = match timeout(CHECK_TIMEOUT, self.request_load(&id)).await {
+            Ok(Some(CheckResponse { response, address, connection })) => {
+                let healthy = response.status() == StatusCode::OK;
                 let outcome = if healthy { Outcome::Ok } else { Outcome::Overloaded };
-                (outcome, report_of(&answer), Some((address, connection)))
+                (outcome, report_of(&response), Some((address, connection)))
             }
             Ok(None) => (Outcome::ConnectFailed, LoadReport::default(), None),
             Err(_) => (Outcome::Timeout, LoadReport::default(), None),
         };
         events.push(HostEvent::HealthChecked { endpoint: id.clone(), outcome, report });
-        if let Some((address, connection)) = kept {
-            self.keep(&id, address, connection).await;
+        if let Some((address, connection)) = reusable {
+            self.return_connection(&id, address, connection).await;
         }
         (outcome, report)
     }
 
-    /// None if the server cannot be reached, takes no new work, or breaks the connection.
-    async fn check(&self, id: &EndpointId) -> Option<Checked> {
+    /// Sends the request. Returns `None` if the server cannot be reached, accepts no new requests, or breaks the
+    /// connection, or if no further socket may be opened.
+    async fn request_load(&self, id: &EndpointId) -> Option<CheckResponse> {
         let address = self.address(id)?;
         let mut connection = match self.take_idle(id) {
             Some(connection) => connection,
             None if !self.reserve_socket() => return None,
             None => self.connect(address).await?,
         };
-        // The list may have changed while connecting.
+        // The endpoint list may have changed while the connection was made.
         self.address(id).filter(|now| *now == address)?;
-        let request = Request::get(TARGET).header(HOST, address.to_string());
-        let answer = connection.exchange(request.body(Full::default()).ok()?).await.ok()?;
-        Some(Checked { answer, address, connection })
+        let request = Request::get(LOAD_PATH).header(HOST, address.to_string());
+        let response = connection.exchange(request.body(Full::default()).ok()?).await.ok()?;
+        Some(CheckResponse { response, address, connection })
     }
 }
 
-/// The load in an answer's headers, and over it the load in its body.
-fn report_of(answer: &Response<Bytes>) -> LoadReport {
-    let mut report = load_report::from_headers(answer.headers());
-    if let Ok(text) = std::str::from_utf8(answer.body()) {
-        load_report::read_into(text.trim(), &mut report);
+/// The load report of a response. Values in the body override those in the header.
+fn report_of(response: &Response<Bytes>) -> LoadReport {
+    let mut report = load_report::from_headers(response.headers());
+    if let Ok(text) = std::str::from_utf8(response.body()) {
+        load_report::parse_into(text.trim(), &mut report);
     }
     report
 }
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to the servers: sockets, HTTP/1.1 connections, the pool of idle ones, attempts and health checks.
+//! Communication with the servers: sockets, HTTP/1.1 connections, the connection pool, attempts and health checks.
 
 mod answer;
 pub mod attempt;
--- a/crates/daemon/src/upstream/servers.rs
+++ b/crates/daemon/src/upstream/servers.rs
@@ -1,4 +1,4 @@
-//! The servers: where each listens, and the idle connections to it.
+//! The table of servers, with the address, the state and the idle connections of each.
 
 use super::connection::HttpConnection;
 use liftrouter_decision::{EndpointId, EndpointState, Settings};
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// An idle connection is closed after this share of the time after which the server closes it. A request that crosses
-/// the server's close would end as a reset, and nobody would know whether it ran.
+/// An idle connection is closed after this fraction of the server's own idle timeout. If the server closed it just as a
+/// request is sent, the request would end in a reset, and whether it ran would be unknown.
 const IDLE_TIMEOUT_RATIO: f64 = 0.5;
-/// Seconds after which a server closes an idle connection, where the settings do not say.
-const DEFAULT_IDLE_TIMEOUT: f64 = 10.0;
-/// Seconds that a connect may take, where the settings do not say.
-const DEFAULT_CONNECT_TIMEOUT: f64 = 0.25;
-/// Time between two rounds that close idle connections.
+/// Seconds after which a server closes an idle connection, unless the settings say otherwise.
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 10.0;
+/// Connect timeout in seconds, unless the settings say otherwise.
+const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
+/// Interval at which idle connections are checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the pool knows of a server.
+/// The address and state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// The state, which decides whether the server accepts new requests.
     pub state: EndpointState,
 }
 
@@ -34,35 +34,35 @@
     idle: Vec<HttpConnection>,
 }
 
-/// All servers, with a pool of connections to each and one budget of sockets.
+/// All servers, with a connection pool for each and a limit on the sockets of all together.
 pub struct Servers {
     table: RefCell<HashMap<EndpointId, Server>>,
     connect_timeout: Duration,
     idle_timeout: Duration,
     open_sockets: Rc<Cell<usize>>,
-    socket_budget: usize,
-    /// The most units that a request can use.
+    max_sockets: usize,
+    /// Maximum number of units that a request can use.
     pub(super) max_units: f64,
 }
 
 impl Servers {
-    /// A pool without servers that opens at most `socket_budget` sockets.
-    pub fn new(settings: &Settings, socket_budget: usize) -> Self {
+    /// Creates an empty table that opens at most `max_sockets` sockets.
+    pub fn new(settings: &Settings, max_sockets: usize) -> Self {
         let or = |value: f64, default| if value > 0.0 && value.is_finite() { value } else { default };
-        let server_idle_timeout_s = or(settings.idle_timeout_s, DEFAULT_IDLE_TIMEOUT);
-        let connect_timeout_s = or(settings.connect_timeout_s, DEFAULT_CONNECT_TIMEOUT);
+        let server_idle_timeout_s = or(settings.idle_timeout_s, DEFAULT_IDLE_TIMEOUT_S);
+        let connect_timeout_s = or(settings.connect_timeout_s, DEFAULT_CONNECT_TIMEOUT_S);
         Servers {
             table: RefCell::default(),
             connect_timeout: Duration::from_secs_f64(connect_timeout_s),
             idle_timeout: Duration::from_secs_f64(IDLE_TIMEOUT_RATIO * server_idle_timeout_s),
             open_sockets: Rc::default(),
-            socket_budget,
+            max_sockets,
             max_units: or(settings.max_request_units, f64::MAX),
         }
     }
 
-    /// Sets the state and address of a server. Idle connections to another address, or to a server that takes no new
-    /// work, are closed.
+    /// Adds, updates or removes a server. Closes its idle connections if its address has changed or if it accepts no
+    /// new requests.
     pub fn set_status(&self, id: &EndpointId, status: ServerStatus) {
         if status.state == EndpointState::Removed {
             return self.remove(id);
@@ -86,7 +86,7 @@
         self.table.borrow_mut().remove(id);
     }
 
-    /// All servers, with where each listens and whether it takes new work.
+    /// The ids of all servers, with the address and state of each.
     pub fn statuses(&self) -> Vec<(EndpointId, ServerStatus)> {
         self.table.borrow().iter().map(|(id, server)| (id.clone(), server.status)).collect()
     }
@@ -96,25 +96,32 @@
         self.table.borrow().keys().cloned().collect()
     }
 
-    /// Where a server listens, if it takes new work.
+    /// The address of a server, if it accepts new requests.
     pub fn address(&self, id: &EndpointId) -> Option<SocketAddr> {
         let table = self.table.borrow();
         let server = table.get(id).filter(|server| server.status.state == EndpointState::InService);
         server.map(|server| server.status.address)
     }
 
-    /// Takes the idle connection that was used last, past those that have not rested or are no longer usable.
+    /// Takes the most recently used idle connection that is usable and past its reuse delay. Unusable connections that
+    /// are found on the way are closed.
     pub(super) fn take_idle(&self, id: &EndpointId) -> Option<HttpConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.get_mut(id)?.idle;
-        let last_rested =
+        let last_reusable =
             || idle.iter().rposition(HttpConnection::is_past_reuse_delay).map(|index| idle.remove(index));
-        std::iter::from_fn(last_rested)
+        std::iter::from_fn(last_reusable)
             .find(|connection| connection.is_usable() && connection.last_used.elapsed() < self.idle_timeout)
     }
 
-    /// Keeps a connection once it is ready for the next request, if its server still takes work at that address.
-    pub(super) async fn keep(&self, id: &EndpointId, address: SocketAddr, mut connection: HttpConnection) {
+    /// Returns a connection to the pool once it is ready for the next request, if its server still accepts requests at
+    /// that address; closes it otherwise.
+    pub(super) async fn return_connection(
+        &self,
+        id: &EndpointId,
+        address: SocketAddr,
+        mut connection: HttpConnection,
+    ) {
         if !connection.wait_until_ready().await {
             return;
         }
@@ -125,9 +132,10 @@
         }
     }
 
-    /// Makes room for one more socket by closing the connection that was idle longest; `false` if there is none.
+    /// Ensures that one more socket may be opened, if necessary by closing the longest idle connection. Returns `false`
+    /// if the limit is reached and no connection is idle.
     pub(super) fn reserve_socket(&self) -> bool {
-        if self.open_sockets.get() < self.socket_budget {
+        if self.open_sockets.get() < self.max_sockets {
             return true;
         }
         let mut table = self.table.borrow_mut();
@@ -136,13 +144,13 @@
         oldest.map(|server| server.idle.remove(0)).is_some()
     }
 
-    /// Opens a connection; none if that fails or takes too long.
+    /// Opens a connection; `None` if that fails or times out.
     pub(super) async fn connect(&self, address: SocketAddr) -> Option<HttpConnection> {
         let connecting = HttpConnection::connect(address, &self.open_sockets);
         timeout(self.connect_timeout, connecting).await.ok()?.ok()
     }
 
-    /// Closes connections that were idle too long or that the server has closed, for as long as it is polled.
+    /// Repeatedly closes connections that have been idle too long or that the server has closed; never returns.
     pub async fn close_idle_connections(&self) {
         loop {
             tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
--- a/crates/daemon/src/upstream/socket.rs
+++ b/crates/daemon/src/upstream/socket.rs
@@ -1,6 +1,6 @@
-//! A TCP socket that records how much of the latest message was written, and whether the peer has answered it.
+//! A TCP socket that records how much of the latest message was written, and whether the peer has responded to it.
 //!
-//! Whether a request was handed to the kernel completely decides whether the server may have run it.
+//! The server may have executed a request only if the request was handed to the kernel completely.
 
 use super::read_ahead::ReadAhead;
 use socket2::SockRef;
@@ -16,11 +16,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Reads in a row before other tasks get their turn.
+/// Maximum number of consecutive reads before the task yields to others.
 const MAX_READS_PER_POLL: usize = 8;
-/// Buffer for one read ahead, in bytes.
+/// Size of the buffer for one read ahead, in bytes.
 const READ_AHEAD_BUFFER: usize = 4 * 1024;
-/// Buffer for data that is discarded after a half-close, in bytes.
+/// Size of the buffer for data that is discarded after a half-close, in bytes.
 const DISCARD_BUFFER: usize = 8 * 1024;
 
 /// How much of the latest message has been handed to the kernel.
@@ -34,14 +34,14 @@
     Complete,
 }
 
-/// A socket that knows how far the latest message was written.
+/// A TCP socket that tracks the progress of the latest message and the response to it.
 pub struct Socket {
     stream: TcpStream,
     write_progress: Cell<WriteProgress>,
-    /// Whether the peer has sent anything since the latest message was begun.
-    is_answering: Cell<bool>,
-    /// Whether any of it came before the message was written completely.
-    answered_early: Cell<bool>,
+    /// Whether the peer has sent anything since [`Socket::expect_response`].
+    is_responding: Cell<bool>,
+    /// Whether the peer has sent anything while the latest message was not written completely.
+    responded_early: Cell<bool>,
     /// The first bytes received since [`Socket::record_up_to`], at most `record_limit`.
     recorded: RefCell<Vec<u8>>,
     record_limit: Cell<usize>,
@@ -49,80 +49,82 @@
 }
 
 impl Socket {
-    /// Wraps a stream. Nagle's algorithm is switched off, because messages are small and written in one go.
+    /// Wraps a stream, and disables Nagle's algorithm on it, because messages are small and written in one go.
     pub fn new(stream: TcpStream) -> Rc<Self> {
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             stream,
             write_progress: Cell::new(WriteProgress::None),
-            is_answering: Cell::new(false),
-            answered_early: Cell::new(false),
+            is_responding: Cell::new(false),
+            responded_early: Cell::new(false),
             recorded: RefCell::default(),
             record_limit: Cell::new(0),
             read_ahead: RefCell::default(),
         })
     }
 
-    /// How much of the latest message was written.
+    /// How much of the latest message has been written.
     pub fn write_progress(&self) -> WriteProgress {
         self.write_progress.get()
     }
 
-    /// The next message begins: nothing of it is written.
+    /// Marks the beginning of the next message, of which nothing is written yet.
     pub(super) fn begin_message(&self) {
         self.write_progress.set(WriteProgress::None);
     }
 
-    /// Whether the peer has sent anything since [`Socket::expect_answer`].
-    pub(super) fn is_answering(&self) -> bool {
-        self.is_answering.get()
+    /// Whether the peer has sent anything since [`Socket::expect_response`].
+    pub(super) fn is_responding(&self) -> bool {
+        self.is_responding.get()
     }
 
-    /// Waits for the beginning of an answer from now on.
-    pub(super) fn expect_answer(&self) {
-        self.is_answering.set(false);
+    /// Marks that no response has begun yet.
+    pub(super) fn expect_response(&self) {
+        self.is_responding.set(false);
     }
 
-    /// Whether the peer sent something before the message was written completely.
-    pub(super) fn answered_early(&self) -> bool {
-        self.answered_early.get()
+    /// Whether the peer has sent anything while the latest message was not written completely, since
+    /// [`Socket::reset_responded_early`].
+    pub(super) fn responded_early(&self) -> bool {
+        self.responded_early.get()
     }
 
-    /// Forgets what [`Socket::answered_early`] says.
-    pub(super) fn reset_answered_early(&self) {
-        self.answered_early.set(false);
+    /// Resets [`Socket::responded_early`] to `false`.
+    pub(super) fn reset_responded_early(&self) {
+        self.responded_early.set(false);
     }
 
-    /// Closes the connection at once, even while its owner is still to be dropped: a server must never see the next
-    /// attempt of a request while this one still looks open.
+    /// Shuts the connection down at once, even before its owner is dropped: a server must not receive the next attempt
+    /// of a request while the connection of this one still looks open.
     pub fn abort(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
     }
 
-    /// Records what comes in from now on, up to `most` bytes; nothing for 0.
-    pub fn record_up_to(&self, most: usize) {
+    /// Discards the recorded bytes, and records up to `limit` bytes that are received from now on. With a limit of 0,
+    /// recording stops.
+    pub fn record_up_to(&self, limit: usize) {
         self.recorded.borrow_mut().clear();
-        self.record_limit.set(most);
+        self.record_limit.set(limit);
     }
 
-    /// Whether anything has been recorded so far.
+    /// Whether any bytes are recorded.
     pub fn has_recorded(&self) -> bool {
         !self.recorded.borrow().is_empty()
     }
 
-    /// Takes what was recorded, and stops recording.
+    /// Takes the recorded bytes and stops recording.
     pub fn take_recorded(&self) -> Vec<u8> {
         self.record_limit.set(0);
         self.recorded.take()
     }
 
-    /// A lingering close: closes the sending side, and discards what comes in until the peer has closed, `time` is over
-    /// or `most` bytes have come. Closing with unread data would reset the connection, and the peer could lose the
-    /// answer.
-    pub async fn lingering_close(&self, time: Duration, most: usize) {
+    /// A lingering close: shuts down the sending side, and discards received data until the peer has closed the
+    /// connection, `max_time` has passed or `max_bytes` have been received. Closing a socket with unread data would
+    /// reset the connection, and the peer could lose the response.
+    pub async fn lingering_close(&self, max_time: Duration, max_bytes: usize) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
         let discard = async {
-            let mut left = most;
+            let mut left = max_bytes;
             let mut buffer = vec![0; DISCARD_BUFFER];
             while left > 0 && self.stream.readable().await.is_ok() {
                 match self.stream.try_read(&mut buffer) {
@@ -132,11 +134,11 @@
                 }
             }
         };
-        let _ = timeout(time, discard).await;
+        let _ = timeout(max_time, discard).await;
     }
 
-    /// Ready once the peer has closed its side or reset the connection, whatever is unread before that, or sends without
-    /// end. Reads ahead, and keeps what it finds for the next reader.
+    /// Ready once the peer has closed its side or reset the connection, even if data before that is unread, or once the
+    /// peer has sent too much. Reads ahead, and buffers the data for the next reader.
     pub fn poll_closed(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut read_ahead = self.read_ahead.borrow_mut();
         let mut buffer = [0; READ_AHEAD_BUFFER];
@@ -159,13 +161,13 @@
         Poll::Pending
     }
 
-    /// Whether more was read ahead than was kept: what is read from here on has a hole.
+    /// Whether data that was read ahead had to be dropped, so that the data that follows has a gap.
     pub fn is_overrun(&self) -> bool {
         self.read_ahead.borrow().is_overrun()
     }
 
-    /// Whether the connection is open and has nothing to read. Asks the kernel, since the runtime may not have noticed
-    /// yet.
+    /// Whether the connection is open and has no unread data. Asks the kernel, since the runtime may not have been
+    /// notified yet.
     pub fn is_idle(&self) -> bool {
         if !self.read_ahead.borrow().is_empty() {
             return false;
@@ -175,11 +177,11 @@
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Takes in `count` bytes that were read into the unfilled part of `buffer`.
+    /// Accounts for `count` bytes that were read into the unfilled part of `buffer`, and advances it.
     fn received(&self, buffer: &mut ReadBuf<'_>, count: usize) {
-        self.is_answering.set(true);
-        self.answered_early
-            .set(self.answered_early.get() || self.write_progress.get() != WriteProgress::Complete);
+        self.is_responding.set(true);
+        self.responded_early
+            .set(self.responded_early.get() || self.write_progress.get() != WriteProgress::Complete);
         let mut recorded = self.recorded.borrow_mut();
         let capacity = self.record_limit.get().saturating_sub(recorded.len());
         recorded.extend_from_slice(&buffer.initialize_unfilled()[..count.min(capacity)]);
@@ -187,7 +189,7 @@
     }
 }
 
-/// The side of the socket that hyper reads and writes.
+/// Adapts a shared [`Socket`] to the I/O traits, for use by hyper.
 pub struct SocketIo(pub Rc<Socket>);
 
 impl AsyncRead for SocketIo {
@@ -248,8 +250,8 @@
         true
     }
 
-    /// hyper flushes once its buffer is empty, and buffers a request with a ready body completely before it writes any
-    /// of it: a flush after a write means that the last byte is out.
+    /// hyper flushes once its buffer is empty, and buffers a request whose body is ready completely before it writes
+    /// any of it. A flush after a write therefore means that the last byte has been written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.0.write_progress.get() == WriteProgress::Partial {
             self.0.write_progress.set(WriteProgress::Complete);
