--- a/crates/daemon/src/listeners/admission.rs
+++ b/crates/daemon/src/listeners/admission.rs
@@ -6,9 +6,9 @@
 use super::body_budget::{BodyBudget, BodyReservation};
 use super::open_ids::{OpenRequestId, OpenRequestIds};
 use crate::authorizer::{Authorization, AuthorizationRequest, Authorizer, Authorizers, Fallback};
-use crate::count::Count;
+use crate::count_guard::CountGuard;
 use crate::events::{Answer, DisconnectGuard, EventQueue, IncomingRequest, Rejection, RequestKind};
-use crate::upstream::headers::OWN;
+use crate::upstream::headers::RESERVED;
 use hyper::header::HeaderValue;
 use liftrouter_authz::{HeaderChanges, Verdict};
 use liftrouter_decision::Settings;
@@ -114,7 +114,7 @@
         if let RequestKind::Forward(forward) = &mut request.kind {
             // `get_mut` succeeds, since the request is not shared before it is submitted.
             if let Some(forward) = Rc::get_mut(forward) {
-                changes.apply(&mut forward.headers, &OWN);
+                changes.apply(&mut forward.headers, &RESERVED);
             }
         }
         (self.submit(request).await, changes)
@@ -127,7 +127,7 @@
         request: &AuthorizationRequest<'_>,
     ) -> AuthorizationResult {
         let authorization = {
-            let _awaiting = Count::new(&self.awaiting_authorization);
+            let _awaiting = CountGuard::new(&self.awaiting_authorization);
             self.authorizers.authorize(authorizer, request).await
         };
         let changes = match (authorization, fallback) {
@@ -138,11 +138,11 @@
             (Authorization::Undecided { .. }, Fallback::Pass) => HeaderChanges::default(),
             // Nothing was forwarded, so the client may safely retry.
             (Authorization::Undecided { retry_after }, Fallback::Refuse) => {
-                return AuthorizationResult::Answered(Answer::Rejected(Rejection::limit(retry_after)));
+                return AuthorizationResult::Answered(Answer::Rejected(Rejection::over_limit(retry_after)));
             }
         };
         if Instant::now() >= request.deadline {
-            return AuthorizationResult::Answered(Answer::Rejected(Rejection::limit(0.0)));
+            return AuthorizationResult::Answered(Answer::Rejected(Rejection::over_limit(0.0)));
         }
         AuthorizationResult::Allowed(changes)
     }
--- a/crates/daemon/src/listeners/fields.rs
+++ b/crates/daemon/src/listeners/fields.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::number::read_number;
+use crate::decimal::parse_decimal;
 use liftrouter_decision::{Class, Settings};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         _ => return None,
     };
     let max_seconds = if class.deadline_s > 0.0 { class.deadline_s } else { f64::MAX };
-    Duration::try_from_secs_f64((read_number(number)? * seconds_per_unit).min(max_seconds)).ok()
+    Duration::try_from_secs_f64((parse_decimal(number)? * seconds_per_unit).min(max_seconds)).ok()
 }
 
 /// Returns `units` if it is above zero and at most the maximum that the settings allow for one request.
--- a/crates/daemon/src/listeners/http/head.rs
+++ b/crates/daemon/src/listeners/http/head.rs
@@ -4,8 +4,8 @@
 //! are cheap, and an invalid request is neither stored nor logged, because malformed requests may arrive at full rate.
 
 use super::rejection::RequestError;
+use crate::decimal::parse_decimal;
 use crate::listeners::fields::{self, MAX_ID_BYTES};
-use crate::number::read_number;
 use crate::upstream::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -136,7 +136,7 @@
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
-        let value = read_number(value.trim())?;
+        let value = parse_decimal(value.trim())?;
         let duplicate = match name.trim() {
             "units" => units.replace(value),
             "spread" => spread.replace(value),
