--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::discovery::inventory_command::{self, InventoryFileError};
 use crate::discovery::upstream::Upstream;
 use crate::log;
-use crate::operator::{self, Operator, OperatorError};
+use crate::operator::{self, OperatorConfig, OperatorConfigError};
 use crate::relay::{self, RelaySetup};
 use crate::serve::{self, ServeError};
 use crate::startup::StartupError;
@@ -33,7 +33,7 @@
     operator: Option<PathBuf>,
     /// How lines of the log are written.
     #[arg(long, value_name = "FORM", value_enum, default_value_t)]
-    log: log::Form,
+    log: log::LogFormat,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -100,7 +100,7 @@
         file: PathBuf,
         /// The form.
         #[arg(long)]
-        to: To,
+        to: InventoryFormat,
     },
     /// Says what adopting a file over another would do to each node.
     Diff {
@@ -115,16 +115,16 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum To {
+enum InventoryFormat {
     Csv,
     Yaml,
 }
 
-impl From<To> for Form {
-    fn from(to: To) -> Self {
-        match to {
-            To::Csv => Form::Csv,
-            To::Yaml => Form::Yaml,
+impl From<InventoryFormat> for Form {
+    fn from(format: InventoryFormat) -> Self {
+        match format {
+            InventoryFormat::Csv => Form::Csv,
+            InventoryFormat::Yaml => Form::Yaml,
         }
     }
 }
@@ -135,7 +135,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorConfig(#[from] OperatorConfigError),
     #[error(transparent)]
     Serve(#[from] ServeError),
     #[error(transparent)]
@@ -149,7 +149,7 @@
 /// Reads the command line and runs what it names.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
-    log::start(cli.log);
+    log::init(cli.log);
     let Some(command) = cli.command else {
         return match run_limiter(cli.operator.as_deref()) {
             Ok(()) => ExitCode::SUCCESS,
@@ -166,7 +166,7 @@
 }
 
 fn run_limiter(operator: Option<&Path>) -> Result<(), CliError> {
-    let operator = operator.map_or(Ok(Operator::default()), operator::read)?;
+    let operator = operator.map_or(Ok(OperatorConfig::default()), operator::read)?;
     Ok(serve::run(read_setup()?, operator)?)
 }
 
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -28,7 +28,8 @@
     #[serde(default)]
     pub limits: Limits,
     /// The endpoint list that was known when the file was written.
-    pub known: Option<Update>,
+    #[serde(rename = "known")]
+    pub known_endpoints: Option<Update>,
     /// The settings of the decisions.
     pub settings: Option<Settings>,
 }
@@ -44,7 +45,7 @@
 
 /// What a configuration file that is read again may change.
 #[derive(Deserialize)]
-pub struct Addresses {
+pub struct ServiceAddresses {
     /// The discovery service.
     pub discovery: Option<SocketAddr>,
     /// The counter service.
@@ -70,7 +71,7 @@
 pub enum ConfigError {
     /// The environment names no configuration file.
     #[error("{CONFIG_VARIABLE} is not set")]
-    NoFile,
+    FileNotSet,
     /// The file cannot be read.
     #[error("{CONFIG_VARIABLE}: cannot read {path}: {source}")]
     Unreadable {
@@ -89,7 +90,7 @@
     },
     /// A variable is no address with a port.
     #[error("{variable}: not an address: {found:?}")]
-    Address {
+    InvalidAddress {
         /// The variable.
         variable: &'static str,
         /// Its value.
@@ -97,7 +98,7 @@
     },
     /// Neither the environment nor the file has an address that is needed.
     #[error("{variable} is not set, and {path} names no {key}")]
-    NoAddress {
+    MissingAddress {
         /// The variable.
         variable: &'static str,
         /// The file.
@@ -107,13 +108,13 @@
     },
     /// The file has no settings.
     #[error("{CONFIG_VARIABLE}: {path}: no settings")]
-    NoSettings {
+    MissingSettings {
         /// The file.
         path: String,
     },
     /// A list of the settings is empty.
     #[error("{CONFIG_VARIABLE}: {path}: settings: no {key}")]
-    EmptySettings {
+    EmptyList {
         /// The file.
         path: String,
         /// The key of the list.
@@ -136,16 +137,16 @@
 /// # Errors
 /// A file, an address or settings that are missing or cannot be read.
 pub fn read_setup() -> Result<Setup, ConfigError> {
-    let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::NoFile)?;
+    let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::FileNotSet)?;
     let mut config: Config = read_file(&path)?;
     let listen = address("ROUTER_LISTEN", &path, "listen", config.listen)?;
     let discovery = address("ROUTER_DISCOVERY", &path, "discovery", config.discovery)?;
-    let Some(settings) = config.settings.take() else { return Err(ConfigError::NoSettings { path }) };
+    let Some(settings) = config.settings.take() else { return Err(ConfigError::MissingSettings { path }) };
     if settings.classes.is_empty() {
-        return Err(ConfigError::EmptySettings { path, key: "classes" });
+        return Err(ConfigError::EmptyList { path, key: "classes" });
     }
     if settings.plans.is_empty() {
-        return Err(ConfigError::EmptySettings { path, key: "tariffs" });
+        return Err(ConfigError::EmptyList { path, key: "tariffs" });
     }
     Ok(Setup { path, listen, discovery, settings, config })
 }
@@ -163,7 +164,7 @@
     in_file: Option<SocketAddr>,
 ) -> Result<SocketAddr, ConfigError> {
     match variable(name) {
-        Some(found) => found.parse().map_err(|_| ConfigError::Address { variable: name, found }),
-        None => in_file.ok_or(ConfigError::NoAddress { variable: name, path: path.to_string(), key }),
+        Some(found) => found.parse().map_err(|_| ConfigError::InvalidAddress { variable: name, found }),
+        None => in_file.ok_or(ConfigError::MissingAddress { variable: name, path: path.to_string(), key }),
     }
 }
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -15,7 +15,7 @@
 
 /// How lines of the log are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-pub enum Form {
+pub enum LogFormat {
     /// `part: text`.
     #[default]
     Text,
@@ -25,12 +25,12 @@
 
 /// Sends the log to standard error from now on. A line that cannot be written is lost: a closed log must not end the
 /// limiter, so the library must not complain of it there either.
-pub fn start(form: Form) {
+pub fn init(format: LogFormat) {
     let lines = tracing_subscriber::fmt().with_writer(stderr).log_internal_errors(false);
     // Fails only where one is set already, as between tests.
-    let _ = match form {
-        Form::Text => tracing::subscriber::set_global_default(lines.event_format(TextFormat).finish()),
-        Form::Json => tracing::subscriber::set_global_default(
+    let _ = match format {
+        LogFormat::Text => tracing::subscriber::set_global_default(lines.event_format(TextFormat).finish()),
+        LogFormat::Json => tracing::subscriber::set_global_default(
             lines.json().flatten_event(true).with_target(false).finish(),
         ),
     };
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -19,8 +19,8 @@
 use crate::cluster::ClusterConfig;
 use crate::discovery::inventory_file::InventorySource;
 pub use counter::CounterSettings;
-pub use error::{Fault, Location, OperatorError, Position};
-pub use grpc::Grpc;
+pub use error::{Fault, Location, OperatorConfigError, Position};
+pub use grpc::GrpcConfig;
 use liftrouter_decision::Settings;
 pub use relays::{RelayRegion, Relays};
 use serde::Deserialize;
@@ -45,11 +45,11 @@
 
 /// What the operator has chosen.
 #[derive(Default)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// The inventory file, in place of discovery.
     pub inventory: Option<InventorySource>,
     /// The gRPC listener.
-    pub grpc: Option<Grpc>,
+    pub grpc: Option<GrpcConfig>,
     /// The services that authorise requests first; their classes are still to be checked.
     pub authorizers: Vec<AuthorizerSettings>,
     /// How counter services are validated and followed, if they are.
@@ -68,18 +68,18 @@
     location: Location,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Checks that every class that names an authoriser exists.
     ///
     /// # Errors
     /// `file:line:column`, what was found and what was expected.
-    pub fn check(&self, settings: &Settings) -> Result<(), OperatorError> {
+    pub fn check_classes(&self, settings: &Settings) -> Result<(), OperatorConfigError> {
         let is_known = |name: &str| settings.classes.iter().any(|class| class.name == name);
         let unknown = self.authorized_classes.iter().find(|authorized| !is_known(&authorized.class));
         let Some(ClassLocation { class, location }) = unknown else { return Ok(()) };
         let expected = settings.classes.iter().map(|class| class.name.clone()).collect();
         let fault = Fault::UnknownClass { found: class.clone(), expected };
-        Err(OperatorError::Invalid { location: location.clone(), fault })
+        Err(OperatorConfigError::Invalid { location: location.clone(), fault })
     }
 }
 
@@ -87,15 +87,15 @@
 ///
 /// # Errors
 /// The file cannot be read; or `file:line:column`, what was found and what was expected.
-pub fn read(path: &Path) -> Result<Operator, OperatorError> {
+pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
     let name = path.display().to_string();
     match std::fs::read_to_string(path) {
         Ok(text) => parse(&name, &text),
-        Err(source) => Err(OperatorError::Unreadable { path: name, source }),
+        Err(source) => Err(OperatorConfigError::Unreadable { path: name, source }),
     }
 }
 
-fn parse(name: &str, text: &str) -> Result<Operator, OperatorError> {
+fn parse(name: &str, text: &str) -> Result<OperatorConfig, OperatorConfigError> {
     let source = SourceText { name, text };
     let file: OperatorFile = toml::from_str(text).map_err(|error| {
         let offset = error.span().map_or(0, |span| span.start);
@@ -108,7 +108,7 @@
         .authorizers
         .into_iter()
         .map(|section| authorizer::check(&source, section, &mut authorized_classes));
-    Ok(Operator {
+    Ok(OperatorConfig {
         authorizers: authorizers.collect::<Result<_, _>>()?,
         authorized_classes,
         counter: file.counter.map(|section| counter::check(&source, section)).transpose()?,
--- a/crates/daemon/src/operator/authorizer.rs
+++ b/crates/daemon/src/operator/authorizer.rs
@@ -1,6 +1,6 @@
 //! `[[authoriser]]`: an external service that authorizes requests of some classes before they are admitted.
 
-use super::error::{Fault, OperatorError};
+use super::error::{Fault, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
 use super::ClassLocation;
 use crate::authorizer::{AuthorizerSettings, Fallback};
@@ -34,7 +34,7 @@
     source: &SourceText,
     section: AuthorizerSection,
     authorized: &mut Vec<ClassLocation>,
-) -> Result<AuthorizerSettings, OperatorError> {
+) -> Result<AuthorizerSettings, OperatorConfigError> {
     let address = source.address("address is", &section.address)?;
     let classes = check_classes(source, section.classes, authorized)?;
     let milliseconds =
@@ -64,14 +64,14 @@
     source: &SourceText,
     classes: BTreeMap<Spanned<String>, Spanned<String>>,
     authorized: &mut Vec<ClassLocation>,
-) -> Result<HashMap<String, Fallback>, OperatorError> {
+) -> Result<HashMap<String, Fallback>, OperatorConfigError> {
     let mut fallbacks = HashMap::new();
     for (class, fallback) in classes {
         let offset = class.span().start;
         let class = class.into_inner();
         if let Some(first) = authorized.iter().find(|first| first.class == class) {
             let first = first.location.clone();
-            return Err(source.error(offset, Fault::RepeatedClass { class, first }));
+            return Err(source.error(offset, Fault::DuplicateClass { class, first }));
         }
         let fallback = match fallback.get_ref().as_str() {
             "pass" => Fallback::Pass,
--- a/crates/daemon/src/operator/cluster.rs
+++ b/crates/daemon/src/operator/cluster.rs
@@ -1,6 +1,6 @@
 //! `[members]`: cluster membership of this limiter.
 
-use super::error::{Fault, OperatorError};
+use super::error::{Fault, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
 use crate::cluster::ClusterConfig;
 use liftrouter_cluster::gossip::GossipSettings;
@@ -46,7 +46,7 @@
 pub(super) fn check(
     source: &SourceText,
     section: Spanned<ClusterSection>,
-) -> Result<ClusterConfig, OperatorError> {
+) -> Result<ClusterConfig, OperatorConfigError> {
     let (offset, section) = (section.span().start, section.into_inner());
     let addresses = |subject: &'static str, values: &[Spanned<String>]| {
         values.iter().map(|value| source.address(subject, value)).collect::<Result<Vec<_>, _>>()
@@ -98,7 +98,10 @@
 }
 
 /// The address of the proxy that simulates link faults. Only debug builds accept one.
-fn check_link_proxy(source: &SourceText, address: &Spanned<String>) -> Result<SocketAddr, OperatorError> {
+fn check_link_proxy(
+    source: &SourceText,
+    address: &Spanned<String>,
+) -> Result<SocketAddr, OperatorConfigError> {
     if !cfg!(debug_assertions) {
         return Err(source.error(address.span().start, Fault::LinkProxyInRelease));
     }
--- a/crates/daemon/src/operator/counter.rs
+++ b/crates/daemon/src/operator/counter.rs
@@ -1,6 +1,6 @@
 //! The `[keeper]` section of the operator's file: validation of the counter services, failover and pacing of calls.
 
-use super::error::{Fault, OperatorError};
+use super::error::{Fault, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
 use liftrouter_counter::{FailoverPolicy, PacingSettings, ValidationSettings};
 use serde::Deserialize;
@@ -72,7 +72,10 @@
 }
 
 /// Checks the section and converts it into settings.
-pub(super) fn check(source: &SourceText, section: CounterSection) -> Result<CounterSettings, OperatorError> {
+pub(super) fn check(
+    source: &SourceText,
+    section: CounterSection,
+) -> Result<CounterSettings, OperatorConfigError> {
     let milliseconds =
         |value, key, range, default| source.number(value, NumberKey::milliseconds(key), range, default);
     let seconds = |value, key, default| {
@@ -84,7 +87,7 @@
     let census_ms =
         milliseconds(section.census_ms, "roll_ms", 250..=15_000, MIN_CALLS_PER_CENSUS * interval_ms)?;
     if census_ms < MIN_CALLS_PER_CENSUS * interval_ms {
-        return Err(source.error(census_offset, Fault::ShortCensus { census_ms, interval_ms }));
+        return Err(source.error(census_offset, Fault::CensusTooShort { census_ms, interval_ms }));
     }
     let validation = ValidationSettings {
         call_interval_s: to_seconds(interval_ms),
@@ -117,7 +120,10 @@
     milliseconds as f64 / 1e3
 }
 
-fn check_calls_per_s(source: &SourceText, value: Option<Spanned<u64>>) -> Result<Option<f64>, OperatorError> {
+fn check_calls_per_s(
+    source: &SourceText,
+    value: Option<Spanned<u64>>,
+) -> Result<Option<f64>, OperatorConfigError> {
     if value.is_none() {
         return Ok(None);
     }
@@ -129,13 +135,13 @@
 fn check_fallbacks(
     source: &SourceText,
     values: Vec<Spanned<String>>,
-) -> Result<Vec<SocketAddr>, OperatorError> {
+) -> Result<Vec<SocketAddr>, OperatorConfigError> {
     let mut fallbacks = Vec::new();
     for value in values {
         let address = source.address("others has", &value)?;
         let offset = value.span().start;
         if fallbacks.contains(&address) {
-            return Err(source.error(offset, Fault::RepeatedCounter(value.into_inner())));
+            return Err(source.error(offset, Fault::DuplicateCounter(value.into_inner())));
         }
         if fallbacks.len() == MAX_FALLBACK_COUNTERS {
             return Err(source.error(offset, Fault::TooManyCounters));
--- a/crates/daemon/src/operator/error.rs
+++ b/crates/daemon/src/operator/error.rs
@@ -37,7 +37,7 @@
 
 /// Why the operator's file cannot be used.
 #[derive(Debug, Error)]
-pub enum OperatorError {
+pub enum OperatorConfigError {
     /// The file cannot be read.
     #[error("{path}: cannot be read: {source}")]
     Unreadable {
@@ -64,7 +64,7 @@
     Syntax(String),
     /// Not an address with a port. The subject is the key with its verb, such as `listen is`.
     #[error("{subject} {found:?}, expected an address and a port")]
-    Address {
+    InvalidAddress {
         /// The key and its verb.
         subject: &'static str,
         /// What the file says.
@@ -92,7 +92,7 @@
     },
     /// Two authorisers are named for one class.
     #[error("classes has {class:?}, which names an authoriser at {first}, expected one")]
-    RepeatedClass {
+    DuplicateClass {
         /// The class.
         class: String,
         /// Where the first one stands.
@@ -111,22 +111,22 @@
         "mapping has {0:?}, expected class, customer, plan, units, width, id, key, time_left \
          or repeat"
     )]
-    UnknownRule(String),
+    UnknownMappingKey(String),
     /// A rule of the gRPC mapping that cannot be read, or does not fit the settings.
     #[error("{0}")]
-    Rule(MappingError),
+    Mapping(MappingError),
     /// No inventory file is named.
     #[error("inventory names no file, expected csv or yaml")]
-    NoInventoryFile,
+    MissingInventoryFile,
     /// Two inventory files are named.
     #[error("inventory names csv and yaml, expected one: they could disagree")]
-    TwoInventoryFiles,
+    MultipleInventoryFiles,
     /// A share outside 0 to 1.
     #[error("most_removed is {0}, expected a share from 0 to 1")]
-    NotAShare(f64),
+    RatioOutOfRange(f64),
     /// An instance census that is too short to be called, read and validated once each.
     #[error("roll_ms is {census_ms}, expected five times every_ms ({interval_ms}) at least")]
-    ShortCensus {
+    CensusTooShort {
         /// The length of a census, in milliseconds.
         census_ms: u64,
         /// The time between two validation calls, in milliseconds.
@@ -134,7 +134,7 @@
     },
     /// A counter service is named twice.
     #[error("others has {0:?} twice, expected different keepers")]
-    RepeatedCounter(String),
+    DuplicateCounter(String),
     /// Too many counter services are named.
     #[error("others has more than {MAX_FALLBACK_COUNTERS} keepers")]
     TooManyCounters,
@@ -152,16 +152,16 @@
     AddressesAndRegions,
     /// A section without an address.
     #[error("{section} names no address, expected one at least")]
-    NoAddress {
+    MissingAddress {
         /// The section.
         section: &'static str,
     },
     /// Two regions of one name.
     #[error("name is {0:?} once more, expected another for each region")]
-    RepeatedRegion(String),
+    DuplicateRegion(String),
     /// A name that cannot stand in a query. The subject is the key with its verb.
     #[error("{subject} {found:?}, expected 1 to {MAX_NAME_BYTES} letters, digits, or one of - . _ ~")]
-    Name {
+    InvalidName {
         /// The key and its verb.
         subject: &'static str,
         /// What the file says.
--- a/crates/daemon/src/operator/grpc.rs
+++ b/crates/daemon/src/operator/grpc.rs
@@ -1,6 +1,6 @@
 //! `[grpc]`: external authorisation is answered by this limiter.
 
-use super::error::{Fault, Location, OperatorError};
+use super::error::{Fault, Location, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
 use crate::listeners::grpc::Limits;
 use liftrouter_authz::{FrameLimits, Mapping, MappingRules};
@@ -40,7 +40,7 @@
 }
 
 /// The gRPC listener; its mapping is still to be checked against classes and plans.
-pub struct Grpc {
+pub struct GrpcConfig {
     /// What the listener takes.
     pub limits: Limits,
     rules: MappingRules,
@@ -50,31 +50,31 @@
     file: String,
 }
 
-impl Grpc {
+impl GrpcConfig {
     /// The mapping, where it fits the settings.
     ///
     /// # Errors
     /// `file:line:column`, what was found and what was expected.
-    pub fn mapping(&self, settings: &Settings) -> Result<Mapping, OperatorError> {
+    pub fn mapping(&self, settings: &Settings) -> Result<Mapping, OperatorConfigError> {
         let classes: Vec<&str> = settings.classes.iter().map(|class| class.name.as_str()).collect();
         let plans: Vec<&str> = settings.plans.iter().map(|plan| plan.name.as_str()).collect();
         Mapping::new(&self.rules, &classes, &plans).map_err(|fault| {
             let whole_file = || Location { file: self.file.clone(), position: None };
             let location = self.locations.get(fault.key).cloned().unwrap_or_else(whole_file);
-            OperatorError::Invalid { location, fault: Fault::Rule(fault) }
+            OperatorConfigError::Invalid { location, fault: Fault::Mapping(fault) }
         })
     }
 }
 
 /// Checks the section.
-pub(super) fn check(source: &SourceText, section: GrpcSection) -> Result<Grpc, OperatorError> {
+pub(super) fn check(source: &SourceText, section: GrpcSection) -> Result<GrpcConfig, OperatorConfigError> {
     let limits = check_limits(source, &section)?;
     let mut rules = MappingRules::default();
     let mut locations = BTreeMap::new();
     for (key, rule) in section.rules {
         locations.insert(key.get_ref().clone(), source.location(rule.span().start));
         let Some(known) = rule_of_key(&mut rules, key.get_ref()) else {
-            return Err(source.error(key.span().start, Fault::UnknownRule(key.into_inner())));
+            return Err(source.error(key.span().start, Fault::UnknownMappingKey(key.into_inner())));
         };
         *known = rule.into_inner();
     }
@@ -82,10 +82,10 @@
         locations.insert(ADD.into(), source.location(rule.span().start));
         rules.add.push((header, rule.into_inner()));
     }
-    Ok(Grpc { limits, rules, locations, file: source.name.to_string() })
+    Ok(GrpcConfig { limits, rules, locations, file: source.name.to_string() })
 }
 
-fn check_limits(source: &SourceText, section: &GrpcSection) -> Result<Limits, OperatorError> {
+fn check_limits(source: &SourceText, section: &GrpcSection) -> Result<Limits, OperatorConfigError> {
     let count = |value: &Option<Spanned<u64>>, key, unit, most, default| {
         source.number(value.clone(), NumberKey::new(key, unit), 1..=most, default)
     };
--- a/crates/daemon/src/operator/inventory.rs
+++ b/crates/daemon/src/operator/inventory.rs
@@ -1,6 +1,6 @@
 //! `[inventory]`: the nodes come from a file, and discovery is not called.
 
-use super::error::{Fault, OperatorError};
+use super::error::{Fault, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
 use crate::discovery::inventory_file::InventorySource;
 use liftrouter_inventory::{Form, Policy};
@@ -28,13 +28,13 @@
 pub(super) fn check(
     source: &SourceText,
     section: Spanned<InventorySection>,
-) -> Result<InventorySource, OperatorError> {
+) -> Result<InventorySource, OperatorConfigError> {
     let (offset, section) = (section.span().start, section.into_inner());
     let (path, form) = match (section.csv, section.yaml) {
         (Some(path), None) => (path, Form::Csv),
         (None, Some(path)) => (path, Form::Yaml),
-        (Some(_), Some(_)) => return Err(source.error(offset, Fault::TwoInventoryFiles)),
-        (None, None) => return Err(source.error(offset, Fault::NoInventoryFile)),
+        (Some(_), Some(_)) => return Err(source.error(offset, Fault::MultipleInventoryFiles)),
+        (None, None) => return Err(source.error(offset, Fault::MissingInventoryFile)),
     };
     let milliseconds = |value, key, default: u64, least: u64| {
         let number = source.number(value, NumberKey::milliseconds(key), least..=10_000, default);
@@ -46,7 +46,7 @@
     let most_removed = match section.max_removed {
         None => default.most_removed,
         Some(share) if (0.0..=1.0).contains(share.get_ref()) => share.into_inner(),
-        Some(share) => return Err(source.error(share.span().start, Fault::NotAShare(*share.get_ref()))),
+        Some(share) => return Err(source.error(share.span().start, Fault::RatioOutOfRange(*share.get_ref()))),
     };
     Ok(InventorySource { path, form, policy: Policy { quiet, most_removed }, poll_interval })
 }
--- a/crates/daemon/src/operator/relays.rs
+++ b/crates/daemon/src/operator/relays.rs
@@ -1,6 +1,6 @@
 //! `[relays]`: the endpoint list comes through relays, and discovery is not called.
 
-use super::error::{Fault, OperatorError};
+use super::error::{Fault, OperatorConfigError};
 use super::source::SourceText;
 use liftrouter_catalog::Subscription;
 use serde::Deserialize;
@@ -51,7 +51,7 @@
     source: &SourceText,
     section: Spanned<RelaysSection>,
     has_inventory: bool,
-) -> Result<Relays, OperatorError> {
+) -> Result<Relays, OperatorConfigError> {
     let (offset, section) = (section.span().start, section.into_inner());
     if has_inventory {
         return Err(source.error(offset, Fault::RelaysAndInventory));
@@ -73,13 +73,13 @@
 fn check_regions(
     source: &SourceText,
     regions: &[Spanned<RegionSection>],
-) -> Result<Vec<RelayRegion>, OperatorError> {
+) -> Result<Vec<RelayRegion>, OperatorConfigError> {
     let mut checked: Vec<RelayRegion> = Vec::new();
     for region in regions {
         let (offset, region) = (region.span().start, region.get_ref());
         let name = check_name(source, "name is", &region.name)?;
         if checked.iter().any(|other| other.name == name) {
-            return Err(source.error(region.name.span().start, Fault::RepeatedRegion(name)));
+            return Err(source.error(region.name.span().start, Fault::DuplicateRegion(name)));
         }
         let addresses = check_addresses(source, offset, "region", &region.addresses)?;
         checked.push(RelayRegion { name, addresses });
@@ -92,9 +92,9 @@
     offset: usize,
     section: &'static str,
     addresses: &[Spanned<String>],
-) -> Result<Vec<SocketAddr>, OperatorError> {
+) -> Result<Vec<SocketAddr>, OperatorConfigError> {
     if addresses.is_empty() {
-        return Err(source.error(offset, Fault::NoAddress { section }));
+        return Err(source.error(offset, Fault::MissingAddress { section }));
     }
     addresses.iter().map(|address| source.address("addresses has", address)).collect()
 }
@@ -104,11 +104,11 @@
     source: &SourceText,
     subject: &'static str,
     name: &Spanned<String>,
-) -> Result<String, OperatorError> {
+) -> Result<String, OperatorConfigError> {
     let text = name.get_ref();
     let is_allowed = |symbol: char| symbol.is_ascii_alphanumeric() || matches!(symbol, '-' | '.' | '_' | '~');
     if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.chars().all(is_allowed) {
-        return Err(source.error(name.span().start, Fault::Name { subject, found: text.clone() }));
+        return Err(source.error(name.span().start, Fault::InvalidName { subject, found: text.clone() }));
     }
     Ok(text.clone())
 }
--- a/crates/daemon/src/operator/source.rs
+++ b/crates/daemon/src/operator/source.rs
@@ -1,6 +1,6 @@
 //! The text of the operator's file, and the checks that name a place in it.
 
-use super::error::{Fault, Location, OperatorError, Position};
+use super::error::{Fault, Location, OperatorConfigError, Position};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use toml::Spanned;
@@ -47,8 +47,8 @@
     }
 
     /// A fault at a byte of the text.
-    pub fn error(&self, offset: usize, fault: Fault) -> OperatorError {
-        OperatorError::Invalid { location: self.location(offset), fault }
+    pub fn error(&self, offset: usize, fault: Fault) -> OperatorConfigError {
+        OperatorConfigError::Invalid { location: self.location(offset), fault }
     }
 
     /// An address with its port. The subject is the key with its verb: `listen is`, `others has`.
@@ -56,10 +56,11 @@
         &self,
         subject: &'static str,
         value: &Spanned<String>,
-    ) -> Result<SocketAddr, OperatorError> {
+    ) -> Result<SocketAddr, OperatorConfigError> {
         let text = value.get_ref();
-        text.parse()
-            .map_err(|_| self.error(value.span().start, Fault::Address { subject, found: text.clone() }))
+        text.parse().map_err(|_| {
+            self.error(value.span().start, Fault::InvalidAddress { subject, found: text.clone() })
+        })
     }
 
     /// A whole number within its range, or the default.
@@ -69,7 +70,7 @@
         key: NumberKey,
         range: RangeInclusive<u64>,
         default: u64,
-    ) -> Result<u64, OperatorError> {
+    ) -> Result<u64, OperatorConfigError> {
         let Some(value) = value else { return Ok(default) };
         let found = *value.get_ref();
         if range.contains(&found) {
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -30,7 +30,8 @@
     let text = "[[authoriser]]\nname = 'a'\naddress = '[::1]:1'\nclasses = { qoute = 'pass' }\n";
     let settings: Settings =
         serde_json::from_str(r#"{"classes": [{"name": "quote"}, {"name": "bind"}]}"#).expect("settings");
-    let found = parse("o.toml", text).expect("good").check(&settings).err().map(|error| error.to_string());
+    let found =
+        parse("o.toml", text).expect("good").check_classes(&settings).err().map(|error| error.to_string());
     assert_eq!(found.as_deref(), Some("o.toml:4:13: classes has \"qoute\", expected one of quote, bind"));
 }
 
@@ -180,7 +181,7 @@
 /// A file of earlier versions with every key of each section.
 const EVERY_KEY: &str = include_str!("../../tests/fixtures/operator.toml");
 
-fn every_key() -> Operator {
+fn every_key() -> OperatorConfig {
     parse("o.toml", EVERY_KEY).expect("every key is known")
 }
 
--- a/crates/daemon/src/serve/endpoint_list.rs
+++ b/crates/daemon/src/serve/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::discovery::inventory_file::InventorySource;
 use crate::events::{EventQueue, HostEvent};
 use crate::log::log;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 use liftrouter_catalog::Update;
 use liftrouter_decision::Settings;
 use liftrouter_discovery::Delivery;
@@ -22,7 +22,7 @@
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(8_500);
 
 /// The endpoint list that this limiter follows.
-pub(super) struct EndpointList {
+pub(super) struct EndpointListSource {
     discovery: Rc<DiscoveryClient>,
     /// The file that it comes from in place of discovery; taken when it is followed.
     file: Option<InventorySource>,
@@ -31,9 +31,9 @@
     adopted: Rc<Notify>,
 }
 
-impl EndpointList {
+impl EndpointListSource {
     /// The list of the operator's file or relays, where there are any, else that of discovery.
-    pub fn new(operator: &mut Operator, discovery: SocketAddr, settings: &Settings, seed: u64) -> Self {
+    pub fn new(operator: &mut OperatorConfig, discovery: SocketAddr, settings: &Settings, seed: u64) -> Self {
         let delivery = if settings.polls_discovery { Delivery::OnRequest } else { Delivery::Pushed };
         let discovery = match operator.relays.take() {
             Some(relays) => {
@@ -43,7 +43,7 @@
             None => DiscoveryClient::new(discovery, delivery),
         };
         let file = operator.inventory.take();
-        EndpointList {
+        EndpointListSource {
             discovery: Rc::new(discovery),
             is_from_file: file.is_some(),
             file,
--- a/crates/daemon/src/serve/error.rs
+++ b/crates/daemon/src/serve/error.rs
@@ -1,6 +1,6 @@
 //! Why a limiter could not start, or did not end as it should.
 
-use crate::operator::OperatorError;
+use crate::operator::OperatorConfigError;
 use crate::startup::StartupError;
 use std::error::Error as StdError;
 use thiserror::Error;
@@ -13,7 +13,7 @@
     Startup(#[from] StartupError),
     /// The operator's file does not fit the settings.
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    OperatorConfig(#[from] OperatorConfigError),
     /// The limiter cannot join its cluster, or cannot listen for status queries.
     #[error("{0}")]
     Cluster(Box<dyn StdError + Send + Sync>),
--- a/crates/daemon/src/serve/listeners.rs
+++ b/crates/daemon/src/serve/listeners.rs
@@ -5,7 +5,7 @@
 use crate::listeners::grpc::{GrpcServer, Limits};
 use crate::listeners::http::HttpServer;
 use crate::log::log;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::startup::{listen, local_address};
 use liftrouter_authz::Mapping;
 use liftrouter_decision::Settings;
@@ -34,12 +34,12 @@
     /// An address cannot be listened on, or the operator's file does not fit the settings.
     pub async fn bind(
         address: SocketAddr,
-        operator: &Operator,
+        operator: &OperatorConfig,
         settings: &Settings,
     ) -> Result<Self, ServeError> {
         let http = listen(address, "").await?;
         let http_address = local_address(&http)?;
-        operator.check(settings)?;
+        operator.check_classes(settings)?;
         let grpc = match &operator.grpc {
             Some(grpc) => Some(BoundGrpc::bind(grpc, settings).await?),
             None => None,
@@ -54,7 +54,7 @@
 }
 
 impl BoundGrpc {
-    async fn bind(grpc: &operator::Grpc, settings: &Settings) -> Result<Self, ServeError> {
+    async fn bind(grpc: &operator::GrpcConfig, settings: &Settings) -> Result<Self, ServeError> {
         let (limits, mapping) = (grpc.limits.clone(), grpc.mapping(settings)?);
         let listener = listen(limits.listen, " for gRPC").await?;
         Ok(BoundGrpc { listener, limits, mapping })
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -10,7 +10,7 @@
 pub use error::ServeError;
 
 use crate::authorizer::Authorizers;
-use crate::config::{read_file, Addresses, Setup};
+use crate::config::{read_file, ServiceAddresses, Setup};
 use crate::counter::client::CounterClient;
 use crate::counter::pool::CounterPool;
 use crate::counter::validation::CounterValidation;
@@ -20,11 +20,11 @@
 use crate::listeners::admission::Admission;
 use crate::listeners::grpc;
 use crate::log::log;
-use crate::operator::{CounterSettings, Operator};
+use crate::operator::{CounterSettings, OperatorConfig};
 use crate::startup::{handle_signal, runtime};
 use crate::upstream::servers::Servers;
 use cluster_node::ClusterNode;
-use endpoint_list::EndpointList;
+use endpoint_list::EndpointListSource;
 use liftrouter_catalog::Update;
 use liftrouter_counter::Pacer;
 use liftrouter_decision::Settings;
@@ -43,7 +43,7 @@
 /// # Errors
 /// It cannot start: an address, a signal handler or the operator's file cannot be used. Or requests were left open
 /// at the end.
-pub fn run(setup: Setup, operator: Operator) -> Result<(), ServeError> {
+pub fn run(setup: Setup, operator: OperatorConfig) -> Result<(), ServeError> {
     // A limiter that panicked no longer knows which requests it owes an answer: it ends, and is started anew.
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
@@ -56,7 +56,7 @@
 
 async fn serve(
     Setup { path, listen, discovery, settings, config }: Setup,
-    mut operator: Operator,
+    mut operator: OperatorConfig,
 ) -> Result<(), ServeError> {
     // Both first: a signal that finds no handler ends the program.
     let mut terminated = handle_signal(SignalKind::terminate(), "SIGTERM")?;
@@ -73,7 +73,7 @@
     let sockets = SocketBudget::new(&config.limits, &operator, &bound);
     let servers = Rc::new(Servers::new(&settings, sockets.servers));
     let counters = counter_pool(config.counter, operator.counter.as_ref(), &settings, seed);
-    let mut list = EndpointList::new(&mut operator, discovery, &settings, retry_seed);
+    let mut list = EndpointListSource::new(&mut operator, discovery, &settings, retry_seed);
     let clients = Clients { servers: servers.clone(), counters: counters.clone() };
     let mut host = Host::new(settings.clone(), seed, events.clone(), clients);
     let name = grpc::instance_name();
@@ -93,7 +93,7 @@
     list.follow(&events, retry_seed);
     spawn_local(reload(hangup, path, list.discovery().clone(), counters));
     let listeners = Listeners::start(bound, &admission, sockets.clients, name);
-    spawn_local(admit_when_listed(list, listeners.clone(), events.clone(), config.known));
+    spawn_local(admit_when_listed(list, listeners.clone(), events.clone(), config.known_endpoints));
 
     terminated.recv().await;
     shutdown::shut_down(&listeners, &admission, cluster.as_deref(), &events, longest_deadline).await
@@ -106,7 +106,7 @@
 
 /// Admits requests once the first endpoint list has come.
 async fn admit_when_listed(
-    list: EndpointList,
+    list: EndpointListSource,
     listeners: Rc<Listeners>,
     events: Rc<EventQueue>,
     known: Option<Update>,
@@ -149,7 +149,7 @@
     counters: Rc<CounterPool>,
 ) {
     while hangup.recv().await.is_some() {
-        let Addresses { discovery, counter } = match read_file(&path) {
+        let ServiceAddresses { discovery, counter } = match read_file(&path) {
             Ok(addresses) => addresses,
             // Better the old addresses than none, and better either than to end.
             Err(error) => {
--- a/crates/daemon/src/serve/resources.rs
+++ b/crates/daemon/src/serve/resources.rs
@@ -3,7 +3,7 @@
 use super::listeners::BoundListeners;
 use crate::config::Limits;
 use crate::counter::client;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 
 /// Descriptors kept for the listener, the runtime, discovery and whatever is being accepted.
 const RESERVED_SOCKETS: usize = 24;
@@ -26,7 +26,7 @@
 
 impl SocketBudget {
     /// Divides what is left once every other part has its sockets.
-    pub fn new(limits: &Limits, operator: &Operator, listeners: &BoundListeners) -> Self {
+    pub fn new(limits: &Limits, operator: &OperatorConfig, listeners: &BoundListeners) -> Self {
         let authorizers =
             operator.authorizers.iter().map(|authorizer| authorizer.max_connections).sum::<usize>();
         let fallback_counters = operator.counter.as_ref().map_or(0, |counter| counter.fallbacks.len());
