--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -19,19 +19,19 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Exit code of a command that could not do its work.
+/// Exit code of a command that failed.
 const COMMAND_FAILED: u8 = 2;
 
-/// A quota-keeping rate limiter on real sockets. Without a command it runs by the deployment's variables
-/// (ROUTER_CONFIG and others).
+/// Rate limiter that enforces customers' quotas. Without a command it runs a limiter, configured by the environment
+/// variables ROUTER_CONFIG, ROUTER_LISTEN and ROUTER_DISCOVERY.
 #[allow(clippy::doc_markdown, reason = "clap prints this text as help")]
 #[derive(Parser)]
 #[command(name = "liftrouter", version)]
 struct Cli {
-    /// The operator's own file, TOML.
+    /// The operator's file (TOML).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// How lines of the log are written.
+    /// Format of log lines.
     #[arg(long, value_name = "FORM", value_enum, default_value_t)]
     log: log::LogFormat,
     #[command(subcommand)]
@@ -40,35 +40,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Works on inventory files. Exit code: 0 done, 1 the file has faults, 2 it cannot be read.
+    /// Checks, converts and compares inventory files. Exit code: 0 success, 1 a file has faults, 2 a file cannot be
+    /// read.
     #[command(subcommand)]
     Inventory(InventoryCommand),
-    /// Serves the list of servers, by services, to limiters and other relays, until SIGTERM.
+    /// Runs a relay, which serves the endpoint lists of services to limiters and other relays until SIGTERM.
     Relay(RelayArgs),
-    /// Asks a limiter that runs who of the others is there, and what it holds. Exit code: 0 done, 2 it cannot be asked.
+    /// Prints the cluster members that a running limiter knows and the shards it holds. Exit code: 0 success, 2 the
+    /// limiter cannot be queried.
     Members {
-        /// The Unix socket that its operator file names, `ask` in `[members]`.
+        /// Unix socket of the limiter: `ask` in section `[members]` of its operator's file.
         #[arg(long, value_name = "PATH")]
         at: PathBuf,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Whom a relay follows: discovery, or other relays.
+/// Arguments of the relay command. A relay follows either discovery or other relays.
 #[derive(Args)]
 struct RelayArgs {
-    /// Where children come.
+    /// Address to listen on for limiters and other relays.
     #[arg(long, value_name = "ADDRESS")]
     listen: SocketAddr,
-    /// Discovery, for a relay at the root.
+    /// Address of the discovery service. For a relay at the root of the tree.
     #[arg(long, value_name = "ADDRESS", conflicts_with = "relay", required_unless_present = "relay")]
     discovery: Option<SocketAddr>,
-    /// A relay nearer to the root; several stand in for one another.
+    /// Address of a relay nearer to the root. Repeat the option for replicas to fail over to.
     #[arg(long, value_name = "ADDRESS")]
     relay: Vec<SocketAddr>,
-    /// Spreads the retries and the choice of relays; another one for each relay.
+    /// Seed that spreads retries and the choice among relays. Should differ between relays.
     #[arg(long, default_value_t = 0)]
     seed: u64,
 }
@@ -76,7 +78,8 @@
 impl RelayArgs {
     fn setup(self) -> RelaySetup {
         let upstream = match self.discovery {
-            // Few calls suit an agent too, and its lists expire.
+            // On-request delivery makes few calls, which works with an agent on the same machine too, and its lists
+            // expire.
             Some(address) => Upstream::discovery(address, Delivery::OnRequest),
             None => Upstream::relays(self.relay, Subscription::All, self.seed),
         };
@@ -86,34 +89,35 @@
 
 #[derive(Subcommand)]
 enum InventoryCommand {
-    /// Names every fault of a file as `file:line:column: reason`.
+    /// Prints every fault of a file as `file:line:column: reason`.
     Check {
-        /// The file, .csv, .yaml or .yml.
+        /// Inventory file: .csv, .yaml or .yml.
         file: PathBuf,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Writes a file in another form to standard output.
+    /// Converts a file to another format and writes it to standard output.
     Convert {
-        /// The file, .csv, .yaml or .yml.
+        /// Inventory file: .csv, .yaml or .yml.
         file: PathBuf,
-        /// The form.
+        /// Format of the output.
         #[arg(long)]
         to: InventoryFormat,
     },
-    /// Says what adopting a file over another would do to each node.
+    /// Prints the change to each node if the new file replaced the old one.
     Diff {
-        /// What is adopted.
+        /// Inventory file in use.
         old: PathBuf,
-        /// What would be.
+        /// Inventory file that would replace it.
         new: PathBuf,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
+/// Output formats of `inventory convert`.
 #[derive(Clone, Copy, ValueEnum)]
 enum InventoryFormat {
     Csv,
@@ -129,7 +133,7 @@
     }
 }
 
-/// Why the limiter or a command came to no good end.
+/// Why the limiter or a command failed.
 #[derive(Debug, Error)]
 enum CliError {
     #[error(transparent)]
@@ -146,7 +150,7 @@
     ClusterStatus(Box<dyn StdError + Send + Sync>),
 }
 
-/// Reads the command line and runs what it names.
+/// Parses the command line and runs the limiter or the given command.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     log::init(cli.log);
@@ -170,7 +174,7 @@
     Ok(serve::run(read_setup()?, operator)?)
 }
 
-/// Runs a command; gives its exit code.
+/// Runs a command and returns its exit code.
 fn run_command(command: Command) -> Result<u8, CliError> {
     match command {
         Command::Inventory(command) => Ok(run_inventory_command(command)?),
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file, and the environment that names it.
+//! The platform's configuration file and the environment variables that select and override it.
 
 use liftrouter_catalog::Update;
 use liftrouter_decision::Settings;
@@ -9,138 +9,138 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The variable that names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 
-/// The configuration file.
+/// The parsed configuration file.
 #[derive(Deserialize)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address to listen on for clients; `ROUTER_LISTEN` overrides it.
     pub listen: Option<SocketAddr>,
-    /// The discovery service.
+    /// Address of the discovery service; `ROUTER_DISCOVERY` overrides it.
     pub discovery: Option<SocketAddr>,
-    /// The counter service.
+    /// Address of the counter service, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Seed of the limiter's random choices, 16 hexadecimal digits.
+    /// Seed of the limiter's random choices: 16 hexadecimal digits.
     #[serde(default)]
     pub seed: String,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The endpoint list that was known when the file was written.
+    /// Endpoint list at the time the file was written. The fallback while discovery sends none.
     #[serde(rename = "known")]
     pub known_endpoints: Option<Update>,
-    /// The settings of the decisions.
+    /// Settings of the decision module.
     pub settings: Option<Settings>,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Deserialize, Default)]
 pub struct Limits {
-    /// Sockets that may be open at once.
+    /// Maximum number of open sockets.
     pub sockets: Option<usize>,
-    /// Memory, in MiB.
+    /// Maximum memory, in MiB.
     pub memory_mb: Option<f64>,
 }
 
-/// What a configuration file that is read again may change.
+/// The part of the configuration file that SIGHUP reloads.
 #[derive(Deserialize)]
 pub struct ServiceAddresses {
-    /// The discovery service.
+    /// Address of the discovery service.
     pub discovery: Option<SocketAddr>,
-    /// The counter service.
+    /// Address of the counter service.
     pub counter: Option<SocketAddr>,
 }
 
-/// Configuration and environment together: all that the limiter needs to start.
+/// The configuration file merged with the environment, and checked for everything a limiter needs to start.
 pub struct Setup {
-    /// The configuration file.
+    /// Path of the configuration file.
     pub path: String,
-    /// Where clients connect.
+    /// Address to listen on for clients.
     pub listen: SocketAddr,
-    /// The discovery service.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The settings of the decisions.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The rest of the configuration file.
+    /// The remaining fields of the configuration file.
     pub config: Config,
 }
 
-/// Why there is no usable configuration.
+/// Why the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
+    /// The environment variable for the configuration file is missing or empty.
     #[error("{CONFIG_VARIABLE} is not set")]
     FileNotSet,
     /// The file cannot be read.
     #[error("{CONFIG_VARIABLE}: cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is no JSON, or has a field of another type.
+    /// The file is not valid JSON, or a field has the wrong type.
     #[error("{CONFIG_VARIABLE}: {path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What was found, what was expected, and where.
+        /// The parse error with its line and column.
         source: serde_json::Error,
     },
-    /// A variable is no address with a port.
+    /// An environment variable is not an address with a port.
     #[error("{variable}: not an address: {found:?}")]
     InvalidAddress {
-        /// The variable.
+        /// Name of the environment variable.
         variable: &'static str,
         /// Its value.
         found: String,
     },
-    /// Neither the environment nor the file has an address that is needed.
+    /// A required address is set neither in the environment nor in the file.
     #[error("{variable} is not set, and {path} names no {key}")]
     MissingAddress {
-        /// The variable.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The key of the file.
+        /// Key of the address in the file.
         key: &'static str,
     },
-    /// The file has no settings.
+    /// The file has no settings of the decision module.
     #[error("{CONFIG_VARIABLE}: {path}: no settings")]
     MissingSettings {
-        /// The file.
+        /// Path of the file.
         path: String,
     },
-    /// A list of the settings is empty.
+    /// A list in the settings is empty that needs at least one entry.
     #[error("{CONFIG_VARIABLE}: {path}: settings: no {key}")]
     EmptyList {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The key of the list.
+        /// Key of the list in the file.
         key: &'static str,
     },
 }
 
-/// Reads a configuration file, or a part of it.
+/// Reads a configuration file, or those of its fields that `T` has.
 ///
 /// # Errors
-/// It cannot be read, or does not have the form that is expected.
+/// The file cannot be read, or does not deserialize to `T`.
 pub fn read_file<T: DeserializeOwned>(path: &str) -> Result<T, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Unreadable { path: path.to_string(), source })?;
     serde_json::from_str(&text).map_err(|source| ConfigError::Invalid { path: path.to_string(), source })
 }
 
-/// Reads the environment and the file it names. The variables repeat a part of the file and have precedence.
+/// Reads the configuration file that the environment names. Environment variables override addresses of the file.
 ///
 /// # Errors
-/// A file, an address or settings that are missing or cannot be read.
+/// The file, an address or the settings are missing or invalid.
 pub fn read_setup() -> Result<Setup, ConfigError> {
-    let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::FileNotSet)?;
+    let path = non_empty_variable(CONFIG_VARIABLE).ok_or(ConfigError::FileNotSet)?;
     let mut config: Config = read_file(&path)?;
-    let listen = address("ROUTER_LISTEN", &path, "listen", config.listen)?;
-    let discovery = address("ROUTER_DISCOVERY", &path, "discovery", config.discovery)?;
+    let listen = resolve_address("ROUTER_LISTEN", &path, "listen", config.listen)?;
+    let discovery = resolve_address("ROUTER_DISCOVERY", &path, "discovery", config.discovery)?;
     let Some(settings) = config.settings.take() else { return Err(ConfigError::MissingSettings { path }) };
     if settings.classes.is_empty() {
         return Err(ConfigError::EmptyList { path, key: "classes" });
@@ -151,19 +151,19 @@
     Ok(Setup { path, listen, discovery, settings, config })
 }
 
-/// A variable of the environment that is not empty.
-fn variable(name: &str) -> Option<String> {
+/// The value of an environment variable, if it is set and not empty.
+fn non_empty_variable(name: &str) -> Option<String> {
     env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// The address of a variable, else that of the file.
-fn address(
+/// The address in an environment variable, else the one in the file.
+fn resolve_address(
     name: &'static str,
     path: &str,
     key: &'static str,
     in_file: Option<SocketAddr>,
 ) -> Result<SocketAddr, ConfigError> {
-    match variable(name) {
+    match non_empty_variable(name) {
         Some(found) => found.parse().map_err(|_| ConfigError::InvalidAddress { variable: name, found }),
         None => in_file.ok_or(ConfigError::MissingAddress { variable: name, path: path.to_string(), key }),
     }
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,6 +1,6 @@
 //! The log: one line on standard error for each event, as text or as JSON.
 //!
-//! Events go through `tracing`, and `tracing-subscriber` writes the JSON form. The text form has a formatter of its own:
+//! Events go through `tracing`, and `tracing-subscriber` formats the JSON lines. Text lines need a custom formatter:
 //! operators search for lines of the form `part: text`, and none of the library's formatters writes a line that begins
 //! with a field and has neither time, level nor field names.
 
@@ -13,21 +13,21 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines of the log are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// `part: text`.
+    /// Lines of the form `part: text`.
     #[default]
     Text,
-    /// An object with `timestamp`, `level`, `part` and `message`.
+    /// One JSON object per line with `timestamp`, `level`, `part` and `message`.
     Json,
 }
 
-/// Sends the log to standard error from now on. A line that cannot be written is lost: a closed log must not end the
-/// limiter, so the library must not complain of it there either.
+/// Installs the global log subscriber, which writes to standard error. A line that cannot be written is lost: a closed
+/// standard error must not terminate the limiter, so the library must not report the failed write there either.
 pub fn init(format: LogFormat) {
     let lines = tracing_subscriber::fmt().with_writer(stderr).log_internal_errors(false);
-    // Fails only where one is set already, as between tests.
+    // Fails only if a subscriber is already set, for example by another test of the same process.
     let _ = match format {
         LogFormat::Text => tracing::subscriber::set_global_default(lines.event_format(TextFormat).finish()),
         LogFormat::Json => tracing::subscriber::set_global_default(
@@ -36,15 +36,15 @@
     };
 }
 
-/// Writes a line: the part of the limiter that logs it, and the text.
+/// Logs a line. `part` names the part of the program that the line is about.
 pub fn log(part: &str, text: impl Display) {
     tracing::info!(part, "{text}");
 }
 
-/// Formats an event as `part: text`, and nothing else.
+/// Formats an event as `part: text`.
 struct TextFormat;
 
-/// The fields of an event that a line of text has.
+/// The fields of an event that a text line shows.
 #[derive(Default)]
 struct TextFields {
     part: String,
@@ -71,7 +71,7 @@
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
         let mut fields = TextFields::default();
         event.record(&mut fields);
-        // Events of libraries have no part: their target, the module, stands for it.
+        // Events of libraries have no part: their target, which is the module path, replaces it.
         let part = if fields.part.is_empty() { event.metadata().target() } else { &fields.part };
         writeln!(out, "{part}: {}", fields.message)
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,8 +1,8 @@
-//! The operator's own file: settings that the platform's configuration does not have. It is TOML, and is validated
-//! completely at the start; without it the limiter runs as the platform configures it.
+//! The operator's file: settings that the platform's configuration does not have. It is a TOML file that is validated
+//! completely at startup. Without it the limiter runs with the platform's configuration alone.
 //!
-//! Each section has a module that reads and checks it. The keys of the file keep their names; fields here have the
-//! field's terms, mapped by `serde`.
+//! Each section has a module that parses and checks it. Keys of the file must not change; where the name of a field
+//! differs from its key, `serde` maps it.
 
 mod authorizer;
 mod cluster;
@@ -28,7 +28,7 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// The file as it is written.
+/// The sections of the file as parsed, before validation.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 struct OperatorFile {
@@ -43,36 +43,36 @@
     relays: Option<Spanned<relays::RelaysSection>>,
 }
 
-/// What the operator has chosen.
+/// The validated settings of the operator's file. The default has every section absent.
 #[derive(Default)]
 pub struct OperatorConfig {
-    /// The inventory file, in place of discovery.
+    /// The inventory file that replaces discovery.
     pub inventory: Option<InventorySource>,
-    /// The gRPC listener.
+    /// Configuration of the gRPC listener.
     pub grpc: Option<GrpcConfig>,
-    /// The services that authorise requests first; their classes are still to be checked.
+    /// The external authorizers. [`check_classes`](Self::check_classes) validates the names of their classes.
     pub authorizers: Vec<AuthorizerSettings>,
-    /// How counter services are validated and followed, if they are.
+    /// Validation, failover and pacing of counter services; `None` turns all three off.
     pub counter: Option<CounterSettings>,
-    /// How this limiter is a member of a cluster, if it is.
+    /// Cluster membership; `None` for a limiter outside of a cluster.
     pub cluster: Option<ClusterConfig>,
-    /// The relays that the endpoint list comes through, in place of discovery.
+    /// The relays that serve the endpoint list in place of discovery.
     pub relays: Option<Relays>,
-    /// Where each class of an authoriser stands.
+    /// The classes that have an authorizer, with their locations in the file.
     authorized_classes: Vec<ClassLocation>,
 }
 
-/// A class that an authoriser is named for, and where it stands.
+/// A class that has an authorizer, and its location in the file.
 struct ClassLocation {
     class: String,
     location: Location,
 }
 
 impl OperatorConfig {
-    /// Checks that every class that names an authoriser exists.
+    /// Checks that every class that has an authorizer exists in the settings.
     ///
     /// # Errors
-    /// `file:line:column`, what was found and what was expected.
+    /// The first unknown class, with its location and the known classes.
     pub fn check_classes(&self, settings: &Settings) -> Result<(), OperatorConfigError> {
         let is_known = |name: &str| settings.classes.iter().any(|class| class.name == name);
         let unknown = self.authorized_classes.iter().find(|authorized| !is_known(&authorized.class));
@@ -83,10 +83,10 @@
     }
 }
 
-/// Reads the file and checks it.
+/// Reads and validates the file.
 ///
 /// # Errors
-/// The file cannot be read; or `file:line:column`, what was found and what was expected.
+/// The file cannot be read, or it has a fault: the error contains the location, what was found and what was expected.
 pub fn read(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
     let name = path.display().to_string();
     match std::fs::read_to_string(path) {
--- a/crates/daemon/src/operator/error.rs
+++ b/crates/daemon/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Why the operator's file cannot be used, and where in it the fault stands.
+//! Errors of the operator's file, with their locations in it.
 
 use super::counter::MAX_FALLBACK_COUNTERS;
 use super::relays::MAX_NAME_BYTES;
@@ -8,21 +8,21 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Where something stands in the operator's file.
+/// A location in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The file as it was named.
+    /// Path of the file, as given on the command line.
     pub file: String,
-    /// None for what the file does not say and has a default.
+    /// `None` for a value that the file omits, so that its default applies.
     pub position: Option<Position>,
 }
 
-/// A character of a file, counted from 1.
+/// Position of a character in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The character of the line, from 1.
+    /// Character in the line, from 1.
     pub column: usize,
 }
 
@@ -41,130 +41,133 @@
     /// The file cannot be read.
     #[error("{path}: cannot be read: {source}")]
     Unreadable {
-        /// The file as it was named.
+        /// Path of the file, as given on the command line.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is read, but what it says cannot be used.
+    /// The file is readable, but its content is invalid.
     #[error("{location}: {fault}")]
     Invalid {
-        /// Where the fault stands.
+        /// Location of the fault.
         location: Location,
-        /// What was found, and what was expected.
+        /// The fault itself.
         fault: Fault,
     },
 }
 
-/// What is wrong at a place of the operator's file: what was found, and what was expected.
+/// A fault in the operator's file. Its message states what was found and what was expected.
 #[derive(Debug, Error)]
 pub enum Fault {
-    /// The text is not TOML, or has a key that is unknown or of another type.
+    /// The text is not valid TOML, or a key is unknown or has a value of the wrong type.
     #[error("{0}")]
     Syntax(String),
-    /// Not an address with a port. The subject is the key with its verb, such as `listen is`.
+    /// A value is not an address with a port. `subject` begins the message: the key with its verb, such as `listen is`.
     #[error("{subject} {found:?}, expected an address and a port")]
     InvalidAddress {
-        /// The key and its verb.
+        /// The key with its verb.
         subject: &'static str,
-        /// What the file says.
+        /// The value in the file.
         found: String,
     },
-    /// A number outside its range.
+    /// A number is outside its range.
     #[error("{key} is {found}, expected {} to {} {unit}", range.start(), range.end())]
     OutOfRange {
         /// The key.
         key: &'static str,
-        /// What the file says.
+        /// The value in the file.
         found: u64,
-        /// What may be said.
+        /// The accepted values.
         range: RangeInclusive<u64>,
-        /// What is counted.
+        /// Unit of the number.
         unit: &'static str,
     },
-    /// An authoriser is named for a class that the settings do not have.
+    /// An authorizer has a class that does not exist in the settings.
     #[error("classes has {found:?}, expected one of {}", expected.join(", "))]
     UnknownClass {
-        /// The class of the file.
+        /// The class in the file.
         found: String,
-        /// The classes of the settings.
+        /// The classes in the settings.
         expected: Vec<String>,
     },
-    /// Two authorisers are named for one class.
-    #[error("classes has {class:?}, which names an authoriser at {first}, expected one")]
+    /// Two authorizers have the same class.
+    #[error(
+        "classes has {class:?}, which already has an authorizer at {first}, expected one for each class"
+    )]
     DuplicateClass {
         /// The class.
         class: String,
-        /// Where the first one stands.
+        /// Location of the class in the section of the first authorizer.
         first: Location,
     },
-    /// What to do without an authoriser's answer is neither `pass` nor `refuse`.
+    /// The fallback for an authorizer that does not answer is neither `pass` nor `refuse`.
     #[error("{class} is {found:?}, expected pass or refuse")]
     UnknownFallback {
         /// The class.
         class: String,
-        /// What the file says.
+        /// The value in the file.
         found: String,
     },
-    /// A rule for a part that a gRPC question does not have.
+    /// The gRPC mapping has a key that is not a field of a request.
     #[error(
         "mapping has {0:?}, expected class, customer, plan, units, width, id, key, time_left \
          or repeat"
     )]
     UnknownMappingKey(String),
-    /// A rule of the gRPC mapping that cannot be read, or does not fit the settings.
+    /// A rule of the gRPC mapping is malformed, or refers to a class or plan that does not exist.
     #[error("{0}")]
     Mapping(MappingError),
-    /// No inventory file is named.
-    #[error("inventory names no file, expected csv or yaml")]
+    /// The inventory section has no file.
+    #[error("inventory has no file, expected csv or yaml")]
     MissingInventoryFile,
-    /// Two inventory files are named.
-    #[error("inventory names csv and yaml, expected one: they could disagree")]
+    /// The inventory section has two files.
+    #[error("inventory has both csv and yaml, expected one: their contents could differ")]
     MultipleInventoryFiles,
-    /// A share outside 0 to 1.
-    #[error("most_removed is {0}, expected a share from 0 to 1")]
+    /// The maximum ratio of removed nodes is outside 0 to 1.
+    #[error("most_removed is {0}, expected a ratio from 0 to 1")]
     RatioOutOfRange(f64),
-    /// An instance census that is too short to be called, read and validated once each.
+    /// A census period is too short for each instance to register and to read the census.
     #[error("roll_ms is {census_ms}, expected five times every_ms ({interval_ms}) at least")]
     CensusTooShort {
-        /// The length of a census, in milliseconds.
+        /// Length of a census period, in milliseconds.
         census_ms: u64,
-        /// The time between two validation calls, in milliseconds.
+        /// Interval between validation calls, in milliseconds.
         interval_ms: u64,
     },
-    /// A counter service is named twice.
-    #[error("others has {0:?} twice, expected different keepers")]
+    /// A fallback counter service is listed twice.
+    #[error("others has {0:?} twice, expected distinct counter services")]
     DuplicateCounter(String),
-    /// Too many counter services are named.
-    #[error("others has more than {MAX_FALLBACK_COUNTERS} keepers")]
+    /// There are too many fallback counter services.
+    #[error("others has more than {MAX_FALLBACK_COUNTERS} counter services")]
     TooManyCounters,
-    /// Settings of the cluster that do not fit together.
+    /// The cluster settings are invalid or contradict each other.
     #[error("{0}")]
     Cluster(String),
-    /// A link proxy is named in a build that is not for tests.
-    #[error("via is given, but only builds for tests take it: it lets another one play the links")]
+    /// A release build has a link proxy configured.
+    #[error("via is set, but only debug builds accept it: it sends traffic through a proxy that simulates link faults")]
     LinkProxyInRelease,
-    /// Two sources of the endpoint list.
-    #[error("relays beside inventory, expected one: they could disagree")]
+    /// The endpoint list has two sources.
+    #[error("relays and inventory are both present, expected one: their lists could differ")]
     RelaysAndInventory,
-    /// Relays both with and without regions.
+    /// Relays are listed both with and without regions.
     #[error("relays has addresses and regions, expected one of them")]
     AddressesAndRegions,
-    /// A section without an address.
-    #[error("{section} names no address, expected one at least")]
+    /// A section has no address.
+    #[error("{section} has no address, expected at least one")]
     MissingAddress {
-        /// The section.
+        /// Name of the section.
         section: &'static str,
     },
-    /// Two regions of one name.
-    #[error("name is {0:?} once more, expected another for each region")]
+    /// Two regions have the same name.
+    #[error("name is {0:?} for two regions, expected a unique name for each region")]
     DuplicateRegion(String),
-    /// A name that cannot stand in a query. The subject is the key with its verb.
+    /// A name is empty, too long or needs escaping in a query string. `subject` begins the message: the key with its
+    /// verb, such as `name is`.
     #[error("{subject} {found:?}, expected 1 to {MAX_NAME_BYTES} letters, digits, or one of - . _ ~")]
     InvalidName {
-        /// The key and its verb.
+        /// The key with its verb.
         subject: &'static str,
-        /// What the file says.
+        /// The value in the file.
         found: String,
     },
 }
--- a/crates/daemon/src/operator/grpc.rs
+++ b/crates/daemon/src/operator/grpc.rs
@@ -1,4 +1,4 @@
-//! `[grpc]`: external authorisation is answered by this limiter.
+//! `[grpc]`: the gRPC listener, at which this limiter serves external authorization.
 
 use super::error::{Fault, Location, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The key under which the rules of added headers are located.
-const ADD: &str = "add";
+/// The key under which mapping errors refer to the rules of added headers.
+const ADDED_HEADERS_KEY: &str = "add";
 
-/// The section as it is written.
+/// The section as parsed, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct GrpcSection {
@@ -39,22 +39,22 @@
     added_headers: BTreeMap<String, Spanned<String>>,
 }
 
-/// The gRPC listener; its mapping is still to be checked against classes and plans.
+/// Configuration of the gRPC listener. [`mapping`](Self::mapping) checks its rules against the classes and plans.
 pub struct GrpcConfig {
-    /// What the listener takes.
+    /// Address and limits of the listener.
     pub limits: Limits,
     rules: MappingRules,
-    /// Where each rule stands, by its key.
+    /// Location of each rule, by its key.
     locations: BTreeMap<String, Location>,
-    /// The file, for rules that it does not have.
+    /// Path of the file: the location of a rule that the file omits.
     file: String,
 }
 
 impl GrpcConfig {
-    /// The mapping, where it fits the settings.
+    /// Builds the mapping from requests to the fields of an admission, for the classes and plans of the settings.
     ///
     /// # Errors
-    /// `file:line:column`, what was found and what was expected.
+    /// The first rule that is malformed or refers to an unknown class or plan, with its location.
     pub fn mapping(&self, settings: &Settings) -> Result<Mapping, OperatorConfigError> {
         let classes: Vec<&str> = settings.classes.iter().map(|class| class.name.as_str()).collect();
         let plans: Vec<&str> = settings.plans.iter().map(|plan| plan.name.as_str()).collect();
@@ -66,44 +66,50 @@
     }
 }
 
-/// Checks the section.
+/// Validates the section and applies the defaults.
 pub(super) fn check(source: &SourceText, section: GrpcSection) -> Result<GrpcConfig, OperatorConfigError> {
     let limits = check_limits(source, &section)?;
     let mut rules = MappingRules::default();
     let mut locations = BTreeMap::new();
     for (key, rule) in section.rules {
         locations.insert(key.get_ref().clone(), source.location(rule.span().start));
-        let Some(known) = rule_of_key(&mut rules, key.get_ref()) else {
+        let Some(slot) = rule_mut(&mut rules, key.get_ref()) else {
             return Err(source.error(key.span().start, Fault::UnknownMappingKey(key.into_inner())));
         };
-        *known = rule.into_inner();
+        *slot = rule.into_inner();
     }
     for (header, rule) in section.added_headers {
-        locations.insert(ADD.into(), source.location(rule.span().start));
+        locations.insert(ADDED_HEADERS_KEY.into(), source.location(rule.span().start));
         rules.add.push((header, rule.into_inner()));
     }
     Ok(GrpcConfig { limits, rules, locations, file: source.name.to_string() })
 }
 
 fn check_limits(source: &SourceText, section: &GrpcSection) -> Result<Limits, OperatorConfigError> {
-    let count = |value: &Option<Spanned<u64>>, key, unit, most, default| {
-        source.number(value.clone(), NumberKey::new(key, unit), 1..=most, default)
+    let count = |value: &Option<Spanned<u64>>, key, unit, max, default| {
+        source.number(value.clone(), NumberKey::new(key, unit), 1..=max, default)
     };
     let seconds = |value: &Option<Spanned<u64>>, key, default| {
         let number = source.number(value.clone(), NumberKey::seconds(key), 1..=86_400, default);
         number.map(Duration::from_secs)
     };
-    let control_key = NumberKey::new("control_per_s", "a second");
+    let control_key = NumberKey::new("control_per_s", "per second");
     Ok(Limits {
         listen: source.address("listen is", &section.listen)?,
         streams: count(&section.max_streams, "streams", "streams", 10_000, 100)? as u32,
         connections: count(&section.max_connections, "connections", "connections", 10_000, 32)? as usize,
-        message: bytes(count(&section.message_kb, "message_kb", "kilobytes", 1_024, 64)?),
-        header_list: bytes(count(&section.header_list_kb, "header_list_kb", "kilobytes", 64, 16)?) as u32,
+        message: kilobytes_to_bytes(count(&section.message_kb, "message_kb", "kilobytes", 1_024, 64)?),
+        header_list: kilobytes_to_bytes(count(
+            &section.header_list_kb,
+            "header_list_kb",
+            "kilobytes",
+            64,
+            16,
+        )?) as u32,
         idle: seconds(&section.idle_timeout_s, "idle_s", 60)?,
         age: seconds(&section.max_age_s, "age_s", 600)?,
         frames: FrameLimits {
-            resets_per_s: count(&section.resets_per_s, "resets_per_s", "a second", 1_000_000, 100)? as f64,
+            resets_per_s: count(&section.resets_per_s, "resets_per_s", "per second", 1_000_000, 100)? as f64,
             control_per_s: source.number(
                 section.control_frames_per_s.clone(),
                 control_key,
@@ -121,12 +127,12 @@
     })
 }
 
-fn bytes(kilobytes: u64) -> usize {
+fn kilobytes_to_bytes(kilobytes: u64) -> usize {
     kilobytes as usize * 1_024
 }
 
-/// The rule that a key of the mapping sets.
-fn rule_of_key<'a>(rules: &'a mut MappingRules, key: &str) -> Option<&'a mut String> {
+/// The rule that a key of the mapping sets, or `None` for an unknown key.
+fn rule_mut<'a>(rules: &'a mut MappingRules, key: &str) -> Option<&'a mut String> {
     Some(match key {
         "class" => &mut rules.class,
         "customer" => &mut rules.customer,
--- a/crates/daemon/src/operator/inventory.rs
+++ b/crates/daemon/src/operator/inventory.rs
@@ -1,4 +1,4 @@
-//! `[inventory]`: the nodes come from a file, and discovery is not called.
+//! `[inventory]`: the endpoint list comes from an inventory file, and discovery is not called.
 
 use super::error::{Fault, OperatorConfigError};
 use super::source::{NumberKey, SourceText};
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// How often the file is polled where the operator does not say.
+/// Default interval between polls of the file.
 const DEFAULT_POLL_MS: u64 = 50;
 
-/// The section as it is written.
+/// The section as parsed, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct InventorySection {
@@ -24,7 +24,7 @@
     poll_ms: Option<Spanned<u64>>,
 }
 
-/// Checks the section.
+/// Validates the section and applies the defaults.
 pub(super) fn check(
     source: &SourceText,
     section: Spanned<InventorySection>,
@@ -36,8 +36,8 @@
         (Some(_), Some(_)) => return Err(source.error(offset, Fault::MultipleInventoryFiles)),
         (None, None) => return Err(source.error(offset, Fault::MissingInventoryFile)),
     };
-    let milliseconds = |value, key, default: u64, least: u64| {
-        let number = source.number(value, NumberKey::milliseconds(key), least..=10_000, default);
+    let milliseconds = |value, key, default: u64, min: u64| {
+        let number = source.number(value, NumberKey::milliseconds(key), min..=10_000, default);
         number.map(Duration::from_millis)
     };
     let default = Policy::default();
@@ -45,8 +45,8 @@
     let poll_interval = milliseconds(section.poll_ms, "poll_ms", DEFAULT_POLL_MS, 5)?;
     let most_removed = match section.max_removed {
         None => default.most_removed,
-        Some(share) if (0.0..=1.0).contains(share.get_ref()) => share.into_inner(),
-        Some(share) => return Err(source.error(share.span().start, Fault::RatioOutOfRange(*share.get_ref()))),
+        Some(ratio) if (0.0..=1.0).contains(ratio.get_ref()) => ratio.into_inner(),
+        Some(ratio) => return Err(source.error(ratio.span().start, Fault::RatioOutOfRange(*ratio.get_ref()))),
     };
     Ok(InventorySource { path, form, policy: Policy { quiet, most_removed }, poll_interval })
 }
--- a/crates/daemon/src/operator/relays.rs
+++ b/crates/daemon/src/operator/relays.rs
@@ -1,4 +1,4 @@
-//! `[relays]`: the endpoint list comes through relays, and discovery is not called.
+//! `[relays]`: the endpoint list comes from relays, and discovery is not called.
 
 use super::error::{Fault, OperatorConfigError};
 use super::source::SourceText;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The longest name of a service or region, in bytes.
+/// Maximum length of the name of a service or region.
 pub(super) const MAX_NAME_BYTES: usize = 64;
 
-/// The section as it is written.
+/// The section as parsed, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RelaysSection {
@@ -22,7 +22,7 @@
     regions: Vec<Spanned<RegionSection>>,
 }
 
-/// A region as it is written.
+/// A region as parsed, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RegionSection {
@@ -30,23 +30,23 @@
     addresses: Vec<Spanned<String>>,
 }
 
-/// The relays, and what is followed there.
+/// The relays that this limiter follows, and its subscription there.
 pub struct Relays {
-    /// Each has a list of its own.
+    /// The regions. Each has a separate endpoint list.
     pub regions: Vec<RelayRegion>,
-    /// The services whose servers this limiter sends to.
+    /// The services whose servers this limiter sends requests to.
     pub subscription: Subscription,
 }
 
 /// The relays of one region.
 pub struct RelayRegion {
-    /// As the log calls it; empty where there is only one.
+    /// Name in log lines; empty if the file lists relays without regions.
     pub name: String,
-    /// Each stands in for the others.
+    /// Interchangeable relays: if one fails, the limiter moves to another.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Checks the section.
+/// Validates the section.
 pub(super) fn check(
     source: &SourceText,
     section: Spanned<RelaysSection>,
@@ -99,14 +99,15 @@
     addresses.iter().map(|address| source.address("addresses has", address)).collect()
 }
 
-/// A name that can stand in a query as it is.
+/// Checks that a name can be put into a query string without escaping.
 fn check_name(
     source: &SourceText,
     subject: &'static str,
     name: &Spanned<String>,
 ) -> Result<String, OperatorConfigError> {
     let text = name.get_ref();
-    let is_allowed = |symbol: char| symbol.is_ascii_alphanumeric() || matches!(symbol, '-' | '.' | '_' | '~');
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || matches!(character, '-' | '.' | '_' | '~');
     if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.chars().all(is_allowed) {
         return Err(source.error(name.span().start, Fault::InvalidName { subject, found: text.clone() }));
     }
--- a/crates/daemon/src/operator/source.rs
+++ b/crates/daemon/src/operator/source.rs
@@ -1,19 +1,19 @@
-//! The text of the operator's file, and the checks that name a place in it.
+//! The text of the operator's file, and checks of values whose errors contain a location in it.
 
 use super::error::{Fault, Location, OperatorConfigError, Position};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use toml::Spanned;
 
-/// The operator's file as it was read.
+/// The operator's file before parsing.
 pub(super) struct SourceText<'a> {
-    /// The file as it was named.
+    /// Path of the file, as given on the command line.
     pub name: &'a str,
-    /// All that it says.
+    /// Content of the file.
     pub text: &'a str,
 }
 
-/// The key of a whole number, and what it counts.
+/// The key of an integer and its unit, as error messages show them.
 #[derive(Clone, Copy)]
 pub(super) struct NumberKey {
     key: &'static str,
@@ -21,24 +21,24 @@
 }
 
 impl NumberKey {
-    /// A key whose number counts these units.
+    /// A key with a number in the given unit.
     pub const fn new(key: &'static str, unit: &'static str) -> Self {
         NumberKey { key, unit }
     }
 
-    /// A key in milliseconds.
+    /// A key with a duration in milliseconds.
     pub const fn milliseconds(key: &'static str) -> Self {
         NumberKey { key, unit: "milliseconds" }
     }
 
-    /// A key in seconds.
+    /// A key with a duration in seconds.
     pub const fn seconds(key: &'static str) -> Self {
         NumberKey { key, unit: "seconds" }
     }
 }
 
 impl SourceText<'_> {
-    /// The place of a byte of the text.
+    /// Converts a byte offset into a location.
     pub fn location(&self, offset: usize) -> Location {
         let before = self.text.get(..offset).unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
@@ -46,12 +46,13 @@
         Location { file: self.name.to_string(), position: Some(Position { line, column }) }
     }
 
-    /// A fault at a byte of the text.
+    /// Creates the error for a fault at a byte offset.
     pub fn error(&self, offset: usize, fault: Fault) -> OperatorConfigError {
         OperatorConfigError::Invalid { location: self.location(offset), fault }
     }
 
-    /// An address with its port. The subject is the key with its verb: `listen is`, `others has`.
+    /// Parses an address with a port. `subject` begins the error message: the key with its verb, such as `listen is` or
+    /// `others has`.
     pub fn address(
         &self,
         subject: &'static str,
@@ -63,7 +64,7 @@
         })
     }
 
-    /// A whole number within its range, or the default.
+    /// Checks that an integer is within its range; returns the default if the file omits it.
     pub fn number(
         &self,
         value: Option<Spanned<u64>>,
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -1,4 +1,4 @@
-//! The operator's file: every key is read, and every fault is located.
+//! Tests of the operator's file: every key is read, and errors contain the location of the fault.
 
 use super::*;
 use crate::authorizer::Fallback;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_empty_file_turns_everything_off() {
+fn an_empty_file_enables_nothing() {
     assert!(parse("o.toml", "# nothing\n").expect("good").inventory.is_none());
 }
 
@@ -21,7 +21,7 @@
     let sample = include_str!("../../../../deploy/sample-operator.toml");
     let source = parse("o.toml", sample).expect("good").inventory.expect("a file");
     assert_eq!((source.form, source.poll_interval), (Form::Csv, Duration::from_millis(50)));
-    let grpc = parse("o.toml", sample).expect("good").grpc.expect("a front");
+    let grpc = parse("o.toml", sample).expect("good").grpc.expect("a gRPC listener");
     assert_eq!((grpc.limits.listen.port(), grpc.limits.streams), (9001, 100));
 }
 
@@ -38,7 +38,7 @@
 #[test]
 fn a_mapping_rule_that_does_not_fit_the_settings_is_located() {
     let text = "[grpc]\nlisten = '127.0.0.1:0'\n[grpc.mapping]\nclass = 'value:qoute'\n";
-    let grpc = parse("o.toml", text).expect("good").grpc.expect("a front");
+    let grpc = parse("o.toml", text).expect("good").grpc.expect("a gRPC listener");
     let settings: Settings =
         serde_json::from_str(r#"{"classes": [{"name": "quote"}], "tariffs": [{"name": "roomy"}]}"#)
             .expect("settings");
@@ -46,7 +46,7 @@
     assert_eq!(found.as_deref(), Some("o.toml:4:9: class is \"value:qoute\", expected one of quote"));
 }
 
-/// Every text is refused with an error that contains the place, what was found and what was expected.
+/// Asserts that each text is rejected with an error that contains the expected message.
 fn assert_errors(cases: &[(&str, &str)]) {
     for (text, expected) in cases {
         let error = parse("o.toml", text).err().map(|error| error.to_string()).unwrap_or_default();
@@ -57,7 +57,7 @@
 #[test]
 fn faulty_relays_sections_are_located() {
     assert_errors(&[
-        ("[relays]\naddresses = []\n", "o.toml:1:1: relays names no address, expected one at least"),
+        ("[relays]\naddresses = []\n", "o.toml:1:1: relays has no address, expected at least one"),
         ("[relays]\naddresses = ['a']\n", "o.toml:2:14: addresses has \"a\", expected an address and a port"),
         (
             "[relays]\naddresses = ['127.0.0.1:1']\n[[relays.region]]\nname = 'w'\naddresses = ['127.0.0.1:2']\n",
@@ -65,7 +65,7 @@
         ),
         (
             "[[relays.region]]\nname = 'w'\naddresses = []\n",
-            "o.toml:1:1: region names no address, expected one at least",
+            "o.toml:1:1: region has no address, expected at least one",
         ),
         (
             "[[relays.region]]\nname = ''\naddresses = ['127.0.0.1:1']\n",
@@ -74,7 +74,7 @@
         (
             "[[relays.region]]\nname = 'w'\naddresses = ['127.0.0.1:1']\n\
              [[relays.region]]\nname = 'w'\naddresses = ['127.0.0.1:2']\n",
-            "o.toml:5:8: name is \"w\" once more, expected another for each region",
+            "o.toml:5:8: name is \"w\" for two regions, expected a unique name for each region",
         ),
         (
             "[relays]\naddresses = ['127.0.0.1:1']\nservices = ['a b']\n",
@@ -82,7 +82,7 @@
         ),
         (
             "[inventory]\ncsv = 'a'\n[relays]\naddresses = ['127.0.0.1:1']\n",
-            "o.toml:3:1: relays beside inventory, expected one: they could disagree",
+            "o.toml:3:1: relays and inventory are both present, expected one: their lists could differ",
         ),
     ]);
 }
@@ -90,10 +90,10 @@
 #[test]
 fn faulty_inventory_sections_are_located() {
     assert_errors(&[
-        ("[inventory]\n", "o.toml:1:1: inventory names no file, expected csv or yaml"),
-        ("[inventory]\ncsv = 'a'\nyaml = 'b'\n", "inventory names csv and yaml, expected one"),
+        ("[inventory]\n", "o.toml:1:1: inventory has no file, expected csv or yaml"),
+        ("[inventory]\ncsv = 'a'\nyaml = 'b'\n", "inventory has both csv and yaml, expected one"),
         ("[inventory]\ncsv = 'a'\nquiet_ms = 0\n", "o.toml:3:12: quiet_ms is 0, expected 1 to 10000"),
-        ("[inventory]\ncsv = 'a'\nmost_removed = 2.0\n", "o.toml:3:16: most_removed is 2, expected a share"),
+        ("[inventory]\ncsv = 'a'\nmost_removed = 2.0\n", "o.toml:3:16: most_removed is 2, expected a ratio"),
     ]);
 }
 
@@ -131,7 +131,8 @@
         (
             "[[authoriser]]\nname = 'a'\naddress = '[::1]:1'\nclasses = { quote = 'pass' }\n\
              [[authoriser]]\nname = 'b'\naddress = '[::1]:1'\nclasses = { quote = 'pass' }\n",
-            "o.toml:8:13: classes has \"quote\", which names an authoriser at o.toml:4:13, expected one",
+            "o.toml:8:13: classes has \"quote\", which already has an authorizer at o.toml:4:13, \
+             expected one for each class",
         ),
     ]);
 }
@@ -178,7 +179,7 @@
     ]);
 }
 
-/// A file of earlier versions with every key of each section.
+/// A file that was written for an earlier version and has every key of its sections.
 const EVERY_KEY: &str = include_str!("../../tests/fixtures/operator.toml");
 
 fn every_key() -> OperatorConfig {
@@ -303,7 +304,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn an_unreadable_file_is_named_in_the_error() {
     let error = read(Path::new("/nowhere/o.toml")).err().map(|error| error.to_string());
     let expected = "/nowhere/o.toml: cannot be read: No such file or directory (os error 2)";
     assert_eq!(error.as_deref(), Some(expected));
--- a/crates/daemon/src/serve/endpoint_list.rs
+++ b/crates/daemon/src/serve/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list at the start: where it comes from, and how long the first one is waited for.
+//! The source of the endpoint list, and the wait for the first list at startup.
 
 use crate::discovery::client::DiscoveryClient;
 use crate::discovery::endpoint::listed_endpoint;
@@ -16,23 +16,25 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How long the first list of discovery is waited for before requests are admitted with the one at hand. What
-/// discovery announced before this process began counts as known to it: a server that drains since may stand in the
-/// list at hand as in service. Nine in ten that are restarted are to be ready within 10 s.
+/// Maximum wait for the first list of discovery before the limiter becomes ready with the list in the configuration.
+/// That list is a last resort: a server that has begun to drain since it was written is still in service there, but the
+/// limiter is expected to know what discovery announced before this process started. The wait is bounded because 90 % of
+/// restarted limiters must be ready within 10 s.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(8_500);
 
-/// The endpoint list that this limiter follows.
+/// The source of the endpoint list: discovery, relays or an inventory file.
 pub(super) struct EndpointListSource {
     discovery: Rc<DiscoveryClient>,
-    /// The file that it comes from in place of discovery; taken when it is followed.
+    /// The inventory file that replaces discovery; [`follow`](Self::follow) takes it out.
     file: Option<InventorySource>,
     is_from_file: bool,
     /// Notified when the first version of the file is adopted.
-    adopted: Rc<Notify>,
+    file_adopted: Rc<Notify>,
 }
 
 impl EndpointListSource {
-    /// The list of the operator's file or relays, where there are any, else that of discovery.
+    /// Chooses the source: the inventory file or the relays of the operator's file if either is present, else
+    /// discovery.
     pub fn new(operator: &mut OperatorConfig, discovery: SocketAddr, settings: &Settings, seed: u64) -> Self {
         let delivery = if settings.polls_discovery { Delivery::OnRequest } else { Delivery::Pushed };
         let discovery = match operator.relays.take() {
@@ -47,48 +49,49 @@
             discovery: Rc::new(discovery),
             is_from_file: file.is_some(),
             file,
-            adopted: Rc::default(),
+            file_adopted: Rc::default(),
         }
     }
 
-    /// The client that SIGHUP moves to another address.
+    /// The discovery client, whose address SIGHUP changes.
     pub fn discovery(&self) -> &Rc<DiscoveryClient> {
         &self.discovery
     }
 
-    /// Follows the list from now on. Where there is a file it alone counts: what discovery knew before, or would
-    /// announce now, could contradict it.
+    /// Starts the task that follows the list. If there is an inventory file, it is the only source: an earlier list of
+    /// discovery, or a new one, could contradict it.
     pub fn follow(&mut self, events: &Rc<EventQueue>, seed: u64) {
         match self.file.take() {
-            Some(file) => spawn_local(file.follow(events.clone(), self.adopted.clone())),
+            Some(file) => spawn_local(file.follow(events.clone(), self.file_adopted.clone())),
             None => spawn_local(self.discovery.clone().watch(events.clone(), seed)),
         };
     }
 
-    /// Waits for the first list; where it does not come in time, falls back to the one of the configuration.
-    pub async fn wait_for_first(&self, events: &EventQueue, known: Option<Update>) {
+    /// Waits for the first list. If discovery does not send one in time, falls back to the list in the configuration.
+    pub async fn wait_for_first(&self, events: &EventQueue, known_endpoints: Option<Update>) {
         if self.is_from_file {
-            self.adopted.notified().await;
+            self.file_adopted.notified().await;
         } else if timeout(FIRST_LIST_TIMEOUT, self.discovery.first_heartbeats()).await.is_err() {
-            self.fall_back(events, known);
+            self.fall_back(events, known_endpoints);
         }
     }
 
-    /// Not all lists came in time. Until here no server was known, so every request was rejected at once.
-    fn fall_back(&self, events: &EventQueue, known: Option<Update>) {
+    /// Continues without the lists that did not come in time. Until the first list comes no server is known, and every
+    /// request is rejected immediately.
+    fn fall_back(&self, events: &EventQueue, known_endpoints: Option<Update>) {
         let discovery = &self.discovery;
         if discovery.has_list() {
             let missing = discovery.upstreams().filter(|upstream| upstream.revision().is_none());
             missing.for_each(|upstream| upstream.log("no list came: going on without it"));
             return;
         }
-        match known.filter(|_| discovery.trusts_known_list()) {
+        match known_endpoints.filter(|_| discovery.trusts_known_list()) {
             Some(known) => {
                 log("discovery", "no list came: going by the one in the configuration");
                 let endpoints = known.instances.iter().map(listed_endpoint).collect();
                 events.push(HostEvent::EndpointUpdate { complete: true, endpoints, version: None });
             }
-            None => log("discovery", "no list came: all is refused until one does"),
+            None => log("discovery", "no list came: rejecting all requests until one comes"),
         }
     }
 }
--- a/crates/daemon/src/serve/listeners.rs
+++ b/crates/daemon/src/serve/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners at which clients connect: HTTP always, gRPC where the operator has one.
+//! The listeners for clients: HTTP always, gRPC if the operator's file has a `[grpc]` section.
 
 use super::error::ServeError;
 use crate::listeners::admission::Admission;
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// The listening sockets, bound before anything else is started.
+/// The sockets of all listeners, bound before any other part of the limiter starts.
 pub(super) struct BoundListeners {
     http: TcpListener,
     http_address: SocketAddr,
@@ -28,10 +28,10 @@
 }
 
 impl BoundListeners {
-    /// Binds all of them.
+    /// Checks the operator's file against the settings and binds all sockets.
     ///
     /// # Errors
-    /// An address cannot be listened on, or the operator's file does not fit the settings.
+    /// An address cannot be bound, or the operator's file contradicts the settings.
     pub async fn bind(
         address: SocketAddr,
         operator: &OperatorConfig,
@@ -47,7 +47,7 @@
         Ok(BoundListeners { http, http_address, grpc })
     }
 
-    /// Sockets that the gRPC listener may take.
+    /// Maximum number of sockets that the gRPC listener uses.
     pub fn grpc_sockets(&self) -> usize {
         self.grpc.as_ref().map_or(0, |grpc| grpc.limits.connections + 1)
     }
@@ -61,20 +61,20 @@
     }
 }
 
-/// A listener, and the task that accepts its connections.
-struct Running<L> {
+/// A listener and the task that accepts its connections.
+struct RunningListener<L> {
     listener: Rc<L>,
     accept_task: JoinHandle<()>,
 }
 
-/// The running listeners.
+/// The listeners while they accept connections.
 pub(super) struct Listeners {
-    http: Running<HttpServer>,
-    grpc: Option<Running<GrpcServer>>,
+    http: RunningListener<HttpServer>,
+    grpc: Option<RunningListener<GrpcServer>>,
 }
 
 impl Listeners {
-    /// Accepts connections from now on, and says so in the log.
+    /// Starts to accept connections and logs the addresses.
     pub fn start(
         bound: BoundListeners,
         admission: &Rc<Admission>,
@@ -87,7 +87,7 @@
         Rc::new(Listeners { http, grpc })
     }
 
-    /// Admits requests from now on.
+    /// Reports the limiter as ready to health checks from now on.
     pub fn set_ready(&self) {
         self.http.listener.set_ready();
         if let Some(grpc) = &self.grpc {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Begins the graceful shutdown: requests that have come are still answered, and idle connections are closed.
+    /// Begins the graceful shutdown: requests in flight are still answered, and idle connections are closed.
     pub fn drain(&self) {
         self.http.listener.drain();
         if let Some(grpc) = &self.grpc {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Waits until no connection is left.
+    /// Waits until all connections are closed.
     pub async fn all_closed(&self) {
         self.http.listener.all_closed().await;
         if let Some(grpc) = &self.grpc {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Accepts no more connections.
+    /// Stops accepting connections.
     pub fn stop_accepting(&self) {
         self.http.accept_task.abort();
         if let Some(grpc) = &self.grpc {
@@ -120,16 +120,20 @@
     }
 }
 
-fn start_http(socket: TcpListener, admission: Rc<Admission>, client_sockets: usize) -> Running<HttpServer> {
+fn start_http(
+    socket: TcpListener,
+    admission: Rc<Admission>,
+    client_sockets: usize,
+) -> RunningListener<HttpServer> {
     let listener = HttpServer::new(admission, client_sockets);
     let accept_task = spawn_local({
         let listener = listener.clone();
         async move { listener.accept(socket).await }
     });
-    Running { listener, accept_task }
+    RunningListener { listener, accept_task }
 }
 
-fn start_grpc(bound: BoundGrpc, admission: Rc<Admission>, name: String) -> Running<GrpcServer> {
+fn start_grpc(bound: BoundGrpc, admission: Rc<Admission>, name: String) -> RunningListener<GrpcServer> {
     let BoundGrpc { listener: socket, limits, mapping } = bound;
     let listener = GrpcServer::new(admission, limits, mapping, name);
     if let Ok(address) = socket.local_addr() {
@@ -139,5 +143,5 @@
         let listener = listener.clone();
         async move { listener.accept(socket).await }
     });
-    Running { listener, accept_task }
+    RunningListener { listener, accept_task }
 }
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a limiter, moves them to new addresses on SIGHUP, and ends them on SIGTERM.
+//! Runs a limiter: starts its parts, reloads addresses on SIGHUP and shuts down on SIGTERM.
 
 mod cluster_node;
 mod endpoint_list;
@@ -29,25 +29,25 @@
 use liftrouter_counter::Pacer;
 use liftrouter_decision::Settings;
 use listeners::{BoundListeners, Listeners};
-use resources::{body_budget, parse_seed, retry_seed, SocketBudget};
+use resources::{body_budget, discovery_seed, parse_seed, SocketBudget};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Exit code after a panic, as the standard library has it.
+/// Exit code after a panic; the same as the standard library's.
 const PANIC_EXIT_CODE: i32 = 101;
 
 /// Runs a limiter until SIGTERM.
 ///
 /// # Errors
-/// It cannot start: an address, a signal handler or the operator's file cannot be used. Or requests were left open
-/// at the end.
+/// The limiter cannot start because of an address, a signal handler, the operator's file or its cluster; or requests
+/// were left unanswered at the end.
 pub fn run(setup: Setup, operator: OperatorConfig) -> Result<(), ServeError> {
-    // A limiter that panicked no longer knows which requests it owes an answer: it ends, and is started anew.
-    let report = std::panic::take_hook();
+    // After a panic in a task the limiter no longer knows which requests are unanswered: it exits, and is restarted.
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
+        default_hook(info);
         std::process::exit(PANIC_EXIT_CODE);
     }));
     let runtime = runtime()?;
@@ -58,7 +58,7 @@
     Setup { path, listen, discovery, settings, config }: Setup,
     mut operator: OperatorConfig,
 ) -> Result<(), ServeError> {
-    // Both first: a signal that finds no handler ends the program.
+    // Install both handlers first: without a handler either signal terminates the process.
     let mut terminated = handle_signal(SignalKind::terminate(), "SIGTERM")?;
     let hangup = handle_signal(SignalKind::hangup(), "SIGHUP")?;
     let bound = BoundListeners::bind(listen, &operator, &settings).await?;
@@ -69,11 +69,11 @@
     };
 
     let seed = parse_seed(&config.seed);
-    let retry_seed = retry_seed(seed, settings.instance_index);
+    let discovery_seed = discovery_seed(seed, settings.instance_index);
     let sockets = SocketBudget::new(&config.limits, &operator, &bound);
     let servers = Rc::new(Servers::new(&settings, sockets.servers));
     let counters = counter_pool(config.counter, operator.counter.as_ref(), &settings, seed);
-    let mut list = EndpointListSource::new(&mut operator, discovery, &settings, retry_seed);
+    let mut list = EndpointListSource::new(&mut operator, discovery, &settings, discovery_seed);
     let clients = Clients { servers: servers.clone(), counters: counters.clone() };
     let mut host = Host::new(settings.clone(), seed, events.clone(), clients);
     let name = grpc::instance_name();
@@ -84,64 +84,63 @@
         spawn_local(validation.run());
         host = host.watch_pauses();
     }
-    let longest_deadline = longest_deadline(&settings);
+    let longest_deadline_s = longest_deadline_s(&settings);
     let admission = Admission::new(events.clone(), settings, body_budget(&config.limits), authorizers);
 
     spawn_local(host.run());
     let cluster = cluster_node.map(|node| node.start(&servers));
     spawn_local(async move { servers.sweep().await });
-    list.follow(&events, retry_seed);
+    list.follow(&events, discovery_seed);
     spawn_local(reload(hangup, path, list.discovery().clone(), counters));
     let listeners = Listeners::start(bound, &admission, sockets.clients, name);
-    spawn_local(admit_when_listed(list, listeners.clone(), events.clone(), config.known_endpoints));
+    spawn_local(set_ready_after_first_list(list, listeners.clone(), events.clone(), config.known_endpoints));
 
     terminated.recv().await;
-    shutdown::shut_down(&listeners, &admission, cluster.as_deref(), &events, longest_deadline).await
+    shutdown::shut_down(&listeners, &admission, cluster.as_deref(), &events, longest_deadline_s).await
 }
 
-/// The longest deadline of a class, in seconds; 0 without classes.
-fn longest_deadline(settings: &Settings) -> f64 {
+/// The longest deadline of all classes; 0 without classes.
+fn longest_deadline_s(settings: &Settings) -> f64 {
     settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max)
 }
 
-/// Admits requests once the first endpoint list has come.
-async fn admit_when_listed(
+/// Reports the limiter as ready once the first endpoint list has come, or the wait for it has timed out.
+async fn set_ready_after_first_list(
     list: EndpointListSource,
     listeners: Rc<Listeners>,
     events: Rc<EventQueue>,
-    known: Option<Update>,
+    known_endpoints: Option<Update>,
 ) {
-    list.wait_for_first(&events, known).await;
+    list.wait_for_first(&events, known_endpoints).await;
     listeners.set_ready();
 }
 
-/// The counter service that the configuration names, and those that the operator has put behind it.
+/// The pool of the configured counter service and, after it, the fallbacks of the operator's file.
 fn counter_pool(
     first: Option<SocketAddr>,
-    operator: Option<&CounterSettings>,
+    counter_settings: Option<&CounterSettings>,
     settings: &Settings,
     seed: u64,
 ) -> Rc<CounterPool> {
     let mut clients = vec![CounterClient::new(first, settings)];
     let mut pacer = None;
-    if let Some(operator) = operator {
-        let fallbacks = operator.fallbacks.iter();
+    if let Some(counter_settings) = counter_settings {
+        let fallbacks = counter_settings.fallbacks.iter();
         clients.extend(fallbacks.map(|address| CounterClient::new(Some(*address), settings)));
-        pacer = operator
+        pacer = counter_settings
             .pacing(settings.instance_count)
-            .map(|pacing| Pacer::new(pacing, unit_interval(seed), 0.0));
+            .map(|pacing| Pacer::new(pacing, seed_to_unit_interval(seed), 0.0));
     }
     CounterPool::new(clients, pacer)
 }
 
-/// A number from 0 up to 1 that has the first 53 bits of the seed, as many as a `f64` holds.
-fn unit_interval(seed: u64) -> f64 {
+/// Maps the seed to a number in [0, 1) by its upper 53 bits, the precision of an `f64`.
+fn seed_to_unit_interval(seed: u64) -> f64 {
     (seed >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Takes the addresses of discovery and counter from the file anew at each SIGHUP. The environment says what
-/// held at the start, so the file has precedence here. Signals that come meanwhile are not lost: they count
-/// as one more.
+/// Reloads the addresses of discovery and the counter from the file on each SIGHUP. The environment cannot change after
+/// the start, so the file has precedence here. Signals that arrive during a reload cause one more.
 async fn reload(
     mut hangup: Signal,
     path: String,
@@ -151,9 +150,9 @@
     while hangup.recv().await.is_some() {
         let ServiceAddresses { discovery, counter } = match read_file(&path) {
             Ok(addresses) => addresses,
-            // Better the old addresses than none, and better either than to end.
+            // The old addresses are better than none, and an invalid file must not terminate the limiter.
             Err(error) => {
-                log("liftrouter", format_args!("SIGHUP: all stays as it is: {error}"));
+                log("liftrouter", format_args!("SIGHUP: keeping the current addresses: {error}"));
                 continue;
             }
         };
--- a/crates/daemon/src/serve/shutdown.rs
+++ b/crates/daemon/src/serve/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown after SIGTERM: requests that were taken are answered, and the process ends before SIGKILL.
+//! Graceful shutdown after SIGTERM: answers all accepted requests and exits before the platform sends SIGKILL.
 
 use super::error::ServeError;
 use super::listeners::Listeners;
@@ -11,30 +11,31 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// After SIGTERM new connections go on coming for up to 0.4 s; they are accepted for at least this long, and
-/// for as long as anything is open.
+/// Minimum time after SIGTERM in which connections are accepted; it is extended while any connection is open. New
+/// connections keep arriving for up to 0.4 s after SIGTERM.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// SIGKILL comes this long after SIGTERM at the earliest, and the longest deadline later.
+/// SIGKILL follows SIGTERM no earlier than after this time plus the longest deadline.
 const MIN_KILL_DELAY: Duration = Duration::from_millis(700);
-/// No more than this of the longest deadline counts, in seconds.
-const MAX_DEADLINE_SECONDS: f64 = 3.0;
-/// Requests without an answer this long before SIGKILL are answered then, since nobody answers after it.
+/// The part of the longest deadline beyond this does not delay SIGKILL.
+const MAX_DEADLINE_S: f64 = 3.0;
+/// How long before SIGKILL all unanswered requests receive a final answer: after SIGKILL nothing can answer them.
 const FINAL_ANSWERS_BEFORE_KILL: Duration = Duration::from_millis(300);
-/// The process ends this long before SIGKILL: answers have been read, and connections have been closed.
+/// How long before SIGKILL the process exits. The time since the final answers lets clients read them and connections
+/// close.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(50);
 
-/// Ends the limiter, whose longest deadline is given in seconds, 0 or more.
+/// Shuts the limiter down. `longest_deadline_s` is the longest deadline of its classes and must not be negative.
 ///
 /// # Errors
-/// Requests were left open.
+/// Requests were left unanswered.
 pub(super) async fn shut_down(
     listeners: &Listeners,
     admission: &Admission,
     cluster: Option<&ClusterService>,
     events: &Rc<EventQueue>,
-    longest_deadline: f64,
+    longest_deadline_s: f64,
 ) -> Result<(), ServeError> {
-    let deadline = Duration::from_secs_f64(longest_deadline.min(MAX_DEADLINE_SECONDS));
+    let deadline = Duration::from_secs_f64(longest_deadline_s.min(MAX_DEADLINE_S));
     let kill_at = Instant::now() + MIN_KILL_DELAY + deadline;
     let final_answers_at = kill_at - FINAL_ANSWERS_BEFORE_KILL;
     log("liftrouter", format_args!("SIGTERM: finishing {} requests", events.unanswered_requests()));
@@ -51,11 +52,11 @@
         }
     });
     sleep(MIN_ACCEPT_TIME).await;
-    // Connections that are left then carry no request, or one that is incomplete.
+    // Connections that are still open after the timeout have no request, or an incomplete one.
     let _ = timeout_at(kill_at - EXIT_BEFORE_KILL, listeners.all_closed()).await;
     listeners.stop_accepting();
     match events.unanswered_requests() {
         0 => Ok(()),
-        left => Err(ServeError::OpenRequests(left)),
+        unanswered => Err(ServeError::UnansweredRequests(unanswered)),
     }
 }
