--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -6,7 +6,7 @@
 use crate::discovery::upstream::Upstream;
 use crate::log;
 use crate::operator::{self, Operator, OperatorError};
-use crate::relay::{self, RelaySetup};
+use crate::relay::{self, RelayConfig};
 use crate::serve::{self, ServeError};
 use crate::startup::StartupError;
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -74,13 +74,13 @@
 }
 
 impl RelayArgs {
-    fn setup(self) -> RelaySetup {
+    fn setup(self) -> RelayConfig {
         let upstream = match self.discovery {
             // Few calls suit an agent too, and its lists expire.
             Some(address) => Upstream::discovery(address, Delivery::OnRequest),
             None => Upstream::relays(self.relay, Subscription::All, self.seed),
         };
-        RelaySetup { listen: self.listen, upstream: upstream.for_relay(), seed: self.seed }
+        RelayConfig { listen: self.listen, upstream: upstream.for_relay(), seed: self.seed }
     }
 }
 
--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -38,18 +38,18 @@
     }
 
     /// The servers of some services from relays.
-    pub fn by_relays(addresses: Vec<SocketAddr>, subscription: &Subscription, seed: u64) -> Self {
-        DiscoveryClient::by_regions([(String::new(), addresses)], subscription, seed)
+    pub fn from_relays(addresses: Vec<SocketAddr>, subscription: &Subscription, seed: u64) -> Self {
+        DiscoveryClient::from_regions([(String::new(), addresses)], subscription, seed)
     }
 
     /// The same from the relays of several regions, each of which has a list of its own and a name for the log.
-    pub fn by_regions(
+    pub fn from_regions(
         regions: impl IntoIterator<Item = (String, Vec<SocketAddr>)>,
         subscription: &Subscription,
         seed: u64,
     ) -> Self {
         let upstream = |(name, addresses)| {
-            Source::new(Upstream::relays(addresses, subscription.clone(), seed).of_region(name))
+            Source::new(Upstream::relays(addresses, subscription.clone(), seed).with_region(name))
         };
         DiscoveryClient { sources: regions.into_iter().map(upstream).collect() }
     }
@@ -76,8 +76,8 @@
 
     /// Follows the list at another address from now on. The watch on the old one is dropped at once: what it
     /// would still announce, the new one announces too, since the new watch continues after the last revision.
-    pub fn move_to(&self, address: SocketAddr) {
-        self.upstreams().for_each(|upstream| upstream.move_to(address));
+    pub fn set_address(&self, address: SocketAddr) {
+        self.upstreams().for_each(|upstream| upstream.set_address(address));
     }
 
     /// Waits for the first heartbeat of each region.
--- a/crates/daemon/src/discovery/endpoint.rs
+++ b/crates/daemon/src/discovery/endpoint.rs
@@ -13,7 +13,7 @@
 }
 
 /// The same in another state.
-pub fn listed_endpoint_in(state: EndpointState, instance: &Instance) -> ListedEndpoint {
+pub fn listed_endpoint_in_state(state: EndpointState, instance: &Instance) -> ListedEndpoint {
     let mut listed = listed_endpoint(instance);
     listed.entry.state = state;
     listed
@@ -36,7 +36,7 @@
 }
 
 /// Logs the entries of an update that could not be read.
-pub fn log_unreadable(update: &Update) {
+pub fn log_unreadable_entries(update: &Update) {
     for reason in &update.unreadable {
         log("discovery", format_args!("an entry cannot be read: {reason}"));
     }
--- a/crates/daemon/src/discovery/host_list.rs
+++ b/crates/daemon/src/discovery/host_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as the host is notified of it.
 
-use super::endpoint::{listed_endpoint, listed_endpoint_in, log_unreadable};
+use super::endpoint::{listed_endpoint, listed_endpoint_in_state, log_unreadable_entries};
 use super::sink::{Heartbeat, ListSink};
 use super::upstream::Upstream;
 use crate::events::{EventQueue, HostEvent, ListedEndpoint};
@@ -30,7 +30,7 @@
     }
 
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
-        log_unreadable(&update);
+        log_unreadable_entries(&update);
         self.revision = Some(update.revision);
         push(&self.events, update.reset, update.instances.iter().map(listed_endpoint).collect());
         Ok(())
@@ -89,7 +89,7 @@
     }
 
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
-        log_unreadable(&update);
+        log_unreadable_entries(&update);
         let is_complete = update.reset;
         let changes = self.lists.borrow_mut().apply(self.region, &update)?;
         if self.is_expired && self.stops_when_expired() {
@@ -124,7 +124,7 @@
             return;
         }
         self.upstream.log(format_args!("the list of servers is out of date, last confirmed {age:.1} s ago"));
-        let draining = |instance| listed_endpoint_in(EndpointState::Draining, instance);
+        let draining = |instance| listed_endpoint_in_state(EndpointState::Draining, instance);
         self.events.push(HostEvent::EndpointListExpired);
         push(&self.events, false, self.lists.borrow().instances_of(self.region).map(draining).collect());
     }
@@ -142,7 +142,7 @@
 fn changed_endpoint(change: &Change) -> ListedEndpoint {
     match change {
         Change::Listed(instance) => listed_endpoint(instance),
-        Change::Removed(instance) => listed_endpoint_in(EndpointState::Removed, instance),
+        Change::Removed(instance) => listed_endpoint_in_state(EndpointState::Removed, instance),
     }
 }
 
--- a/crates/daemon/src/discovery/upstream.rs
+++ b/crates/daemon/src/discovery/upstream.rs
@@ -71,7 +71,7 @@
     }
 
     /// The same as one region of several, with its name for the log.
-    pub fn of_region(mut self, name: String) -> Self {
+    pub fn with_region(mut self, name: String) -> Self {
         self.region = name;
         self
     }
@@ -148,7 +148,7 @@
     }
 
     /// Calls discovery at another address from now on; relays stay as they are.
-    pub fn move_to(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         if self.delivery == Delivery::Relayed || self.address() == address {
             return;
         }
--- a/crates/daemon/src/relay/mod.rs
+++ b/crates/daemon/src/relay/mod.rs
@@ -24,7 +24,7 @@
 use tokio::task::LocalSet;
 
 /// Where a relay listens and what it follows.
-pub struct RelaySetup {
+pub struct RelayConfig {
     /// Where subscribers connect.
     pub listen: SocketAddr,
     /// Discovery, or relays nearer to the root.
@@ -37,18 +37,18 @@
 ///
 /// # Errors
 /// It cannot listen, or cannot handle signals.
-pub fn run(setup: RelaySetup) -> Result<(), StartupError> {
+pub fn run(config: RelayConfig) -> Result<(), StartupError> {
     let runtime = runtime()?;
-    LocalSet::new().block_on(&runtime, serve(setup))
+    LocalSet::new().block_on(&runtime, serve(config))
 }
 
-async fn serve(setup: RelaySetup) -> Result<(), StartupError> {
+async fn serve(config: RelayConfig) -> Result<(), StartupError> {
     let mut terminated = handle_signal(SignalKind::terminate(), "SIGTERM")?;
-    let listener = startup::listen(setup.listen, "").await?;
+    let listener = startup::listen(config.listen, "").await?;
     log("relay", format_args!("listening on {}", local_address(&listener)?));
     let subscribers = Rc::new(RefCell::new(SubscriberTable::default()));
     let list = RelayList::new(subscribers.clone());
-    let session = Session::new(Rc::new(setup.upstream), list, Rc::new(Notify::new()), setup.seed);
+    let session = Session::new(Rc::new(config.upstream), list, Rc::new(Notify::new()), config.seed);
     tokio::select! {
         () = session.run() => {}
         () = server::accept(listener, subscribers) => {}
--- a/crates/daemon/src/serve/endpoint_list.rs
+++ b/crates/daemon/src/serve/endpoint_list.rs
@@ -38,7 +38,7 @@
         let discovery = match operator.relays.take() {
             Some(relays) => {
                 let regions = relays.regions.into_iter().map(|region| (region.name, region.addresses));
-                DiscoveryClient::by_regions(regions, &relays.subscription, seed)
+                DiscoveryClient::from_regions(regions, &relays.subscription, seed)
             }
             None => DiscoveryClient::new(discovery, delivery),
         };
--- a/crates/daemon/src/serve/mod.rs
+++ b/crates/daemon/src/serve/mod.rs
@@ -157,7 +157,7 @@
         };
         log("liftrouter", format_args!("SIGHUP: discovery {discovery:?}, counter {counter:?}"));
         if let Some(address) = discovery {
-            discovery_client.move_to(address);
+            discovery_client.set_address(address);
         }
         if let Some(address) = counter {
             counters.set_first_address(address);
--- a/crates/scale/src/run/hollow/limiter.rs
+++ b/crates/scale/src/run/hollow/limiter.rs
@@ -63,7 +63,7 @@
             ListUpstream::Relays(relays) => {
                 let service = number as usize % arguments.services.max(1);
                 let subscription = Subscription::services([service_name(service)]);
-                (DiscoveryClient::by_relays(relays, &subscription, seed), Some(service))
+                (DiscoveryClient::from_relays(relays, &subscription, seed), Some(service))
             }
             ListUpstream::Discovery(address) => {
                 (DiscoveryClient::new(address, arguments.delivery.into()), None)
