--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The client of discovery or of relays, as the other parts of the limiter hold it.
+//! The discovery client, through which the other parts of the limiter follow the endpoint list.
 
 use super::host_list::{CachedList, PushedList};
 use super::session::Session;
@@ -12,10 +12,10 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// One source of lists.
+/// One upstream and the notification of its heartbeats.
 struct Source {
     upstream: Rc<Upstream>,
-    /// Notified of each heartbeat once there is a list.
+    /// Notified on each heartbeat after the first list.
     heartbeat: Rc<Notify>,
 }
 
@@ -25,24 +25,25 @@
     }
 }
 
-/// Follows the endpoint list of discovery, or of the relays of one region or several.
+/// Follows the endpoint list of the discovery service, or of the relays of one or more regions.
 pub struct DiscoveryClient {
-    /// One, or the relays of each region.
+    /// One for the discovery service, or one per region for relays.
     sources: Vec<Source>,
 }
 
 impl DiscoveryClient {
-    /// The complete list from one address.
+    /// Follows the complete list at one address.
     pub fn new(address: SocketAddr, delivery: Delivery) -> Self {
         DiscoveryClient { sources: vec![Source::new(Upstream::discovery(address, delivery))] }
     }
 
-    /// The servers of some services from relays.
+    /// Follows the subscribed services through the relays of a single region.
     pub fn from_relays(addresses: Vec<SocketAddr>, subscription: &Subscription, seed: u64) -> Self {
         DiscoveryClient::from_regions([(String::new(), addresses)], subscription, seed)
     }
 
-    /// The same from the relays of several regions, each of which has a list of its own and a name for the log.
+    /// Follows the subscribed services through the relays of several regions. Each region has a separate list; its name
+    /// appears in log lines.
     pub fn from_regions(
         regions: impl IntoIterator<Item = (String, Vec<SocketAddr>)>,
         subscription: &Subscription,
@@ -54,41 +55,43 @@
         DiscoveryClient { sources: regions.into_iter().map(upstream).collect() }
     }
 
-    /// Where the lists come from.
+    /// The upstreams of all regions.
     pub fn upstreams(&self) -> impl Iterator<Item = &Rc<Upstream>> {
         self.sources.iter().map(|source| &source.upstream)
     }
 
-    /// Where the list of one region comes from.
+    /// The upstream of one region.
     pub fn upstream(&self, region: RegionIndex) -> &Rc<Upstream> {
         &self.sources[region].upstream
     }
 
-    /// Whether any list has come.
+    /// Whether a list has arrived from at least one upstream.
     pub fn has_list(&self) -> bool {
         self.upstreams().any(|upstream| upstream.revision().is_some())
     }
 
-    /// Whether a list that was known before may be used while none has come.
+    /// Whether the list in the configuration may be used until the first one arrives. Not for a list on request, which
+    /// has to be confirmed by discovery before it is used.
     pub fn trusts_known_list(&self) -> bool {
         self.upstreams().all(|upstream| upstream.delivery() != Delivery::OnRequest)
     }
 
-    /// Follows the list at another address from now on. The watch on the old one is dropped at once: what it
-    /// would still announce, the new one announces too, since the new watch continues after the last revision.
+    /// Switches to another discovery address and drops the watch on the old one at once. No change is lost, since the
+    /// new watch resumes after the last revision.
     pub fn set_address(&self, address: SocketAddr) {
         self.upstreams().for_each(|upstream| upstream.set_address(address));
     }
 
-    /// Waits for the first heartbeat of each region.
+    /// Waits until every region has a list and has sent a heartbeat.
     pub async fn first_heartbeats(&self) {
         for source in &self.sources {
             source.heartbeat.notified().await;
         }
     }
 
-    /// Follows the list for as long as the program runs. It begins with a complete list, whatever was known before:
-    /// with nothing changed since that, a watch would be silent for seconds.
+    /// Follows the lists for as long as the program runs. The first request asks for the complete list, even where a
+    /// list is known from the configuration: a watch resumed after its revision would be silent for seconds if nothing
+    /// had changed since.
     pub async fn watch(self: Rc<Self>, events: Rc<EventQueue>, seed: u64) {
         let lists = Rc::new(RefCell::new(RegionLists::new(self.sources.len())));
         let mut sessions = JoinSet::new();
--- a/crates/daemon/src/discovery/endpoint.rs
+++ b/crates/daemon/src/discovery/endpoint.rs
@@ -1,4 +1,4 @@
-//! Servers of discovery as the rest of the limiter knows them.
+//! Conversion of discovered server instances to the endpoints used by the rest of the limiter.
 
 use crate::events::ListedEndpoint;
 use crate::log;
@@ -7,12 +7,12 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
 
-/// A server of the list as an endpoint.
+/// Converts a server instance to an endpoint, whose state follows from the lifecycle of the instance.
 pub fn listed_endpoint(instance: &Instance) -> ListedEndpoint {
     ListedEndpoint { entry: entry(instance), address: instance.host_port }
 }
 
-/// The same in another state.
+/// Converts a server instance to an endpoint in the given state, whatever the lifecycle of the instance.
 pub fn listed_endpoint_in_state(state: EndpointState, instance: &Instance) -> ListedEndpoint {
     let mut listed = listed_endpoint(instance);
     listed.entry.state = state;
@@ -35,9 +35,9 @@
     }
 }
 
-/// Logs the entries of an update that could not be read.
+/// Logs the parse errors of the entries that were skipped in an update.
 pub fn log_unreadable_entries(update: &Update) {
     for reason in &update.unreadable {
-        log("discovery", format_args!("an entry cannot be read: {reason}"));
+        log("discovery", format_args!("skipped an invalid entry of the list of servers: {reason}"));
     }
 }
--- a/crates/daemon/src/discovery/host_list.rs
+++ b/crates/daemon/src/discovery/host_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the host is notified of it.
+//! Sinks that pass the updates of an endpoint list to the host as events.
 
 use super::endpoint::{listed_endpoint, listed_endpoint_in_state, log_unreadable_entries};
 use super::sink::{Heartbeat, ListSink};
@@ -11,14 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where lists are pushed: every update is forwarded as it comes, and nothing is cached.
+/// The sink for [`Delivery::Pushed`]: forwards every update as it arrives and caches nothing.
 pub struct PushedList {
     events: Rc<EventQueue>,
     revision: Option<u64>,
 }
 
 impl PushedList {
-    /// A list that forwards to this queue.
+    /// Creates a sink that forwards to `events`.
     pub fn new(events: Rc<EventQueue>) -> Self {
         PushedList { events, revision: None }
     }
@@ -51,19 +51,20 @@
     fn confirmed(&mut self) {}
 }
 
-/// Where lists come from a shared service or from relays: the list is cached, so that it can expire and be compared
-/// with digests. The host sees one list, merged from those of all regions.
+/// The sink for [`Delivery::OnRequest`] and [`Delivery::Relayed`]: caches the list, so that it can expire and be
+/// checked against digests. The host receives one list, merged from those of all regions.
 pub struct CachedList {
     events: Rc<EventQueue>,
     upstream: Rc<Upstream>,
-    /// The lists of all regions, and which of them this one is.
+    /// The lists of all regions, shared by their sinks.
     lists: Rc<RefCell<RegionLists>>,
+    /// The region that this sink updates.
     region: RegionIndex,
     is_expired: bool,
 }
 
 impl CachedList {
-    /// The list of one region, whose source is this upstream.
+    /// Creates the sink of one region, whose list comes from `upstream`.
     pub fn new(
         events: Rc<EventQueue>,
         upstream: Rc<Upstream>,
@@ -77,8 +78,9 @@
         push(&self.events, true, self.lists.borrow().instances().map(listed_endpoint).collect());
     }
 
-    /// An expired list may not be used for new requests, unless it comes from relays: see [`ListSink::expired`].
-    fn stops_when_expired(&self) -> bool {
+    /// Whether new requests are rejected while the list is expired. A list from relays is used further, see
+    /// [`ListSink::expired`].
+    fn rejects_when_expired(&self) -> bool {
         self.upstream.delivery() == Delivery::OnRequest
     }
 }
@@ -92,7 +94,7 @@
         log_unreadable_entries(&update);
         let is_complete = update.reset;
         let changes = self.lists.borrow_mut().apply(self.region, &update)?;
-        if self.is_expired && self.stops_when_expired() {
+        if self.is_expired && self.rejects_when_expired() {
             return Ok(());
         }
         if is_complete {
@@ -113,13 +115,14 @@
         self.events.push(HostEvent::WatchFailed);
     }
 
-    /// A change counts as known to the limiter some time after discovery had it, whether or not it arrived: with a list
-    /// on request from discovery itself, all servers count as draining. A fleet behind relays that are cut off goes on
-    /// with the last list, and logs that.
+    /// The limiter is expected to know every change a certain time after discovery does, even one that did not arrive.
+    /// An expired list on request may therefore not be used for new requests, and all its servers are treated as
+    /// draining. An expired list from relays stays in use, so that a fleet keeps serving while its relays are cut off;
+    /// a log line says that the list is stale.
     fn expired(&mut self, age: Duration) {
         let age = age.as_secs_f64();
         self.is_expired = true;
-        if !self.stops_when_expired() {
+        if !self.rejects_when_expired() {
             self.upstream.log(format_args!("stale: going on by a list last confirmed {age:.1} s ago"));
             return;
         }
@@ -132,7 +135,7 @@
     fn confirmed(&mut self) {
         self.upstream.log("the list of servers is confirmed again");
         self.is_expired = false;
-        if self.stops_when_expired() {
+        if self.rejects_when_expired() {
             self.events.push(HostEvent::EndpointListConfirmed);
             self.push_complete();
         }
@@ -146,6 +149,6 @@
     }
 }
 
-fn push(events: &EventQueue, whole: bool, endpoints: Vec<ListedEndpoint>) {
-    events.push(HostEvent::EndpointUpdate { complete: whole, endpoints, version: None });
+fn push(events: &EventQueue, complete: bool, endpoints: Vec<ListedEndpoint>) {
+    events.push(HostEvent::EndpointUpdate { complete, endpoints, version: None });
 }
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Service discovery: where the endpoint list comes from, and how it is kept up to date.
 //!
-//! [`client::DiscoveryClient`] is what the rest of the limiter holds. Below it a [`session::Session`] keeps one watch
-//! open, and hands what the watch brings to a [`sink::ListSink`]. In place of discovery the list may come from an
-//! [`inventory_file`].
+//! The rest of the limiter uses [`client::DiscoveryClient`]. For each upstream a [`session::Session`] keeps one watch
+//! open and passes its updates to a [`sink::ListSink`]. The list may also come from an [`inventory_file`] instead of
+//! the discovery service.
 
 pub mod client;
 pub mod endpoint;
--- a/crates/daemon/src/discovery/session.rs
+++ b/crates/daemon/src/discovery/session.rs
@@ -1,6 +1,6 @@
-//! Follows a list on a watch, and opens another where that one breaks or falls silent.
+//! Follows a list through a watch, and opens another watch when that one fails or sends no heartbeat.
 //!
-//! When to call, and for how long a list may be used, is decided in `liftrouter_discovery`; here are the sockets.
+//! `liftrouter_discovery` decides when to call and how long a list may be used; this module does the I/O.
 
 use super::sink::{Heartbeat, ListSink};
 use super::upstream::Upstream;
@@ -17,42 +17,42 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// A list that is older than the one at hand is accepted only where discovery has announced nothing newer for this
-/// long: by then it has lost its history, and any list is better than none.
-const OLDER_LIST_AFTER: Duration = Duration::from_secs(60);
+/// A complete list with a lower revision than the current one is accepted only after the current one has not been
+/// confirmed for this long: discovery has then lost its history, and an older list is better than none.
+const OLDER_LIST_ACCEPTED_AFTER: Duration = Duration::from_secs(60);
 
 type CallResult = (CallId, Result<(Watch, Option<Update>), WatchError>);
 
-/// The watch that is followed, and the calls that are to replace it.
+/// The followed watch, and the calls in progress that may replace it.
 ///
-/// Silent or not, a watch is kept until another has given a heartbeat: while discovery is down all are silent,
-/// and what comes at its return counts at once. The first one with a heartbeat is followed, the others end: all of
-/// them continue after the same revision.
+/// A watch without heartbeats is kept until another one has sent a heartbeat: while discovery is down all watches are
+/// silent, and when it returns a message on the old watch is used at once. The first watch that sends a heartbeat is
+/// followed and all others are closed, which loses nothing since all of them resume after the same revision.
 pub struct Session<S> {
     upstream: Rc<Upstream>,
     sink: S,
-    /// Notified of each heartbeat once there is a list.
+    /// Notified on each heartbeat after the first list.
     heartbeat_notify: Rc<Notify>,
     follower: Follower,
     started: Instant,
     watch: Option<Watch>,
     calls: JoinSet<CallResult>,
     last_call: CallId,
-    /// Calls whose response head has come.
+    /// Carries the ids of calls whose successful response head has arrived.
     answered_sender: UnboundedSender<CallId>,
     answered_receiver: UnboundedReceiver<CallId>,
-    /// When the list at hand was last confirmed.
+    /// When the current list was last confirmed; the start of the session before the first one.
     confirmed_at: Instant,
-    /// A digest differed from that of the list at hand: the complete list is needed.
+    /// The digest of an update did not match the current list, so the next call asks for the complete list.
     needs_complete_list: bool,
-    /// Calls that failed in a row.
+    /// Consecutive failed calls.
     failures: u32,
-    /// Connections that are open.
+    /// Number of open connections.
     open_connections: Rc<Cell<usize>>,
 }
 
 impl<S: ListSink> Session<S> {
-    /// A session that has not called yet. The seed spreads the retries of several limiters.
+    /// Creates a session that has made no call yet. Different seeds spread the retries of several limiters.
     pub fn new(upstream: Rc<Upstream>, sink: S, heartbeat_notify: Rc<Notify>, seed: u64) -> Self {
         let now = Instant::now();
         let (answered_sender, answered_receiver) = unbounded_channel();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Runs for as long as it is polled.
+    /// Follows the list for as long as the future is polled.
     pub async fn run(mut self) {
         let upstream = self.upstream.clone();
         loop {
@@ -91,16 +91,16 @@
                 biased;
                 () = upstream.address_changed() => self.restart(),
                 heartbeat = heartbeat => match heartbeat {
-                    Ok(update) => self.heartbeat(update),
+                    Ok(update) => self.watch_heartbeat(update),
                     Err(error) => self.watch_closed(&error),
                 },
                 () = until(started, expiry) => self.expire(),
                 Some(id) = self.answered_receiver.recv() => self.notify_follower(Event::CallAnswered(id)),
                 Some(Ok((id, opened))) = self.calls.join_next() => match opened {
-                    Ok((watch, update)) => self.opened(id, watch, update),
+                    Ok((watch, update)) => self.watch_opened(id, watch, update),
                     Err(error) => self.call_failed(id, &error),
                 },
-                () = until(started, next_call) => self.call(),
+                () = until(started, next_call) => self.start_call(),
             }
         }
     }
@@ -109,7 +109,7 @@
         self.follower.handle(self.started.elapsed(), event);
     }
 
-    fn call(&mut self) {
+    fn start_call(&mut self) {
         if self.watch.is_some() {
             if self.failures == 0 && self.calls.is_empty() {
                 let age = self.confirmed_at.elapsed().as_secs_f64();
@@ -137,14 +137,14 @@
         self.calls.spawn_local(call.run());
     }
 
-    /// Begins anew at another address.
+    /// Drops the watch and all calls after a change of the address.
     fn restart(&mut self) {
         self.watch = None;
         self.calls = JoinSet::new();
         self.notify_follower(Event::Moved);
     }
 
-    fn opened(&mut self, id: CallId, watch: Watch, update: Option<Update>) {
+    fn watch_opened(&mut self, id: CallId, watch: Watch, update: Option<Update>) {
         match self.apply(update) {
             Ok(heartbeat) => {
                 self.watch = Some(watch);
@@ -156,9 +156,9 @@
 
     fn call_failed(&mut self, id: CallId, error: &WatchError) {
         self.failures += 1;
-        // An outage of minutes must not fill the log.
+        // Logs only the 1st, 2nd, 4th, 8th, ... consecutive failure, so that a long outage does not fill the log.
         if self.failures.is_power_of_two() {
-            self.upstream.log(format_args!("{error} (opening {})", self.failures));
+            self.upstream.log(format_args!("{error} (consecutive failure {})", self.failures));
         }
         self.upstream.fail_over();
         self.notify_follower(Event::CallFailed(id, error.failure()));
@@ -172,14 +172,14 @@
         self.notify_follower(Event::WatchClosed);
     }
 
-    fn heartbeat(&mut self, update: Option<Update>) {
+    fn watch_heartbeat(&mut self, update: Option<Update>) {
         match self.apply(update) {
             Ok(heartbeat) => self.record_heartbeat(Event::Heartbeat, heartbeat),
             Err(error) => self.watch_closed(&error),
         }
     }
 
-    /// The watch that is followed now gave a heartbeat; all calls have become needless.
+    /// Records a heartbeat of the followed watch. Calls in progress are dropped, since they are no longer needed.
     fn record_heartbeat(&mut self, event: Event, heartbeat: Heartbeat) {
         self.calls = JoinSet::new();
         self.failures = 0;
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The revision after which a new watch resumes; none where the complete list is needed.
+    /// The revision after which a new watch resumes; none if the complete list is needed.
     fn revision(&self) -> Option<u64> {
         self.sink.revision().filter(|_| !self.needs_complete_list)
     }
@@ -205,11 +205,11 @@
     fn apply(&mut self, update: Option<Update>) -> Result<Heartbeat, WatchError> {
         let Some(mut update) = update else { return Ok(Heartbeat::EmptyLine) };
         let confirmed_ago = Duration::from_millis(update.confirmed_ago_ms);
-        let is_older = update.reset && self.revision().is_some_and(|held| update.revision < held);
-        if is_older && self.confirmed_at.elapsed() >= OLDER_LIST_AFTER {
+        let is_older = update.reset && self.revision().is_some_and(|current| update.revision < current);
+        if is_older && self.confirmed_at.elapsed() >= OLDER_LIST_ACCEPTED_AFTER {
             self.sink.forget_revision();
         }
-        // The changes since no revision are the complete list.
+        // Without a current list, an update contains the complete list even if it is not marked so.
         update.reset |= self.sink.revision().is_none();
         let is_complete = update.reset;
         let applied = self.sink.apply(update);
@@ -227,7 +227,7 @@
     }
 }
 
-/// Waits until a time after the start, or for ever.
+/// Waits until `at` after the start, or forever if there is no such time.
 async fn until(started: Instant, at: Option<Duration>) {
     match at {
         Some(at) => sleep_until(started + at).await,
--- a/crates/daemon/src/discovery/sink.rs
+++ b/crates/daemon/src/discovery/sink.rs
@@ -1,14 +1,14 @@
-//! Where the updates of a watch go.
+//! The interface between a session and the endpoint list that it keeps up to date.
 
 use liftrouter_catalog::{ApplyError, Update};
 use std::time::Duration;
 
-/// What showed that the watch is alive.
+/// A sign that the followed watch is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heartbeat {
-    /// Nothing has changed.
+    /// An empty line: nothing has changed.
     EmptyLine,
-    /// A message, which says how old the sender's own list is.
+    /// A message, which carries the age of the sender's own list.
     Message {
         /// The time between the confirmation of the sender's list and this message.
         confirmed_ago: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl Heartbeat {
-    /// How long ago the list was confirmed at the root.
+    /// How long ago the discovery service last confirmed the list; zero for an empty line.
     pub fn confirmed_ago(self) -> Duration {
         match self {
             Heartbeat::EmptyLine => Duration::ZERO,
@@ -27,27 +27,27 @@
 
 /// An endpoint list that a session keeps up to date.
 pub trait ListSink {
-    /// The revision of the list at hand; none before the first one.
+    /// The revision of the current list; none before the first list.
     fn revision(&self) -> Option<u64>;
 
-    /// Applies a complete list, or changes. What comes without a list at hand is marked as complete.
+    /// Applies a complete list or changes. The caller marks an update as complete if there is no current list.
     ///
     /// # Errors
-    /// It does not fit the list at hand, which stays as it is.
+    /// The update does not fit the current list, which stays unchanged.
     fn apply(&mut self, update: Update) -> Result<(), ApplyError>;
 
-    /// Accepts the next complete list whatever its revision.
+    /// Accepts the next complete list, whatever its revision.
     fn forget_revision(&mut self);
 
-    /// The watch gave a heartbeat. An update that came with it has been applied.
+    /// The watch sent a heartbeat. The update that came with it, if any, has already been applied.
     fn heartbeat(&mut self, heartbeat: Heartbeat);
 
-    /// The watch ended and no other is open.
+    /// The followed watch ended or failed, and no other watch is open.
     fn disconnected(&mut self);
 
-    /// No heartbeat came for longer than the list may be used; its age since it was last confirmed.
+    /// The list has expired, since no heartbeat confirmed it in time. `age` is the time since it was last confirmed.
     fn expired(&mut self, age: Duration);
 
-    /// The first heartbeat after that.
+    /// An expired list has been confirmed again.
     fn confirmed(&mut self);
 }
--- a/crates/daemon/src/discovery/upstream.rs
+++ b/crates/daemon/src/discovery/upstream.rs
@@ -1,4 +1,4 @@
-//! The source of an endpoint list: its addresses, what is followed there, and how.
+//! The source of an endpoint list: its addresses, the subscription, and the state of the list received from it.
 
 use crate::log;
 use liftrouter_catalog::Subscription;
@@ -12,39 +12,41 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The longest message that a limiter reads, in bytes; a list of some twenty thousand servers fits.
+/// The longest message that a limiter reads, in bytes; enough for a list of about 20,000 servers.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The same of a relay, which holds the complete list: some 300,000 servers.
-const MAX_MESSAGE_BYTES_OF_RELAY: usize = 64 << 20;
+/// The longest message that a relay reads, in bytes; enough for a complete list of about 300,000 servers.
+const RELAY_MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// Discovery, or relays that stand in for one another.
+/// The discovery service, or a set of interchangeable relays.
 pub struct Upstream {
-    /// Name of the region in the log; empty where it is the only one.
+    /// Name of the region in log lines; empty if there is only one region.
     region: String,
     delivery: Delivery,
     subscription: Subscription,
     max_message_bytes: usize,
     addresses: RefCell<Vec<SocketAddr>>,
+    /// Index of the address in use.
     current: Cell<usize>,
-    /// The revision of the list at hand, and when it was last confirmed.
+    /// Revision of the current list.
     revision: Cell<Option<u64>>,
+    /// When the current list was last confirmed.
     confirmed_at: Cell<Option<Instant>>,
-    /// The list at hand was not confirmed in time.
+    /// The current list was not confirmed in time.
     is_expired: Cell<bool>,
-    /// Bytes of the bodies of all watches so far.
+    /// Bytes received in the response bodies of all watches.
     received_bytes: Rc<Cell<u64>>,
-    /// The address has changed: all that is open or being opened ends.
+    /// Notified when the address has changed, so that the open watch and calls in progress are dropped.
     address_changed: Notify,
 }
 
 impl Upstream {
-    /// Discovery at one address: the complete list.
+    /// The discovery service at one address, with the complete list.
     pub fn discovery(address: SocketAddr, delivery: Delivery) -> Self {
         Upstream::new(vec![address], delivery, Subscription::All)
     }
 
-    /// Relays, each of which can stand in for the others. Subscribers with different seeds prefer different relays, so
-    /// that the load is even, and that of a lost relay is spread over the rest (rendezvous hashing).
+    /// Interchangeable relays, ordered by rendezvous hashing: subscribers with different seeds prefer different relays,
+    /// which balances the load and spreads the subscribers of a failed relay over the others.
     pub fn relays(mut addresses: Vec<SocketAddr>, subscription: Subscription, seed: u64) -> Self {
         addresses.sort_by_key(|address| {
             let mut hasher = DefaultHasher::new();
@@ -70,13 +72,13 @@
         }
     }
 
-    /// The same as one region of several, with its name for the log.
+    /// Names the region of these relays, for log lines.
     pub fn with_region(mut self, name: String) -> Self {
         self.region = name;
         self
     }
 
-    /// Logs what concerns this list.
+    /// Logs a line about this upstream, with the name of its region if it has one.
     pub fn log(&self, text: impl Display) {
         match self.region.as_str() {
             "" => log("discovery", text),
@@ -84,9 +86,9 @@
         }
     }
 
-    /// The same for a relay, which follows complete lists of any size.
+    /// Raises the limit on message length for a relay, which follows the complete list.
     pub fn for_relay(mut self) -> Self {
-        self.max_message_bytes = MAX_MESSAGE_BYTES_OF_RELAY;
+        self.max_message_bytes = RELAY_MAX_MESSAGE_BYTES;
         self
     }
 
@@ -95,12 +97,12 @@
         self.max_message_bytes
     }
 
-    /// How lists come from here.
+    /// How this upstream delivers lists.
     pub fn delivery(&self) -> Delivery {
         self.delivery
     }
 
-    /// The services that are followed.
+    /// The followed services.
     pub fn subscription(&self) -> &Subscription {
         &self.subscription
     }
@@ -111,43 +113,43 @@
         addresses[self.current.get() % addresses.len()]
     }
 
-    /// The one in use failed: the next call goes to another, if there is one.
+    /// Selects the next address, if there is another one, after the one in use failed.
     pub fn fail_over(&self) {
         self.current.set((self.current.get() + 1) % self.addresses.borrow().len());
     }
 
-    /// Records the revision of the list at hand, and when it was last confirmed.
+    /// Records the revision of the current list and when it was last confirmed.
     pub fn record_list(&self, revision: Option<u64>, confirmed_at: Instant) {
         self.revision.set(revision);
         self.confirmed_at.set(Some(confirmed_at));
     }
 
-    /// The list at hand was not confirmed in time, or is confirmed again. Returns what held before.
+    /// Records whether the current list has expired. Returns the previous value.
     pub fn set_expired(&self, expired: bool) -> bool {
         self.is_expired.replace(expired)
     }
 
-    /// Whether the list at hand was not confirmed in time.
+    /// Whether the current list has expired, as it was not confirmed in time.
     pub fn is_expired(&self) -> bool {
         self.is_expired.get()
     }
 
-    /// Counts the bytes of the bodies of all watches.
+    /// Counter of the bytes received in the response bodies of all watches.
     pub fn received_bytes(&self) -> &Rc<Cell<u64>> {
         &self.received_bytes
     }
 
-    /// The revision of the list at hand.
+    /// The revision of the current list; none before the first one.
     pub fn revision(&self) -> Option<u64> {
         self.revision.get()
     }
 
-    /// How long ago the list at hand was confirmed; none before the first one.
+    /// How long ago the current list was confirmed; none before the first one.
     pub fn confirmed_ago(&self) -> Option<Duration> {
         self.confirmed_at.get().map(|at| at.elapsed())
     }
 
-    /// Calls discovery at another address from now on; relays stay as they are.
+    /// Replaces the address of the discovery service. Has no effect on relays.
     pub fn set_address(&self, address: SocketAddr) {
         if self.delivery == Delivery::Relayed || self.address() == address {
             return;
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One call to discovery, and the watch that it becomes.
+//! A call to discovery over HTTP, and the watch that a successful call opens.
 
 use super::watch_event::{FramingError, WatchDecoder, WatchEvent};
 use super::watch_request::WatchRequest;
@@ -20,48 +20,48 @@
 /// Why a call failed, or a watch ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// The connection did not come up.
+    /// The connection could not be opened.
     #[error("no connection: {0}")]
     Connect(#[source] std::io::Error),
-    /// The request cannot be written.
+    /// The HTTP request could not be built.
     #[error("{0}")]
     Request(#[source] hyper::http::Error),
-    /// No response head in time.
-    #[error("no answer")]
-    NoAnswer,
-    /// The connection broke before the response head.
-    #[error("the watch broke before its answer")]
-    BrokeBeforeAnswer,
-    /// The response was no success.
-    #[error("the watch was answered {status}{}", retry_after_text(*retry_after))]
+    /// The response head did not arrive within the timeout.
+    #[error("no response in time")]
+    ResponseTimeout,
+    /// The connection failed before the response head arrived.
+    #[error("the connection failed before the response")]
+    FailedBeforeResponse,
+    /// The status of the response was not 200.
+    #[error("the watch request failed with status {status}{}", retry_after_text(*retry_after))]
     Status {
         /// The status of the response.
         status: StatusCode,
-        /// The time after which the service invites another call.
+        /// The time to wait before the next call, from `Retry-After`.
         retry_after: Option<Duration>,
     },
-    /// Nothing came behind the response head in time.
-    #[error("the watch was silent from its head on")]
-    SilentFromHead,
-    /// The response ended.
+    /// The first heartbeat did not arrive in time after the response head.
+    #[error("no heartbeat in time after the response head")]
+    NoHeartbeat,
+    /// The response body ended.
     #[error("the watch ended")]
     Ended,
-    /// The connection broke.
-    #[error("the watch broke: {0}")]
-    Broke(#[source] hyper::Error),
-    /// The stream is no sequence of objects.
+    /// The connection failed while the body was read.
+    #[error("the connection of the watch failed: {0}")]
+    ConnectionFailed(#[source] hyper::Error),
+    /// The body is not a sequence of JSON objects.
     #[error(transparent)]
     Framing(#[from] FramingError),
-    /// An object is no update.
-    #[error("a message cannot be read: {0}")]
+    /// A JSON object is not a valid update.
+    #[error("invalid message: {0}")]
     Message(#[from] serde_json::Error),
-    /// An update does not fit the list at hand.
+    /// An update does not fit the current list.
     #[error(transparent)]
     List(#[from] ApplyError),
 }
 
 impl WatchError {
-    /// The same as the schedule of calls knows it.
+    /// The kind of failure, from which the schedule of calls chooses the backoff.
     pub fn failure(&self) -> CallFailure {
         match self {
             WatchError::Status { retry_after, .. } => CallFailure::Refused { retry_after: *retry_after },
@@ -74,19 +74,19 @@
     retry_after.map_or(String::new(), |after| format!(", retry after {} s", after.as_secs_f64()))
 }
 
-/// A watch that has given a heartbeat.
+/// An open watch. [`Call::run`] returns it only after its first heartbeat.
 pub struct Watch {
-    link: HttpConnection,
+    connection: HttpConnection,
     body: Incoming,
     decoder: WatchDecoder,
     received_bytes: Rc<Cell<u64>>,
 }
 
 impl Watch {
-    /// Waits for the next heartbeat: an update, or none where nothing has changed.
+    /// Waits for the next heartbeat: an update, or `None` if nothing has changed.
     ///
     /// # Errors
-    /// The watch ended, broke, or sent something other than updates.
+    /// The response ended, the connection failed, or the body contains something other than updates.
     pub async fn next(&mut self) -> Result<Option<Update>, WatchError> {
         loop {
             match self.decoder.next_event()? {
@@ -94,8 +94,8 @@
                 Some(WatchEvent::Message(text)) => return Ok(Some(serde_json::from_slice(&text)?)),
                 None => {}
             }
-            let frame = self.link.drive(self.body.frame()).await;
-            let frame = frame.ok_or(WatchError::Ended)?.map_err(WatchError::Broke)?;
+            let frame = self.connection.drive(self.body.frame()).await;
+            let frame = frame.ok_or(WatchError::Ended)?.map_err(WatchError::ConnectionFailed)?;
             let data = frame.data_ref().map_or(&[][..], |data| data);
             self.received_bytes.set(self.received_bytes.get() + data.len() as u64);
             self.decoder.push(data);
@@ -103,25 +103,25 @@
     }
 }
 
-/// A call to be made.
+/// A call that has not been started.
 pub struct Call {
-    /// Number of the call.
+    /// Identifies the call in the events of the follower.
     pub id: CallId,
     /// The address to call.
     pub address: SocketAddr,
-    /// What is followed, and from which revision on.
+    /// The followed services and the revision to resume after.
     pub request: WatchRequest,
-    /// How long the response head may take.
+    /// The time limit for connecting and receiving the response head.
     pub timeout: Duration,
     /// The longest message that is read, in bytes.
     pub max_message_bytes: usize,
-    /// How long its first message may take behind the head.
+    /// The time limit for the first heartbeat after the response head.
     pub heartbeat_timeout: Duration,
-    /// Counts the open connections.
+    /// Number of open connections.
     pub open_connections: Rc<Cell<usize>>,
-    /// Counts the bytes of bodies.
+    /// Bytes received in response bodies.
     pub received_bytes: Rc<Cell<u64>>,
-    /// Notified when the head of a successful response has come.
+    /// Receives the call's id when the head of a successful response has arrived.
     pub answered: UnboundedSender<CallId>,
 }
 
@@ -132,38 +132,39 @@
     }
 
     async fn open_watch(&self) -> Result<(Watch, Option<Update>), WatchError> {
-        let head = timeout(self.timeout, self.head()).await;
-        let (link, answer) = head.map_err(|_| WatchError::NoAnswer)??;
-        if answer.status() != StatusCode::OK {
-            let retry_after = retry_after(answer.headers());
-            return Err(WatchError::Status { status: answer.status(), retry_after });
+        let head = timeout(self.timeout, self.receive_head()).await;
+        let (connection, response) = head.map_err(|_| WatchError::ResponseTimeout)??;
+        if response.status() != StatusCode::OK {
+            let retry_after = retry_after(response.headers());
+            return Err(WatchError::Status { status: response.status(), retry_after });
         }
-        // The receiver is gone where the watch is no longer wanted.
+        // Sending fails only if the session has ended, and then nobody waits for this watch.
         let _ = self.answered.send(self.id);
         let mut watch = Watch {
-            link,
-            body: answer.into_body(),
+            connection,
+            body: response.into_body(),
             decoder: WatchDecoder::new(self.max_message_bytes),
             received_bytes: self.received_bytes.clone(),
         };
         let first = timeout_at(Instant::now() + self.heartbeat_timeout, watch.next()).await;
-        let update = first.map_err(|_| WatchError::SilentFromHead)??;
+        let update = first.map_err(|_| WatchError::NoHeartbeat)??;
         Ok((watch, update))
     }
 
-    async fn head(&self) -> Result<(HttpConnection, Response<Incoming>), WatchError> {
-        let mut link = HttpConnection::connect(self.address, &self.open_connections)
+    async fn receive_head(&self) -> Result<(HttpConnection, Response<Incoming>), WatchError> {
+        let mut connection = HttpConnection::connect(self.address, &self.open_connections)
             .await
             .map_err(WatchError::Connect)?;
         let request = Request::get(self.request.target());
         let request = request.header(HOST, self.address.to_string()).body(Full::default());
         let request = request.map_err(WatchError::Request)?;
-        let answer = link.open(request).await.map_err(|_| WatchError::BrokeBeforeAnswer)?;
-        Ok((link, answer))
+        let response = connection.open(request).await.map_err(|_| WatchError::FailedBeforeResponse)?;
+        Ok((connection, response))
     }
 }
 
-/// The seconds of a `Retry-After`, whole or decimal. A date is not understood: the backoff holds then.
+/// The value of a `Retry-After` header in whole or decimal seconds. The date form is not supported and counts as no
+/// value, so the usual backoff applies.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
--- a/crates/daemon/src/discovery/watch_event.rs
+++ b/crates/daemon/src/discovery/watch_event.rs
@@ -1,6 +1,6 @@
 //! The framing of a watch: JSON objects in any layout, with empty lines between.
 //!
-//! Pure: bytes in, watch events out. Only the outline of an object is read here; its fields are decoded by the caller.
+//! The decoder does no I/O. It only finds where each object ends; the caller decodes the fields.
 
 #[cfg(test)]
 mod tests;
@@ -8,49 +8,49 @@
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// What shows that the other side of a watch is alive. Part of a message does not: it may never be completed.
+/// A sign that the other side of a watch is alive. Part of a message is not one, since the rest may never arrive.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A complete object.
     Message(Bytes),
-    /// An empty line between two: nothing has changed.
+    /// An empty line between two objects: nothing has changed.
     EmptyLine,
 }
 
-/// Why nothing more can be read from a stream.
+/// A malformed stream, from which no further event can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FramingError {
-    /// Something other than an object.
+    /// A message is not a JSON object.
     #[error("a message begins with {found:?}, expected an object")]
     NotAnObject {
-        /// The first character.
+        /// The first character of the message.
         found: char,
     },
-    /// An object that does not end in time.
+    /// An object is longer than the limit.
     #[error("a message is over {max_length} bytes long")]
     TooLong {
-        /// The longest message that is read, in bytes.
+        /// The limit in bytes.
         max_length: usize,
     },
 }
 
-/// Decodes a stream that comes in pieces.
+/// An incremental decoder of a watch's byte stream.
 pub struct WatchDecoder {
-    /// What is not handed out yet. Between two objects, none of it has been scanned.
+    /// Received bytes that have not been returned in an event.
     buffer: BytesMut,
-    /// How much of the buffer belongs to an object that has begun.
+    /// Number of bytes at the start of the buffer that belong to an incomplete object; zero between two objects.
     scanned: usize,
-    /// Objects and arrays that are open.
+    /// Nesting depth of open objects and arrays.
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// Something else stands on the line.
-    line_used: bool,
+    /// The current line contains an object, so its end is not an empty line.
+    line_has_object: bool,
     max_length: usize,
 }
 
 impl WatchDecoder {
-    /// A decoder of objects up to this length, in bytes.
+    /// Creates a decoder of objects of up to `max_length` bytes.
     pub fn new(max_length: usize) -> Self {
         WatchDecoder {
             buffer: BytesMut::new(),
@@ -58,26 +58,26 @@
             depth: 0,
             in_string: false,
             escaped: false,
-            line_used: false,
+            line_has_object: false,
             max_length,
         }
     }
 
-    /// Takes the next piece of the stream.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.buffer.extend_from_slice(piece);
+    /// Appends the next chunk of the stream.
+    pub fn push(&mut self, chunk: &[u8]) {
+        self.buffer.extend_from_slice(chunk);
     }
 
-    /// The next complete event; none where more of the stream is needed.
+    /// The next complete event; none if more of the stream is needed.
     ///
     /// # Errors
-    /// Nothing more can be read from this stream.
+    /// The stream is malformed.
     pub fn next_event(&mut self) -> Result<Option<WatchEvent>, FramingError> {
         while self.depth == 0 && !self.buffer.is_empty() {
             match self.buffer[0] {
                 b'\n' => {
                     self.buffer.advance(1);
-                    if !std::mem::take(&mut self.line_used) {
+                    if !std::mem::take(&mut self.line_has_object) {
                         return Ok(Some(WatchEvent::EmptyLine));
                     }
                 }
@@ -92,7 +92,7 @@
         }
         if self.depth == 0 && self.scanned > 0 {
             let message = self.buffer.split_to(std::mem::take(&mut self.scanned)).freeze();
-            self.line_used = true;
+            self.line_has_object = true;
             return Ok(Some(WatchEvent::Message(message)));
         }
         if self.buffer.len() > self.max_length {
@@ -101,7 +101,7 @@
         Ok(None)
     }
 
-    /// Scans one byte of an object. A bracket that closes another kind is left to the decoder of the fields.
+    /// Scans one byte of an object. Mismatched brackets (`{]`) are not detected here but when the fields are decoded.
     fn scan(&mut self, byte: u8) {
         if self.in_string {
             match byte {
--- a/crates/daemon/src/discovery/watch_event/tests.rs
+++ b/crates/daemon/src/discovery/watch_event/tests.rs
@@ -1,4 +1,4 @@
-//! The framing of a watch, in any layout and split anywhere.
+//! Tests of the framing of a watch, with objects in any layout and the stream split at any point.
 
 use super::*;
 use liftrouter_catalog::Update;
@@ -6,16 +6,16 @@
 
 const MAX_LENGTH: usize = 4_096;
 
-/// All events of a stream that comes in pieces of these lengths, again and again.
+/// Decodes a stream that arrives in chunks, whose lengths repeat cyclically.
 fn decode(stream: &[u8], lengths: &[usize]) -> Result<Vec<WatchEvent>, FramingError> {
     let (mut decoder, mut events, mut rest) = (WatchDecoder::new(MAX_LENGTH), Vec::new(), stream);
     for length in lengths.iter().cycle() {
-        let (piece, behind) = rest.split_at((*length).min(rest.len()));
-        decoder.push(piece);
+        let (chunk, remaining) = rest.split_at((*length).min(rest.len()));
+        decoder.push(chunk);
         while let Some(event) = decoder.next_event()? {
             events.push(event);
         }
-        rest = behind;
+        rest = remaining;
         if rest.is_empty() {
             break;
         }
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn partial_messages_and_spaces_are_no_heartbeat() {
+fn partial_messages_and_spaces_are_not_heartbeats() {
     for text in
         ["   ", "\t \r", "{", "{\n\n\n", "{\"generation\": 4,\n\n \"instances\": [{}],\n", "{\"a\":\"}\n\n"]
     {
         assert_eq!(decode(text.as_bytes(), &[1]), Ok(vec![]), "{text:?}");
     }
     assert_eq!(decode(b"\n \r\n", &[1]), Ok(vec![WatchEvent::EmptyLine, WatchEvent::EmptyLine]));
-    // The end of a message's own line is no empty one.
+    // The line break right after a message does not end an empty line.
     let alone = WatchEvent::Message(Bytes::from_static(b"{}"));
     assert_eq!(decode(b" {} \n", &[1]), Ok(vec![alone]));
 }
@@ -48,12 +48,13 @@
 fn a_non_object_or_an_oversized_message_is_a_framing_error() {
     for text in ["x", "[]", "\"a\"", "{} 7"] {
         assert!(
-            decode(text.as_bytes(), &[1]).is_err_and(|why| why.to_string().contains("expected an object")),
+            decode(text.as_bytes(), &[1])
+                .is_err_and(|error| error.to_string().contains("expected an object")),
             "{text:?}"
         );
     }
     let long = format!("{{\"a\":\"{}\"}}", "x".repeat(MAX_LENGTH));
-    assert!(decode(long.as_bytes(), &[100]).is_err_and(|why| why.to_string().contains("over 4096 bytes")));
+    assert!(decode(long.as_bytes(), &[100]).is_err_and(|error| error.to_string().contains("over 4096 bytes")));
 }
 
 fn value() -> impl Strategy<Value = serde_json::Value> {
@@ -75,13 +76,13 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed:
         proptest::test_runner::RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
-    /// Indented or not, with empty lines between, split anywhere.
+    /// Objects are indented or not, have empty lines between them, and are split at any point.
     #[test]
     fn every_layout_is_decoded(
         values in prop::collection::vec((value(), any::<bool>(), 0usize..3), 1..4),
         lengths in prop::collection::vec(1usize..9, 1..6),
     ) {
-        let (mut stream, mut wanted, mut empty) = (String::new(), Vec::new(), 0);
+        let (mut stream, mut expected, mut empty) = (String::new(), Vec::new(), 0);
         for (value, indented, lines) in values {
             let object = serde_json::json!({ "instances": value });
             let text = if indented { serde_json::to_string_pretty(&object) } else { serde_json::to_string(&object) };
@@ -89,15 +90,15 @@
             stream.push('\n');
             stream.push_str(&"\n".repeat(lines));
             empty += lines;
-            wanted.push(object);
+            expected.push(object);
         }
         let found = decode(stream.as_bytes(), &lengths).expect("readable");
-        prop_assert_eq!(messages(&found), wanted);
+        prop_assert_eq!(messages(&found), expected);
         prop_assert_eq!(found.iter().filter(|event| **event == WatchEvent::EmptyLine).count(), empty);
     }
 }
 
-/// What earlier versions of the relay send.
+/// The stream that earlier versions of the relay send.
 const RELAY_STREAM: &str = include_str!("../../../tests/fixtures/relay-all-services.stream");
 
 #[test]
--- a/crates/daemon/src/discovery/watch_request.rs
+++ b/crates/daemon/src/discovery/watch_request.rs
@@ -1,4 +1,4 @@
-//! The request that opens a watch: the same text for discovery and for relays.
+//! The HTTP request that opens a watch, the same for the discovery service and for relays.
 
 #[cfg(test)]
 mod tests;
@@ -7,22 +7,22 @@
 use std::collections::BTreeSet;
 use std::num::ParseIntError;
 
-/// The path of a watch.
+/// The path of a watch request.
 pub const WATCH_PATH: &str = "/discovery/hosts";
 
-/// What is watched, and from which revision on.
+/// The parameters of a watch request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// The services that are followed.
+    /// The followed services.
     pub subscription: Subscription,
-    /// The revision that the caller holds; none where it needs the complete list.
+    /// The revision to resume after; none to request the complete list.
     pub after: Option<u64>,
 }
 
 impl WatchRequest {
-    /// Path and query of the request.
+    /// The path and query of the request.
     ///
-    /// The names of services are checked where they are configured: none needs to be escaped.
+    /// Service names are validated when the configuration is read, so none needs escaping.
     pub fn target(&self) -> String {
         let after = self.after.map(|revision| format!("&after={revision}")).unwrap_or_default();
         let services: String = match &self.subscription {
@@ -34,7 +34,7 @@
         format!("{WATCH_PATH}?watch=1{after}{services}")
     }
 
-    /// Reads the query of a request. Keys that are not known are passed over.
+    /// Parses the query of a request. Unknown keys are ignored.
     ///
     /// # Errors
     /// The revision is not a number.
--- a/crates/daemon/src/discovery/watch_request/tests.rs
+++ b/crates/daemon/src/discovery/watch_request/tests.rs
@@ -1,10 +1,10 @@
-//! Watch requests of earlier versions, byte for byte.
+//! Watch requests must stay byte for byte compatible with earlier versions.
 
 use super::*;
 
 const TARGETS: &str = include_str!("../../../tests/fixtures/watch-targets.txt");
 
-/// One request of each kind, in the order of the fixture's lines.
+/// One request of each kind, in the order of the lines of the fixture.
 fn requests() -> Vec<WatchRequest> {
     let subscriptions = [Subscription::All, Subscription::services(["quotes", "payments"])];
     let requests = [None, Some(0), Some(42)]
@@ -33,6 +33,6 @@
 }
 
 #[test]
-fn a_revision_that_is_not_a_number_is_refused() {
+fn a_revision_that_is_not_a_number_is_rejected() {
     assert!(WatchRequest::parse_query("watch=1&after=latest").is_err());
 }
--- a/crates/daemon/src/relay/list_sink.rs
+++ b/crates/daemon/src/relay/list_sink.rs
@@ -1,4 +1,4 @@
-//! The sink of a relay's session: what comes from upstream goes to the subscribers.
+//! The sink of a relay's session, which forwards updates from upstream to the subscribers.
 
 use super::subscribers::SubscriberTable;
 use crate::discovery::sink::{Heartbeat, ListSink};
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Forwards the list of upstream to the subscribers.
+/// Forwards the upstream's updates and heartbeats to the subscribers.
 pub struct RelayList {
     subscribers: Rc<RefCell<SubscriberTable>>,
 }
 
 impl RelayList {
-    /// Forwards to these subscribers.
+    /// Creates a sink that forwards to `subscribers`.
     pub fn new(subscribers: Rc<RefCell<SubscriberTable>>) -> Self {
         RelayList { subscribers }
     }
@@ -27,7 +27,7 @@
 
     fn apply(&mut self, update: Update) -> Result<(), ApplyError> {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.confirm(Duration::from_millis(update.confirmed_ago_ms));
+        subscribers.record_confirmation(Duration::from_millis(update.confirmed_ago_ms));
         subscribers.apply(update)
     }
 
@@ -37,8 +37,8 @@
 
     fn heartbeat(&mut self, heartbeat: Heartbeat) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.confirm(heartbeat.confirmed_ago());
-        if subscribers.forwards(heartbeat) {
+        subscribers.record_confirmation(heartbeat.confirmed_ago());
+        if subscribers.should_forward(heartbeat) {
             subscribers.forward_heartbeat();
         }
     }
@@ -50,6 +50,6 @@
     }
 
     fn confirmed(&mut self) {
-        log("relay", "upstream gives signs of life again");
+        log("relay", "upstream sends heartbeats again");
     }
 }
--- a/crates/daemon/src/relay/mod.rs
+++ b/crates/daemon/src/relay/mod.rs
@@ -1,8 +1,9 @@
-//! A relay: follows the endpoint list upstream and serves it to subscribers, each of which follows some services.
+//! A relay: follows the endpoint list of its upstream and serves it to subscribers, each of which follows all or some
+//! services.
 //!
-//! Relays speak discovery's own protocol on both sides, so a subscriber may be a limiter or another relay. A heartbeat
-//! goes to the subscribers only when one has come from upstream: a list that a subscriber takes for fresh is fresh
-//! from the root on. See `docs/design/relays.md`.
+//! Relays use the protocol of the discovery service on both sides, so a subscriber may be a limiter or another relay.
+//! A relay sends a heartbeat only after it has received one from its upstream, so a list that a subscriber considers
+//! fresh was confirmed by the discovery service itself. See `docs/design/relays.md`.
 
 mod list_sink;
 mod server;
@@ -23,20 +24,20 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-/// Where a relay listens and what it follows.
+/// The configuration of a relay.
 pub struct RelayConfig {
-    /// Where subscribers connect.
+    /// The address on which subscribers connect.
     pub listen: SocketAddr,
-    /// Discovery, or relays nearer to the root.
+    /// The discovery service, or relays closer to it.
     pub upstream: Upstream,
-    /// Spreads the retries of several relays.
+    /// Different seeds spread the retries of several relays.
     pub seed: u64,
 }
 
 /// Runs a relay until SIGTERM.
 ///
 /// # Errors
-/// It cannot listen, or cannot handle signals.
+/// The address cannot be bound, or a signal handler cannot be installed.
 pub fn run(config: RelayConfig) -> Result<(), StartupError> {
     let runtime = runtime()?;
     LocalSet::new().block_on(&runtime, serve(config))
@@ -52,7 +53,7 @@
     tokio::select! {
         () = session.run() => {}
         () = server::accept(listener, subscribers) => {}
-        _ = terminated.recv() => log("relay", "SIGTERM: ending, children find other relays"),
+        _ = terminated.recv() => log("relay", "SIGTERM: ending, subscribers reconnect to other relays"),
     }
     Ok(())
 }
--- a/crates/daemon/src/relay/server.rs
+++ b/crates/daemon/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! The relay's side of discovery's protocol: watches of the endpoint list over HTTP/1.1.
+//! The server side of the discovery protocol: watches of the endpoint list over HTTP/1.1.
 
 use super::subscribers::{SubscriberId, SubscriberTable};
 use crate::discovery::watch_request::{WatchRequest, WATCH_PATH};
@@ -21,14 +21,14 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The most subscribers of one relay: 7,100 limiters over 16 relays are 444, and half of the relays may be lost.
+/// The most subscribers of one relay. 7,100 limiters over 16 relays are 444 each, and half of the relays may fail.
 const MAX_SUBSCRIBERS: usize = 2_000;
-/// A subscriber that is refused may retry after this time, in seconds.
+/// The `Retry-After` header of a rejected watch request, in seconds.
 const RETRY_AFTER_SECONDS: HeaderValue = HeaderValue::from_static("1");
 
 type SharedSubscribers = Rc<RefCell<SubscriberTable>>;
 
-/// Accepts subscribers for as long as it is polled.
+/// Accepts connections of subscribers for as long as the future is polled.
 pub async fn accept(listener: TcpListener, subscribers: SharedSubscribers) {
     let closed = Notify::new();
     let serve = |stream: TcpStream| {
@@ -38,7 +38,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, subscribers: SharedSubscribers) {
-    // Small messages are to go out at once.
+    // Heartbeats and small updates are sent without waiting for more data.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let subscribers = subscribers.clone();
@@ -47,12 +47,12 @@
     let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
         if !error.is_canceled() && !error.is_incomplete_message() {
-            log("relay", format_args!("a child's connection ended: {error}"));
+            log("relay", format_args!("a subscriber's connection failed: {error}"));
         }
     }
 }
 
-type WatchResponse = Response<Either<Watch, Empty<Bytes>>>;
+type WatchResponse = Response<Either<WatchBody, Empty<Bytes>>>;
 
 fn respond(request: &Request<Incoming>, subscribers: &SharedSubscribers) -> WatchResponse {
     match (request.method(), request.uri().path()) {
@@ -79,20 +79,20 @@
         response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_SECONDS);
         return response;
     };
-    let stream = Watch { id, messages, subscribers: subscribers.clone() };
-    let mut response = Response::new(Either::Left(stream));
+    let body = WatchBody { id, messages, subscribers: subscribers.clone() };
+    let mut response = Response::new(Either::Left(body));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// The body of a watch; the subscriber is removed when it is dropped.
-struct Watch {
+/// The response body of a watch. Dropping it removes the subscriber.
+struct WatchBody {
     id: SubscriberId,
     messages: Receiver<Bytes>,
     subscribers: SharedSubscribers,
 }
 
-impl Body for Watch {
+impl Body for WatchBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for Watch {
+impl Drop for WatchBody {
     fn drop(&mut self) {
         self.subscribers.borrow_mut().unsubscribe(self.id);
     }
--- a/crates/daemon/src/relay/tests.rs
+++ b/crates/daemon/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! What a relay sends, byte for byte as earlier versions send it.
+//! The messages of a relay must stay byte for byte compatible with earlier versions.
 
 use super::list_sink::RelayList;
 use super::subscribers::SubscriberTable;
@@ -10,15 +10,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Receiver;
 
-/// A complete list with its digest and age, a delta, heartbeats, and a digest alone.
+/// The stream of a subscriber of all services: a complete list with its digest and age, a delta, heartbeats, and a
+/// message that contains only a digest.
 const ALL_SERVICES: &str = include_str!("../../tests/fixtures/relay-all-services.stream");
-/// The same for a subscriber of one service that holds the list: it begins with a delta.
+/// The stream of a subscriber of one service that already holds the list, so it begins with a delta.
 const ONE_SERVICE: &str = include_str!("../../tests/fixtures/relay-one-service.stream");
-/// How old the list is that upstream sends.
+/// Age of the list that upstream sends.
 const AGE: Duration = Duration::from_millis(1_200);
-/// Heartbeats up to the one that carries a digest.
+/// Number of heartbeats up to and including the one that carries a digest.
 const HEARTBEATS: usize = 5;
-/// The field of a message's age, which stands last.
+/// The field with a message's age, the last one of the object.
 const AGE_FIELD: &str = ",\"confirmedAgoMs\":";
 
 fn instance(id: &str, service: &str, lifecycle: Lifecycle) -> Instance {
@@ -71,7 +72,7 @@
     [stream(all), stream(one)]
 }
 
-/// A line without its age, and the age: the clock of the machine goes on while the test runs.
+/// Splits a line into its text without the age, and the age, which depends on how long the test runs.
 fn split_age(line: &str) -> (String, Option<u64>) {
     match line.split_once(AGE_FIELD) {
         Some((before, age)) => {
@@ -88,7 +89,7 @@
         |lines: &[(String, Option<u64>)]| lines.iter().map(|(text, _)| text.clone()).collect::<Vec<_>>();
     assert_eq!(texts(&sent_lines), texts(&expected_lines));
     for ((text, sent), (_, expected)) in sent_lines.iter().zip(&expected_lines) {
-        // A list that was confirmed just now has no age, or one of some milliseconds.
+        // A list that was just confirmed has an age of zero or a few milliseconds.
         assert!(sent >= expected, "{text}: {sent:?}, expected {expected:?}");
     }
 }
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_stale_list_is_refused_with_the_time_that_was_exceeded() {
+fn the_error_for_a_stale_list_names_the_exceeded_time() {
     let error = SubscriberTable::default().subscribe(Subscription::All, None).err();
     let text = error.map(|error| error.to_string());
     assert_eq!(text.as_deref(), Some("the list was not confirmed within 2.5 s"));
