--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -14,21 +14,21 @@
 use wire::Message;
 
 /// The limiters this process hosts; they share nothing.
-type Hosted = BTreeMap<u32, Limiter>;
+type Limiters = BTreeMap<u32, Limiter>;
 
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), BufWriter::with_capacity(1 << 20, io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("liftrouter-sim: {fault}");
+        Err(error) => {
+            eprintln!("liftrouter-sim: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut hosted = Hosted::new();
-    let mut number = 0usize;
+    let mut limiters = Limiters::new();
+    let mut line_number = 0usize;
     let mut buffer = Vec::new();
     let mut batch: Option<(f64, String)> = None;
     let mut list: Option<wire::PendingList> = None;
@@ -37,68 +37,68 @@
         let read = input.read_until(b'\n', &mut buffer).map_err(|e| format!("cannot read: {e}"))?;
         if read == 0 {
             return match batch {
-                Some(_) => Err(format!("line {number}: input ended within a batch")),
+                Some(_) => Err(format!("line {line_number}: input ended within a batch")),
                 None => Ok(()),
             };
         }
-        number += 1;
-        let at = |fault: String| format!("line {number}: {fault}");
-        let text = std::str::from_utf8(&buffer).map_err(|_| at("not valid UTF-8".into()))?;
+        line_number += 1;
+        let at_line = |error: String| format!("line {line_number}: {error}");
+        let text = std::str::from_utf8(&buffer).map_err(|_| at_line("not valid UTF-8".into()))?;
         let line = Line::new(text.trim_end_matches(['\n', '\r']));
         if let Some(mut pending) = list.take() {
-            pending.push(&line).map_err(at)?;
+            pending.push(&line).map_err(at_line)?;
             list = Some(pending);
         } else {
             let Some((now, _)) = &batch else {
                 if !line.is_empty() {
-                    batch = Some(wire::turn(&line).map_err(at)?);
+                    batch = Some(wire::parse_turn(&line).map_err(at_line)?);
                 }
                 continue;
             };
-            match wire::message(&line).map_err(at)? {
+            match wire::parse_message(&line).map_err(at_line)? {
                 Message::End => {
                     if let Some((_, turn)) = batch.take() {
-                        writeln!(output, "NEXT {turn}").and_then(|()| output.flush()).map_err(write_fault)?;
+                        writeln!(output, "NEXT {turn}").and_then(|()| output.flush()).map_err(write_error)?;
                     }
                 }
                 Message::Start(instance, seed, settings) => {
-                    hosted.insert(instance, Limiter::new(*settings, seed, *now));
+                    limiters.insert(instance, Limiter::new(*settings, seed, *now));
                 }
                 Message::Stop(instance) => {
-                    hosted.remove(&instance);
+                    limiters.remove(&instance);
                 }
                 Message::List(pending) => list = Some(pending),
                 Message::Event(instance, event) => {
-                    deliver(&mut hosted, instance, *now, event, &mut output)?;
+                    deliver(&mut limiters, instance, *now, event, &mut output)?;
                 }
-                Message::Skip => {}
+                Message::Ignored => {}
             }
         }
-        if list.as_ref().is_some_and(|p| p.complete()) {
+        if list.as_ref().is_some_and(|pending| pending.is_complete()) {
             if let (Some(pending), Some((now, _))) = (list.take(), &batch) {
                 let (instance, event) = pending.into_event();
-                deliver(&mut hosted, instance, *now, event, &mut output)?;
+                deliver(&mut limiters, instance, *now, event, &mut output)?;
             }
         }
     }
 }
 
 fn deliver(
-    hosted: &mut Hosted,
+    limiters: &mut Limiters,
     instance: u32,
     now: f64,
     event: Event,
     output: &mut impl Write,
 ) -> Result<(), String> {
-    let Some(limiter) = hosted.get_mut(&instance) else { return Ok(()) };
+    let Some(limiter) = limiters.get_mut(&instance) else { return Ok(()) };
     let mut actions: Vec<Action> = Vec::new();
-    let run = catch_unwind(AssertUnwindSafe(|| limiter.handle(now, event, &mut actions)));
-    if run.is_err() {
-        return writeln!(output, "FAULT {instance} the decision module panicked").map_err(write_fault);
+    let result = catch_unwind(AssertUnwindSafe(|| limiter.handle(now, event, &mut actions)));
+    if result.is_err() {
+        return writeln!(output, "FAULT {instance} the decision module panicked").map_err(write_error);
     }
-    actions.iter().try_for_each(|action| wire::write(output, instance, action)).map_err(write_fault)
+    actions.iter().try_for_each(|action| wire::write_action(output, instance, action)).map_err(write_error)
 }
 
-fn write_fault(e: io::Error) -> String {
+fn write_error(e: io::Error) -> String {
     format!("cannot write: {e}")
 }
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -20,72 +20,72 @@
     /// An event for an instance.
     Event(u32, Event),
     /// Nothing that concerns the module.
-    Skip,
+    Ignored,
 }
 
 /// An endpoint list of which some lines are still to come.
 pub struct PendingList {
     instance: u32,
     kind: ListKind,
-    left: usize,
+    remaining: usize,
     entries: Vec<EndpointEntry>,
 }
 
 enum ListKind {
-    Whole,
-    Patch,
-    Broken,
+    Full,
+    Changes,
+    Failed,
 }
 
 impl PendingList {
-    pub fn complete(&self) -> bool {
-        self.left == 0
+    pub fn is_complete(&self) -> bool {
+        self.remaining == 0
     }
 
     pub fn push(&mut self, line: &Line) -> Result<(), String> {
-        if line.word() != "ITEM" {
-            return Err(format!("{:?} where {} more ITEM lines are due", line.word(), self.left));
+        if line.keyword() != "ITEM" {
+            return Err(format!("{:?} where {} more ITEM lines are due", line.keyword(), self.remaining));
         }
-        let state = match line.part(5, "status")? {
+        let state = match line.required(5, "status")? {
             "in_service" => EndpointState::InService,
             "terminating" => EndpointState::Draining,
             // An endpoint in a state that is not known here gets no requests.
             _ => EndpointState::Removed,
         };
         self.entries.push(EndpointEntry {
-            id: line.part(1, "server")?.into(),
-            zone: line.part(2, "region-part")?.into(),
-            machine_type: line.part(3, "flavor")?.into(),
+            id: line.required(1, "server")?.into(),
+            zone: line.required(2, "region-part")?.into(),
+            machine_type: line.required(3, "flavor")?.into(),
             cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
             state,
             weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
             started_at: line.optional_number(7, "start-time-s")?.filter(|started| *started != 0.0),
         });
-        self.left -= 1;
+        self.remaining -= 1;
         Ok(())
     }
 
     pub fn into_event(self) -> (u32, Event) {
         let event = match self.kind {
-            ListKind::Whole => Event::EndpointList(self.entries),
-            ListKind::Patch => Event::EndpointChanges(self.entries),
-            ListKind::Broken => Event::DiscoveryFailed,
+            ListKind::Full => Event::EndpointList(self.entries),
+            ListKind::Changes => Event::EndpointChanges(self.entries),
+            ListKind::Failed => Event::DiscoveryFailed,
         };
         (self.instance, event)
     }
 }
 
 /// The line that begins a batch: its clock and number.
-pub fn turn(line: &Line) -> Result<(f64, String), String> {
-    if line.word() != "TURN" {
-        return Err(format!("{:?} where TURN is due", line.word()));
+pub fn parse_turn(line: &Line) -> Result<(f64, String), String> {
+    if line.keyword() != "TURN" {
+        return Err(format!("{:?} where TURN is due", line.keyword()));
     }
     let number: u64 = line.integer(2, "number")?;
     Ok((line.number(1, "clock")?, number.to_string()))
 }
 
 /// Kinds of lines that concern the decision module, besides those that frame a batch or a list.
-const HANDLED: [&str; 10] = [
+const HANDLED_KEYWORDS: [&str; 10] = [
     "PROVISION",
     "REGISTRY",
     "SUBMIT",
@@ -99,97 +99,97 @@
 ];
 
 /// Any other line of a batch, but for the entries of a list.
-pub fn message(line: &Line) -> Result<Message, String> {
-    let word = line.word();
-    match word {
+pub fn parse_message(line: &Line) -> Result<Message, String> {
+    let keyword = line.keyword();
+    match keyword {
         "OVER_TO_YOU" => return Ok(Message::End),
-        "TURN" | "ITEM" => return Err(format!("{word} where an event or OVER_TO_YOU is due")),
+        "TURN" | "ITEM" => return Err(format!("{keyword} where an event or OVER_TO_YOU is due")),
         "" => return Err("empty line within a batch".into()),
         _ => {}
     }
-    if !HANDLED.contains(&word) {
-        return Ok(Message::Skip);
+    if !HANDLED_KEYWORDS.contains(&keyword) {
+        return Ok(Message::Ignored);
     }
     let instance: u32 = line.integer(1, "limiter-id")?;
-    match word {
-        "PROVISION" => start(line, instance),
+    match keyword {
+        "PROVISION" => parse_start(line, instance),
         "DESTROY" => Ok(Message::Stop(instance)),
-        "REGISTRY" => endpoint_list(line, instance),
-        _ => Ok(event(line)?.map_or(Message::Skip, |event| Message::Event(instance, event))),
+        "REGISTRY" => parse_list_start(line, instance),
+        _ => Ok(parse_event(line)?.map_or(Message::Ignored, |event| Message::Event(instance, event))),
     }
 }
 
-fn start(line: &Line, instance: u32) -> Result<Message, String> {
-    let settings: Settings =
-        serde_json::from_str(line.rest(3, "config")?).map_err(|e| line.fault("config", &e.to_string()))?;
+fn parse_start(line: &Line, instance: u32) -> Result<Message, String> {
+    let settings: Settings = serde_json::from_str(line.remainder(3, "config")?)
+        .map_err(|e| line.error("config", &e.to_string()))?;
     Ok(Message::Start(instance, line.integer(2, "rng-seed")?, Box::new(settings)))
 }
 
-fn endpoint_list(line: &Line, instance: u32) -> Result<Message, String> {
-    let kind = match line.part(2, "kind")? {
-        "whole" | "stale_copy" => ListKind::Whole,
-        "patch" => ListKind::Patch,
-        "broken" => ListKind::Broken,
-        other => return Err(line.fault("kind", &format!("unknown: {other:?}"))),
+fn parse_list_start(line: &Line, instance: u32) -> Result<Message, String> {
+    let kind = match line.required(2, "kind")? {
+        "whole" | "stale_copy" => ListKind::Full,
+        "patch" => ListKind::Changes,
+        "broken" => ListKind::Failed,
+        other => return Err(line.error("kind", &format!("unknown: {other:?}"))),
     };
-    let left = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
-    Ok(Message::List(PendingList { instance, kind, left, entries: Vec::new() }))
+    let remaining = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
+    Ok(Message::List(PendingList { instance, kind, remaining, entries: Vec::new() }))
 }
 
 /// The event of a line; none for a timer that this host never set.
-fn event(line: &Line) -> Result<Option<Event>, String> {
+fn parse_event(line: &Line) -> Result<Option<Event>, String> {
     let id = || line.integer::<u64>(2, "handle");
-    Ok(Some(match line.word() {
-        "SUBMIT" => Event::Request(request(line)?),
+    Ok(Some(match line.keyword() {
+        "SUBMIT" => Event::Request(parse_request(line)?),
         "FIRST" => Event::StreamStarted { id: id()? },
-        "ENDED" => attempt_ended(line)?,
+        "ENDED" => parse_attempt_ended(line)?,
         "CLIENT_GONE" => Event::ClientDisconnected { id: id()? },
-        "TOTAL" => counter_reply(line)?,
+        "TOTAL" => parse_counter_reply(line)?,
         "HEALTH_RESULT" => Event::HealthChecked {
-            endpoint: Arc::from(line.part(2, "server")?),
-            outcome: outcome(line, 4)?,
-            report: report(line, 5)?,
+            endpoint: Arc::from(line.required(2, "server")?),
+            outcome: parse_outcome(line, 4)?,
+            report: parse_report(line, 5)?,
         },
-        "ALARM" => return Ok(line.part(2, "ref")?.parse().ok().map(|token| Event::Timer { token })),
+        "ALARM" => return Ok(line.required(2, "ref")?.parse().ok().map(|token| Event::Timer { token })),
         _ => return Ok(None),
     }))
 }
 
-fn request(line: &Line) -> Result<Request, String> {
+fn parse_request(line: &Line) -> Result<Request, String> {
     Ok(Request {
         id: line.integer(2, "handle")?,
         is_retry: line.flag(4, "repeat")?,
         deadline: line.number(5, "due-s")?,
         reachable_instances: line.number(6, "width")?.max(1.0) as u32,
         units: line.number(7, "weight")?,
-        plan: line.part(9, "contract")?.into(),
-        class: line.part(10, "profile")?.into(),
-        customer: line.part(11, "api-key")?.into(),
+        plan: line.required(9, "contract")?.into(),
+        class: line.required(10, "profile")?.into(),
+        customer: line.required(11, "api-key")?.into(),
     })
 }
 
-fn attempt_ended(line: &Line) -> Result<Event, String> {
+fn parse_attempt_ended(line: &Line) -> Result<Event, String> {
     Ok(Event::AttemptEnded {
         id: line.integer(2, "handle")?,
         attempt: line.integer(3, "n")?,
         request_finished: line.flag(5, "final")?,
         elapsed_s: line.number(7, "time-taken-s")?,
-        outcome: outcome(line, 8)?,
+        outcome: parse_outcome(line, 8)?,
         units: line.optional_number(9, "actual")?.filter(|units| *units > 0.0),
-        report: report(line, 10)?,
+        report: parse_report(line, 10)?,
     })
 }
 
-fn counter_reply(line: &Line) -> Result<Event, String> {
+fn parse_counter_reply(line: &Line) -> Result<Event, String> {
     Ok(Event::CounterReply {
-        outcome: outcome(line, 3)?,
+        outcome: parse_outcome(line, 3)?,
         total: line.optional_number(2, "level")?.unwrap_or(0.0),
         elapsed_s: line.optional_number(4, "time-taken-s")?.unwrap_or(0.0),
-        key: line.part(5, "counter")?.into(),
+        key: line.required(5, "counter")?.into(),
     })
 }
 
-fn outcome(line: &Line, n: usize) -> Result<Outcome, String> {
+fn parse_outcome(line: &Line, n: usize) -> Result<Outcome, String> {
     Ok(match line.integer::<u32>(n, "code")? {
         100 => Outcome::Ok,
         301 => Outcome::Error,
@@ -199,23 +199,23 @@
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
         307 => Outcome::NotSent,
-        other => return Err(line.fault("code", &format!("unknown: {other}"))),
+        other => return Err(line.error("code", &format!("unknown: {other}"))),
     })
 }
 
-fn report(line: &Line, n: usize) -> Result<LoadReport, String> {
+fn parse_report(line: &Line, n: usize) -> Result<LoadReport, String> {
     let mut report = LoadReport::default();
-    for pair in line.optional(n).into_iter().flat_map(|p| p.split(',')) {
+    for pair in line.optional(n).into_iter().flat_map(|text| text.split(',')) {
         let (name, value) = pair
             .split_once(':')
-            .ok_or_else(|| line.fault("report", &format!("not a name:value pair: {pair:?}")))?;
-        report.set(name, line.float(value, "report")?);
+            .ok_or_else(|| line.error("report", &format!("not a name:value pair: {pair:?}")))?;
+        report.set(name, line.parse_float(value, "report")?);
     }
     Ok(report)
 }
 
 /// Writes one action as a line.
-pub fn write(output: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
+pub fn write_action(output: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
     match action {
         // The wire has no field for the send deadline.
         Action::Send { id, endpoint, timeout_s, .. } => {
