--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts decision modules on the simulator's wire: reads batches of events from standard input and
-//! writes one reply for each to standard output. It parses, routes and formats; it decides nothing.
+//! Adapter between the simulator and the decision module: reads batches of events from standard input,
+//! passes each event to its limiter, and writes the resulting actions and one NEXT line per batch to
+//! standard output. It only parses, routes and formats; all decisions are made by the module.
 #![forbid(unsafe_code)]
 
 mod line;
@@ -13,7 +14,7 @@
 use std::process::ExitCode;
 use wire::Message;
 
-/// The limiters this process hosts; they share nothing.
+/// The limiters of this process by instance number. They share no state.
 type Limiters = BTreeMap<u32, Limiter>;
 
 fn main() -> ExitCode {
@@ -26,6 +27,7 @@
     }
 }
 
+/// Processes the input until its end. A malformed line is an error that ends the process.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut limiters = Limiters::new();
     let mut line_number = 0usize;
@@ -83,6 +85,7 @@
     }
 }
 
+/// Passes an event to its limiter and writes the actions. Events for an unknown limiter are ignored.
 fn deliver(
     limiters: &mut Limiters,
     instance: u32,
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: lines to events and settings, actions to lines.
+//! The simulator's wire protocol: parses lines into events and settings, and writes actions as lines.
 
 use crate::line::Line;
 use liftrouter_decision::{
@@ -7,30 +7,32 @@
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// What one line within a batch says.
+/// A parsed line of a batch.
 pub enum Message {
-    /// The batch is complete.
+    /// The end of the batch.
     End,
-    /// An instance starts, with its seed and settings.
+    /// Starts the limiter with this instance number, seed and settings.
     Start(u32, u64, Box<Settings>),
-    /// An instance was killed.
+    /// Drops the limiter with this instance number: the simulator killed it.
     Stop(u32),
-    /// An endpoint list begins.
+    /// The first line of an endpoint list; its ITEM lines follow.
     List(PendingList),
-    /// An event for an instance.
+    /// An event for the limiter with this instance number.
     Event(u32, Event),
-    /// Nothing that concerns the module.
+    /// A line that does not concern the decision module.
     Ignored,
 }
 
-/// An endpoint list of which some lines are still to come.
+/// An endpoint list that is being read.
 pub struct PendingList {
     instance: u32,
     kind: ListKind,
+    /// Number of ITEM lines not read yet.
     remaining: usize,
     entries: Vec<EndpointEntry>,
 }
 
+/// How the entries of an endpoint list are to be used.
 enum ListKind {
     Full,
     Changes,
@@ -38,18 +40,20 @@
 }
 
 impl PendingList {
+    /// Whether all ITEM lines were read.
     pub fn is_complete(&self) -> bool {
         self.remaining == 0
     }
 
+    /// Reads the next line, which must be an ITEM line.
     pub fn push(&mut self, line: &Line) -> Result<(), String> {
         if line.keyword() != "ITEM" {
-            return Err(format!("{:?} where {} more ITEM lines are due", line.keyword(), self.remaining));
+            return Err(format!("found {:?}, expected {} more ITEM lines", line.keyword(), self.remaining));
         }
         let state = match line.required(5, "status")? {
             "in_service" => EndpointState::InService,
             "terminating" => EndpointState::Draining,
-            // An endpoint in a state that is not known here gets no requests.
+            // An endpoint in an unknown state gets no requests.
             _ => EndpointState::Removed,
         };
         self.entries.push(EndpointEntry {
@@ -65,6 +69,7 @@
         Ok(())
     }
 
+    /// The event that the complete list stands for, and the instance number of its limiter.
     pub fn into_event(self) -> (u32, Event) {
         let event = match self.kind {
             ListKind::Full => Event::EndpointList(self.entries),
@@ -75,16 +80,16 @@
     }
 }
 
-/// The line that begins a batch: its clock and number.
+/// Parses the first line of a batch; returns its time and its number.
 pub fn parse_turn(line: &Line) -> Result<(f64, String), String> {
     if line.keyword() != "TURN" {
-        return Err(format!("{:?} where TURN is due", line.keyword()));
+        return Err(format!("found {:?}, expected TURN", line.keyword()));
     }
     let number: u64 = line.integer(2, "number")?;
     Ok((line.number(1, "clock")?, number.to_string()))
 }
 
-/// Kinds of lines that concern the decision module, besides those that frame a batch or a list.
+/// Keywords of the lines that concern the decision module, except those that delimit batches and lists.
 const HANDLED_KEYWORDS: [&str; 10] = [
     "PROVISION",
     "REGISTRY",
@@ -98,12 +103,12 @@
     "ALARM",
 ];
 
-/// Any other line of a batch, but for the entries of a list.
+/// Parses a line of a batch other than its first and the ITEM lines of a list.
 pub fn parse_message(line: &Line) -> Result<Message, String> {
     let keyword = line.keyword();
     match keyword {
         "OVER_TO_YOU" => return Ok(Message::End),
-        "TURN" | "ITEM" => return Err(format!("{keyword} where an event or OVER_TO_YOU is due")),
+        "TURN" | "ITEM" => return Err(format!("found {keyword}, expected an event or OVER_TO_YOU")),
         "" => return Err("empty line within a batch".into()),
         _ => {}
     }
@@ -136,7 +141,7 @@
     Ok(Message::List(PendingList { instance, kind, remaining, entries: Vec::new() }))
 }
 
-/// The event of a line; none for a timer that this host never set.
+/// Parses an event. Returns `None` for a timer whose reference is not a token: this adapter did not set it.
 fn parse_event(line: &Line) -> Result<Option<Event>, String> {
     let id = || line.integer::<u64>(2, "handle");
     Ok(Some(match line.keyword() {
@@ -214,14 +219,14 @@
     Ok(report)
 }
 
-/// Writes one action as a line.
+/// Writes an action as a line, if the protocol has one for it.
 pub fn write_action(output: &mut impl Write, instance: u32, action: &Action) -> io::Result<()> {
     match action {
-        // The wire has no field for the send deadline.
+        // The protocol has no field for the time by which the attempt must be sent.
         Action::Send { id, endpoint, timeout_s, .. } => {
             writeln!(output, "ASSIGN {instance} {id} {timeout_s} {endpoint}")
         }
-        // The simulator asks for no authorizations, and its protocol has none.
+        // The simulator never requests an authorization, and its protocol has no line for the answer.
         Action::Authorize { .. } => Ok(()),
         Action::Reject { id, retry_after_s } => writeln!(output, "SAY_NO {instance} {id} {retry_after_s}"),
         Action::Fail { id } => writeln!(output, "END_FAILED {instance} {id}"),
--- a/crates/simulator/tests/wire.rs
+++ b/crates/simulator/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: lines in, lines out.
+//! Runs the adapter as a process and checks the lines that it writes.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -9,7 +9,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("start");
-    // A process that stops at a fault closes its input early; that is no error here.
+    // The write fails if the process exits at a malformed line before it has read all input.
     let _ = child.stdin.take().expect("stdin").write_all(input.as_bytes());
     child.wait_with_output().expect("run")
 }
@@ -38,14 +38,14 @@
     assert!(out.status.success(), "{text}");
     assert!(text.contains("FOLLOW 0 1\n"), "{text}");
     assert!(text.contains("ASSIGN 0 5 0 s:1\n"), "{text}");
-    // A new limiter calls for half of the tries, each standing for two.
+    // A new limiter calls the counter for half of the requests, and each call counts for two.
     assert!(!text.contains("INCR 0 ") || text.contains(" 2 40\n"), "{text}");
     assert!(text.contains("DEFER 0 "), "{text}");
     assert!(text.ends_with("NEXT 3\n"), "{text}");
 }
 
 #[test]
-fn every_other_event_is_understood() {
+fn every_other_event_is_accepted() {
     let out = run(&(start()
         + "TURN 11 2\nFIRST 0 5 0 s:1 0.1\nCLIENT_GONE 0 5\nTOTAL 0 3 100 0.002 x\nTOTAL 0 - 303 0.05 x\n"
         + "HEALTH_RESULT 0 s:1 0.001 100 busy:0.5\nINBOX 0 1 68\nALARM 0 someones\nNEW_KIND 0 1 2 3\n"
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn refusals_and_failures_are_worded() {
+fn rejections_and_failures_are_written() {
     let drained = "REGISTRY 0 patch 2 1\nITEM s:1 a std 0 terminating 1 -\n";
     let out = run(&(start()
         + "TURN 11 2\n"
@@ -70,8 +70,8 @@
 
 #[test]
 fn malformed_input_ends_with_a_message_and_a_failure() {
-    for (lines, word) in [
-        ("HELLO\n", "TURN is due"),
+    for (lines, expected) in [
+        ("HELLO\n", "expected TURN"),
         ("TURN x 1\n", "clock"),
         ("TURN 1 1\nSUBMIT 0 5 0 0 soon 2 1 0 plain read key:a\n", "due-s"),
         ("TURN 1 1\nSUBMIT 0 5\n", "missing"),
@@ -83,7 +83,7 @@
         let out = run(lines);
         let message = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(!out.status.success(), "{lines}");
-        assert!(message.contains(word) && message.contains("line "), "{lines}: {message}");
+        assert!(message.contains(expected) && message.contains("line "), "{lines}: {message}");
         assert!(!message.contains("panicked"), "{message}");
     }
 }
