--- a/crates/decision/tests/decision/admission.rs
+++ b/crates/decision/tests/decision/admission.rs
@@ -33,7 +33,7 @@
     let full = (0..100).find_map(|n| advice(&host.request(&format!("c{n}"), "plain", "read", 1.0).1));
     assert!((0.19..0.21).contains(&full.expect("refused")), "{full:?}");
     // And later as long as they were seen to take.
-    let mut host = Host::new(settings()).with_quick_counter();
+    let mut host = Host::new(settings()).with_fast_counter();
     host.request("c", "capped", "read", 1.0);
     let capped = advice(&host.request("c", "capped", "read", 1.0).1).expect("refused");
     assert!((0.05..0.19).contains(&capped), "{capped}");
--- a/crates/decision/tests/decision/counter.rs
+++ b/crates/decision/tests/decision/counter.rs
@@ -8,20 +8,20 @@
 #[allow(clippy::float_cmp, reason = "steps are whole numbers")]
 fn a_report_that_timed_out_is_not_repeated_and_a_rejected_one_is() {
     for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Overloaded, 1.0)] {
-        let mut host = Host::new(settings()).with_quick_counter();
+        let mut host = Host::new(settings()).with_fast_counter();
         host.serve("c", "plain", 1.0);
         assert_eq!(host.answer_counter_calls(|_| (outcome, 0.0)), 1);
         host.now += 1.2;
-        while host.calls.is_empty() {
+        while host.counter_calls.is_empty() {
             host.serve("c", "plain", 0.0);
         }
-        assert_eq!(host.calls[0].1 % REJECTED_UNIT, again, "{outcome:?}");
+        assert_eq!(host.counter_calls[0].1 % REJECTED_STEP_VALUE, again, "{outcome:?}");
     }
 }
 
 #[test]
 fn an_unresponsive_counter_is_called_rarely_and_leaves_the_fallback() {
-    let mut host = Host::new(settings()).with_quick_counter();
+    let mut host = Host::new(settings()).with_fast_counter();
     for n in 0..50 {
         host.serve(&format!("c{n}"), "plain", 1.0);
     }
@@ -35,7 +35,7 @@
         calls += host.answer_counter_calls(|_| (Outcome::Timeout, 0.0));
     }
     assert!((8..=24).contains(&calls), "{calls} calls in twenty periods of silence");
-    assert_eq!(drained_rate(&mut host, "c1"), 5);
+    assert_eq!(measured_limit(&mut host, "c1"), 5);
     // It answers again: calls come back, and with them totals.
     let calls: usize = (0..400)
         .map(|n| {
@@ -50,13 +50,13 @@
 #[test]
 fn a_slow_counter_is_called_for_few_requests_and_for_more_when_quick_again() {
     // Guards against a counter crowded by hundreds of limiters, each with many rare customers.
-    let mut host = Host::new(settings()).with_quick_counter();
+    let mut host = Host::new(settings()).with_fast_counter();
     let calls = |host: &mut Host, from: u32, elapsed_s: f64| {
         let mut made = 0;
         for n in from..from + 400 {
             host.now += 0.05;
             host.serve(&format!("c{n}"), "plain", 1.0);
-            for (name, total) in std::mem::take(&mut host.calls) {
+            for (name, total) in std::mem::take(&mut host.counter_calls) {
                 made += 1;
                 host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed_s });
             }
@@ -78,7 +78,7 @@
     // may show as used, nor the sum pass its seven digits.
     let reachable_instances = 300;
     let mut host =
-        Host::new(Settings { instance_count: reachable_instances, ..settings() }).with_quick_counter();
+        Host::new(Settings { instance_count: reachable_instances, ..settings() }).with_fast_counter();
     host.reachable_instances = reachable_instances;
     let (mut used, mut refused, mut name_now) = (0.0, 0.0, String::new());
     for _ in 0..3000 {
@@ -86,17 +86,17 @@
         for _ in 0..20 {
             host.serve("c", "plain", 4.0);
         }
-        for (name, add) in std::mem::take(&mut host.calls) {
+        for (name, add) in std::mem::take(&mut host.counter_calls) {
             if name != name_now {
                 (used, refused, name_now) = (0.0, 0.0, name.clone());
             }
-            used += add % REJECTED_UNIT * f64::from(reachable_instances);
-            refused += (add / REJECTED_UNIT).floor() * f64::from(reachable_instances);
+            used += add % REJECTED_STEP_VALUE * f64::from(reachable_instances);
+            refused += (add / REJECTED_STEP_VALUE).floor() * f64::from(reachable_instances);
             assert!(
-                used < REJECTED_UNIT && refused + 1.0 < 10_000_000.0 / REJECTED_UNIT,
+                used < REJECTED_STEP_VALUE && refused + 1.0 < 10_000_000.0 / REJECTED_STEP_VALUE,
                 "{used} used, {refused} refused"
             );
-            let total = used + refused * REJECTED_UNIT;
+            let total = used + refused * REJECTED_STEP_VALUE;
             host.event(Event::CounterReply { key: name, outcome: Outcome::Ok, total, elapsed_s: 0.001 });
         }
     }
@@ -119,15 +119,15 @@
 
 #[test]
 fn a_doubled_increment_is_gone_with_the_next_epoch() {
-    let mut host = Host::new(settings()).with_quick_counter();
-    let last = settle_demand(&mut host, "c", 1.25, 1.0);
+    let mut host = Host::new(settings()).with_fast_counter();
+    let last = simulate_demand(&mut host, "c", 1.25, 1.0);
     host.now += 1.2;
     host.serve("c", "plain", 1.0);
     // The call was added many times over: for a while the share looks small.
     assert_eq!(host.answer_counter_calls(|add| (Outcome::Ok, last + add * 40.0)), 1);
-    assert!(drained_rate(&mut host, "c") < 7);
-    settle_demand(&mut host, "c", 1.25, 1.0);
-    let limit = drained_rate(&mut host, "c");
+    assert!(measured_limit(&mut host, "c") < 7);
+    simulate_demand(&mut host, "c", 1.25, 1.0);
+    let limit = measured_limit(&mut host, "c");
     assert!((7..=8).contains(&limit), "{limit}");
 }
 
@@ -140,7 +140,7 @@
     let mut told = 0.0;
     for n in 0..2000 {
         host.serve(&format!("c{n}"), "plain", 4.0);
-        told += host.calls.drain(..).map(|(_, add)| add % REJECTED_UNIT).sum::<f64>();
+        told += host.counter_calls.drain(..).map(|(_, add)| add % REJECTED_STEP_VALUE).sum::<f64>();
     }
     assert!((7_000.0..9_000.0).contains(&told), "{told} of 8000 units");
 }
--- a/crates/decision/tests/decision/quota_accounts.rs
+++ b/crates/decision/tests/decision/quota_accounts.rs
@@ -65,7 +65,7 @@
 #[test]
 fn a_plan_without_a_rate_has_no_bucket() {
     let mut host = Host::new(settings());
-    assert_eq!(host.drain("c", "free"), 200);
+    assert_eq!(host.drain_bucket("c", "free"), 200);
 }
 
 #[test]
--- a/crates/decision/tests/decision/quota_shared_bucket.rs
+++ b/crates/decision/tests/decision/quota_shared_bucket.rs
@@ -5,7 +5,7 @@
 
 /// One of many limiters, of whose customer's demand it sees a part in a thousand.
 fn one_of_many_limiters() -> Host {
-    let mut host = Host::new(Settings { instance_count: 250, ..settings() }).with_quick_counter();
+    let mut host = Host::new(Settings { instance_count: 250, ..settings() }).with_fast_counter();
     host.reachable_instances = 250;
     // To the beginning of an epoch, so that reports are known from its start.
     host.now = (host.now / 20.0).ceil() * 20.0 + 0.01;
@@ -17,8 +17,8 @@
 fn report_others(host: &mut Host, total: &mut (f64, f64), seconds: f64, used: f64, refused: f64) {
     host.now += seconds;
     *total = (total.0 + used * seconds, total.1 + refused * seconds);
-    let told = total.1.round() * REJECTED_UNIT + total.0.round();
-    while host.calls.is_empty() {
+    let told = total.1.round() * REJECTED_STEP_VALUE + total.0.round();
+    while host.counter_calls.is_empty() {
         host.serve("c", "plain", 1.0);
         host.now += 0.01;
     }
@@ -69,7 +69,7 @@
     host.now += 4.0;
     for n in 0..count {
         let customer = format!("{plan}-{n}");
-        while host.calls.is_empty() {
+        while host.counter_calls.is_empty() {
             host.serve(&customer, plan, 1.0);
             host.now += 0.01;
         }
@@ -97,7 +97,7 @@
     assert_eq!(elsewhere, 50);
     // While the counter is down there is nothing to wait for: the fallback holds.
     for _ in 0..3 {
-        while host.calls.is_empty() {
+        while host.counter_calls.is_empty() {
             host.now += 0.6;
             host.serve("down", "plain", 0.1);
         }
--- a/crates/decision/tests/decision/support.rs
+++ b/crates/decision/tests/decision/support.rs
@@ -70,15 +70,15 @@
 }
 
 /// Value of one rejected step of a counter total; accepted steps stay below it.
-pub const REJECTED_UNIT: f64 = 2_000.0;
+pub const REJECTED_STEP_VALUE: f64 = 2_000.0;
 
 pub struct Host {
     pub limiter: Limiter,
     pub now: f64,
     /// Counter calls without a reply: their keys and increments.
-    pub calls: Vec<(String, f64)>,
+    pub counter_calls: Vec<(String, f64)>,
     pub reachable_instances: u32,
-    next: u64,
+    next_id: u64,
 }
 
 impl Host {
@@ -91,7 +91,8 @@
             endpoint(C, "west", in_service, None),
         ];
         let limiter = Limiter::new(settings, 7, 100.0);
-        let mut host = Host { limiter, now: 100.0, calls: Vec::new(), reachable_instances: 2, next: 0 };
+        let mut host =
+            Host { limiter, now: 100.0, counter_calls: Vec::new(), reachable_instances: 2, next_id: 0 };
         host.event(Event::EndpointList(list));
         host
     }
@@ -101,16 +102,16 @@
         self.limiter.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::IncrementCounter { key, increment, .. } = action {
-                self.calls.push((key.clone(), *increment));
+                self.counter_calls.push((key.clone(), *increment));
             }
         }
         actions
     }
 
     pub fn request(&mut self, customer: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
-        self.next += 1;
+        self.next_id += 1;
         let request = Request {
-            id: self.next,
+            id: self.next_id,
             customer: customer.into(),
             plan: plan.into(),
             class: class.into(),
@@ -119,7 +120,7 @@
             is_retry: false,
             deadline: self.now + 4.0,
         };
-        (self.next, self.event(Event::Request(request)))
+        (self.next_id, self.event(Event::Request(request)))
     }
 
     pub fn end_attempt(
@@ -151,13 +152,13 @@
     }
 
     /// Units admitted at once, one at a time, until the first rejection.
-    pub fn drain(&mut self, customer: &str, plan: &str) -> u32 {
+    pub fn drain_bucket(&mut self, customer: &str, plan: &str) -> u32 {
         (0..200).take_while(|_| self.serve(customer, plan, 1.0)).count() as u32
     }
 
     /// Answers each counter call quickly; gives their number.
     pub fn answer_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
-        let calls = std::mem::take(&mut self.calls);
+        let calls = std::mem::take(&mut self.counter_calls);
         for (key, increment) in &calls {
             let (outcome, total) = answer(*increment);
             self.event(Event::CounterReply { key: key.clone(), outcome, total, elapsed_s: 0.001 });
@@ -166,7 +167,7 @@
     }
 
     /// Serves another customer for a while, so that a quick counter is called for every request.
-    pub fn with_quick_counter(mut self) -> Self {
+    pub fn with_fast_counter(mut self) -> Self {
         for _ in 0..100 {
             self.now += 0.6;
             self.serve("warm", "plain", 0.1);
@@ -196,34 +197,34 @@
 
 /// Feeds the limiter a customer's demand for some seconds; the counter replies that all limiters together
 /// had `demand_ratio` times its demand, of which `accepted_ratio` was accepted (both per unit of own demand).
-pub fn settle_demand(host: &mut Host, customer: &str, demand_ratio: f64, accepted_ratio: f64) -> f64 {
+pub fn simulate_demand(host: &mut Host, customer: &str, demand_ratio: f64, accepted_ratio: f64) -> f64 {
     let (mut current_key, mut total_rejected, mut total_accepted) = (String::new(), 0.0f64, 0.0f64);
     for _ in 0..170 {
         host.now += 0.1;
         host.serve(customer, "plain", 1.0);
-        for (key, increment) in std::mem::take(&mut host.calls) {
+        for (key, increment) in std::mem::take(&mut host.counter_calls) {
             if key != current_key {
                 (current_key, total_rejected, total_accepted) = (key.clone(), 0.0, 0.0);
             }
             let (own_accepted, own_rejected) =
-                (increment % REJECTED_UNIT, (increment / REJECTED_UNIT).floor());
+                (increment % REJECTED_STEP_VALUE, (increment / REJECTED_STEP_VALUE).floor());
             let own = own_accepted + own_rejected;
             let others_accepted =
                 (own * accepted_ratio - own_accepted).clamp(0.0, own * (demand_ratio - 1.0));
             total_accepted += own_accepted + others_accepted;
             total_rejected += own_rejected + own * (demand_ratio - 1.0) - others_accepted;
-            let total = total_rejected.round() * REJECTED_UNIT + total_accepted.round();
+            let total = total_rejected.round() * REJECTED_STEP_VALUE + total_accepted.round();
             host.event(Event::CounterReply { key, outcome: Outcome::Ok, total, elapsed_s: 0.001 });
         }
     }
-    total_rejected.round() * REJECTED_UNIT + total_accepted.round()
+    total_rejected.round() * REJECTED_STEP_VALUE + total_accepted.round()
 }
 
 /// The limit a customer now has, read off its bucket: drained, then refilled for a second.
-pub fn drained_rate(host: &mut Host, customer: &str) -> u32 {
-    host.drain(customer, "plain");
+pub fn measured_limit(host: &mut Host, customer: &str) -> u32 {
+    host.drain_bucket(customer, "plain");
     host.now += 1.0;
-    host.drain(customer, "plain")
+    host.drain_bucket(customer, "plain")
 }
 
 /// Time and token of a request's timer of a kind: 1 deadline, 2 slow attempt.
