--- a/crates/decision/src/quota/counter_encoding.rs
+++ b/crates/decision/src/quota/counter_encoding.rs
@@ -5,7 +5,7 @@
 //! quota, so that the usage of an epoch fits. What it can get wrong: accepted steps can overflow into the
 //! rejected ones. Therefore a call adds at most its part of half the steps that were free at the last reply,
 //! but may always add one while at most half are used. Held by `tests/decision/counter.rs`,
-//! `no_demand_runs_over_from_one_packed_number_into_the_other`.
+//! `accepted_steps_never_overflow_into_rejected_steps`.
 
 use super::counter_epoch::EPOCH_SECONDS;
 use crate::interface::Plan;
--- a/crates/decision/src/quota/counter_epoch.rs
+++ b/crates/decision/src/quota/counter_epoch.rs
@@ -1,7 +1,7 @@
 //! Counter keys change with each epoch, so that lost or duplicated increments are dropped with the old key.
 //!
 //! What it can get wrong: the totals of a new epoch start at zero, which [`super::counter_reply`] takes into
-//! account. Held by `tests/decision/counter.rs`, `a_doubled_increment_is_gone_with_the_next_epoch`.
+//! account. Held by `tests/decision/counter.rs`, `the_effect_of_a_duplicated_increment_ends_with_the_epoch`.
 
 use crate::hash::fnv1a;
 
--- a/crates/decision/src/quota/usage_report.rs
+++ b/crates/decision/src/quota/usage_report.rs
@@ -4,7 +4,7 @@
 //! capacity; the units of a sampled request are scaled up to represent the others. While a call is in flight
 //! and for a period after it, units are accumulated for the next call. What it can get wrong: reports of rare
 //! customers are random and right only on average. Held by
-//! `tests/decision/counter.rs`, `requests_of_customers_seen_once_are_reported_for_all_that_do_not_call`.
+//! `tests/decision/counter.rs`, `calls_for_customers_seen_once_also_report_requests_without_a_call`.
 
 use super::counter_encoding::{report_steps, units_per_step, Usage};
 use super::counter_epoch::{counter_key, counter_ttl_s, epoch_at};
--- a/crates/decision/src/requests/load_shedding.rs
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -4,7 +4,7 @@
 //! The quota is checked before, so shedding does not move capacity from one customer to another. What it can
 //! get wrong: of classes with equal priority, the one with the longest service times is shed first, although
 //! it may be the one that clients need. Held by `tests/decision/admission.rs`,
-//! `a_full_fleet_sheds_the_class_of_least_value`.
+//! `a_saturated_fleet_sheds_the_class_of_lowest_priority`.
 
 use super::Requests;
 use crate::interface::Settings;
--- a/crates/decision/src/requests/service_times.rs
+++ b/crates/decision/src/requests/service_times.rs
@@ -3,7 +3,7 @@
 //! It is the expected time of a response: for detecting slow attempts, for the time that a retry needs, and
 //! for the advised delay of a client's retry. What it can get wrong: after a change it takes some tens of
 //! responses to converge. Held by `tests/decision/admission.rs`,
-//! `a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time`.
+//! `a_request_rejected_for_capacity_or_concurrency_may_be_retried_after_one_service_time`.
 
 use crate::ewma::ewma;
 use crate::interface::Settings;
--- a/crates/decision/tests/decision/admission.rs
+++ b/crates/decision/tests/decision/admission.rs
@@ -1,4 +1,5 @@
-//! Rejections by the concurrency limit and by load, and that retries cost other customers nothing.
+//! Rejections by the concurrency limit and by load shedding, and isolation of customers from the retries of
+//! others.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -11,51 +12,51 @@
     let (_, actions) = host.request("c", "capped", "read", 1.0);
     assert!(
         sent_endpoint(&actions).is_none() && rejections(&actions) == 1,
-        "two open over two limiters is one each"
+        "a limit of two over two limiters is one each"
     );
     host.end_attempt(first, 0, Outcome::Ok, None);
     assert!(sent_endpoint(&host.request("c", "capped", "read", 1.0).1).is_some());
 }
 
 #[test]
-fn a_request_rejected_for_capacity_or_concurrency_is_advised_one_service_time() {
-    let advice = |actions: &[Action]| {
+fn a_request_rejected_for_capacity_or_concurrency_may_be_retried_after_one_service_time() {
+    let retry_after = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Reject { retry_after_s, .. } => Some(*retry_after_s),
             _ => None,
         })
     };
-    // Answers take a fifth of the latency objective as far as anyone knows.
+    // Before the first response the service time is taken to be a fifth of the latency objective.
     let mut host = Host::new(settings());
     host.request("c", "capped", "read", 1.0);
-    let capped = advice(&host.request("c", "capped", "read", 1.0).1).expect("refused");
+    let capped = retry_after(&host.request("c", "capped", "read", 1.0).1).expect("rejected");
     assert!((0.19..0.21).contains(&capped), "{capped}");
-    let full = (0..100).find_map(|n| advice(&host.request(&format!("c{n}"), "plain", "read", 1.0).1));
-    assert!((0.19..0.21).contains(&full.expect("refused")), "{full:?}");
-    // And later as long as they were seen to take.
+    let full = (0..100).find_map(|n| retry_after(&host.request(&format!("c{n}"), "plain", "read", 1.0).1));
+    assert!((0.19..0.21).contains(&full.expect("rejected")), "{full:?}");
+    // Afterwards it is the observed service time.
     let mut host = Host::new(settings()).with_fast_counter();
     host.request("c", "capped", "read", 1.0);
-    let capped = advice(&host.request("c", "capped", "read", 1.0).1).expect("refused");
+    let capped = retry_after(&host.request("c", "capped", "read", 1.0).1).expect("rejected");
     assert!((0.05..0.19).contains(&capped), "{capped}");
-    // Not where clients take no advice.
+    // Zero if the settings do not allow Retry-After.
     let mut host = Host::new(Settings { may_send_retry_after: false, ..settings() });
     host.request("c", "capped", "read", 1.0);
-    assert_eq!(advice(&host.request("c", "capped", "read", 1.0).1), Some(0.0));
+    assert_eq!(retry_after(&host.request("c", "capped", "read", 1.0).1), Some(0.0));
 }
 
 #[test]
-fn unmarked_retries_take_nothing_from_other_customers() {
-    // One customer's clients repeat each rejected request many times at once, without a mark.
-    let served = |abuse: bool| {
+fn unmarked_retries_do_not_affect_other_customers() {
+    // One customer's clients retry each rejected request many times at once, without marking the retries.
+    let served = |abusive: bool| {
         let mut host = Host::new(settings());
         let mut others = 0;
         for n in 0..600u32 {
             host.now += 0.05;
-            for _ in 0..if abuse { 20 } else { 0 } {
+            for _ in 0..if abusive { 20 } else { 0 } {
                 host.serve("abuser", "plain", 1.0);
             }
             others += u32::from(host.serve(&format!("c{}", n % 10), "plain", 1.0));
-            host.answer_counter_calls(|add| (Outcome::Ok, add));
+            host.answer_counter_calls(|increment| (Outcome::Ok, increment));
         }
         others
     };
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_full_fleet_sheds_the_class_of_least_value() {
+fn a_saturated_fleet_sheds_the_class_of_lowest_priority() {
     let mut settings = settings();
     settings.classes[3].priority_weight = 0.1;
     let mut host = Host::new(settings);
@@ -86,6 +87,6 @@
         sent
     };
     assert!(sent_after_a_response("read"));
-    assert!(!sent_after_a_response("unsafe"), "its place is for a class of more value");
+    assert!(!sent_after_a_response("unsafe"), "the slot is kept for a class of higher priority");
     assert!(sent_after_a_response("read"));
 }
--- a/crates/decision/tests/decision/authorization.rs
+++ b/crates/decision/tests/decision/authorization.rs
@@ -1,4 +1,4 @@
-//! Authorizations: what they draw, how long they count as in flight, and that they end.
+//! Authorizations: the units they draw, and how long the authorized calls count as in flight.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -16,20 +16,21 @@
     }
 }
 
-/// Asks for a authorization; whether it was granted. There must be one answer, and nothing may be sent.
+/// Requests an authorization and returns whether it was granted. Checks that there is exactly one answer and
+/// that nothing is sent.
 fn is_authorized(host: &mut Host, id: u64, plan: &str, units: f64) -> bool {
-    let question = request(host, id, plan, units);
-    let actions = host.event(Event::Authorization(question));
+    let call = request(host, id, plan, units);
+    let actions = host.event(Event::Authorization(call));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. } | Action::Fail { .. })), "{actions:?}");
-    let yes = actions.iter().filter(|a| **a == Action::Authorize { id }).count();
-    let no = actions.iter().filter(|a| matches!(a, Action::Reject { id: i, .. } if *i == id)).count();
-    assert_eq!(yes + no, 1, "{actions:?}");
-    yes == 1
+    let granted = actions.iter().filter(|a| **a == Action::Authorize { id }).count();
+    let rejected = actions.iter().filter(|a| matches!(a, Action::Reject { id: i, .. } if *i == id)).count();
+    assert_eq!(granted + rejected, 1, "{actions:?}");
+    granted == 1
 }
 
-/// Fires every timer that is due by now and belongs to this authorization.
-fn expire_timers(host: &mut Host, seconds: f64, tokens: &[u64]) -> Vec<Action> {
-    host.now += seconds;
+/// Advances the clock and fires the timers with these tokens.
+fn expire_timers(host: &mut Host, elapsed_s: f64, tokens: &[u64]) -> Vec<Action> {
+    host.now += elapsed_s;
     tokens.iter().flat_map(|token| host.event(Event::Timer { token: *token })).collect()
 }
 
@@ -43,8 +44,8 @@
 #[test]
 fn an_authorization_draws_on_the_same_bucket_as_requests() {
     let mut host = Host::new(settings());
-    // The bucket holds 10 (see the quota's tests): six is_authorized, three sent, one more is_authorized,
-    // then none.
+    // The bucket holds 10 tokens (see `quota_share.rs`): six authorizations, three requests and one more
+    // authorization use them up.
     assert!((1..=6).all(|id| is_authorized(&mut host, id, "plain", 1.0)));
     let mut sent = 0;
     for id in 7..=9 {
@@ -61,16 +62,17 @@
 
 #[test]
 fn authorizations_and_requests_get_the_same_answers_in_any_mixture() {
-    // The same arrivals, 12 a second for a limit of 5 with bursts of units; responses come at once, so that
-    // nothing but the bucket and the hard limit decides. Every ratio from none to all.
-    let answers = |share: u64| -> Vec<bool> {
+    // The same arrivals with different ratios of authorizations: about 10 a second, of one to three units, at
+    // a limit of 5 units a second. Responses arrive at once, so that only the bucket and the hard limit
+    // decide.
+    let answers = |percent: u64| -> Vec<bool> {
         let mut host = Host::new(settings());
         (1..=200u64)
             .map(|id| {
                 host.now += if id % 7 == 0 { 0.4 } else { 0.05 };
                 let units = 1.0 + (id % 3) as f64;
                 let plan = "hard";
-                if id * 37 % 100 < share {
+                if id * 37 % 100 < percent {
                     return is_authorized(&mut host, id, plan, units);
                 }
                 let r = request(&host, id, plan, units);
@@ -85,17 +87,17 @@
     };
     let alone = answers(0);
     assert!(alone.contains(&true) && alone.contains(&false));
-    for share in [1, 10, 25, 50, 75, 90, 99, 100] {
-        assert_eq!(answers(share), alone, "{share} % over permissions");
+    for percent in [1, 10, 25, 50, 75, 90, 99, 100] {
+        assert_eq!(answers(percent), alone, "{percent} % authorizations");
     }
 }
 
 #[test]
 fn an_authorized_call_counts_as_in_flight_until_its_deadline() {
     let mut host = Host::new(settings());
-    // The concurrency limit is 2 over two limiters: one from here.
-    let question = request(&host, 1, "capped", 1.0);
-    let actions = host.event(Event::Authorization(question));
+    // The concurrency limit of 2 is divided between two limiters: one call for this limiter.
+    let call = request(&host, 1, "capped", 1.0);
+    let actions = host.event(Event::Authorization(call));
     assert!(actions.contains(&Action::Authorize { id: 1 }));
     let tokens: Vec<u64> = timer_tokens(&actions).into_iter().filter(|t| *t != 0).collect();
     assert_eq!(tokens.len(), 1);
@@ -104,19 +106,19 @@
     assert!(!is_authorized(&mut host, 3, "capped", 1.0));
     assert!(expire_timers(&mut host, 0.1, &tokens).is_empty());
     assert!(is_authorized(&mut host, 4, "capped", 1.0));
-    // Over twice is over once: no place is won by it.
+    // Ending the same call again frees no further slot.
     expire_timers(&mut host, 0.0, &tokens);
     host.event(Event::ClientDisconnected { id: 1 });
     assert!(!is_authorized(&mut host, 5, "capped", 1.0));
 }
 
 #[test]
-fn an_authorization_that_its_client_never_got_frees_its_place_and_keeps_its_units() {
+fn an_undelivered_authorization_frees_its_slot_but_not_its_units() {
     let mut host = Host::new(settings());
     assert!(is_authorized(&mut host, 1, "capped", 4.0));
     assert!(!is_authorized(&mut host, 2, "capped", 1.0));
     assert!(host.event(Event::ClientDisconnected { id: 1 }).is_empty());
-    // 10 held, 4 drawn: the place is free, six units are left.
+    // The bucket held 10 units and 4 were drawn: the slot is free and six units are left.
     for id in 3..=8 {
         assert!(is_authorized(&mut host, id, "capped", 1.0), "{id}");
         host.event(Event::ClientDisconnected { id });
@@ -129,20 +131,20 @@
     let mut host = Host::new(settings());
     host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::Draining, None)]));
     assert!(!is_authorized(&mut host, 1, "plain", 1.0));
-    // And nothing was drawn for it.
+    // The rejected authorization drew nothing from the bucket.
     host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::InService, None)]));
     assert!((2..=11).all(|id| is_authorized(&mut host, id, "plain", 1.0)));
 }
 
 #[test]
-fn no_more_authorized_calls_are_kept_than_memory_allows() {
+fn the_number_of_authorized_calls_in_flight_is_bounded() {
     let mut host = Host::new(settings());
-    // Plan `free` has no quota at all.
+    // Plan `free` has no quota.
     for id in 1..=100_000 {
         assert!(is_authorized(&mut host, id, "free", 1.0), "{id}");
     }
     assert!(!is_authorized(&mut host, 100_001, "free", 1.0));
-    // Requests go on, and so do authorizations once one is over.
+    // Requests are still admitted, and so are authorizations once a call has ended.
     let r = request(&host, 100_002, "free", 1.0);
     assert!(host.event(Event::Request(r)).iter().any(|a| matches!(a, Action::Send { .. })));
     host.event(Event::ClientDisconnected { id: 7 });
--- a/crates/decision/tests/decision/class_breaker.rs
+++ b/crates/decision/tests/decision/class_breaker.rs
@@ -4,8 +4,9 @@
 use liftrouter_decision::*;
 
 #[test]
-fn a_class_without_responses_moves_alone() {
-    // Guards against an endpoint that leaves one class unanswered: heard on the others, it counts as alive.
+fn a_class_without_responses_avoids_the_endpoint_and_other_classes_stay() {
+    // Guards against an endpoint that answers no requests of one class but seems healthy by its responses to
+    // the other classes.
     let mut host = Host::new(settings());
     let in_service = EndpointState::InService;
     host.event(Event::EndpointList(vec![
@@ -29,16 +30,16 @@
             }
         }
     }
-    assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 of the unanswered class");
+    assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 requests of the class without responses");
     host.event(Event::EndpointChanges(vec![endpoint(B, "east", EndpointState::Draining, None)]));
     assert_eq!(
         sent_endpoint(&host.request("z", "plain", "read", 1.0).1).as_deref(),
         Some(A),
-        "it serves the others"
+        "the endpoint still serves the other class"
     );
 }
 
-/// Endpoint A is near, the two others far: what can go to A does.
+/// Endpoint A is in the limiter's zone and two others are not, so that A is preferred.
 fn one_near_endpoint() -> Host {
     let mut host = Host::new(settings());
     let in_service = EndpointState::InService;
@@ -47,18 +48,19 @@
     host
 }
 
-/// Sends a request of a class and ends its attempt as given; true if it went to endpoint A.
-fn request_went_to_a(host: &mut Host, n: u32, class: &str, at_a: Outcome) -> bool {
+/// Sends a request of a class. A first attempt at endpoint A ends with `outcome_at_a`, all other attempts
+/// succeed. Returns whether the first attempt went to A.
+fn request_went_to_a(host: &mut Host, n: u32, class: &str, outcome_at_a: Outcome) -> bool {
     let (id, actions) = host.request(&format!("{class}{n}"), "plain", class, 1.0);
-    let a = sent_endpoint(&actions).as_deref() == Some(A);
-    let mut actions = host.end_attempt(id, 0, if a { at_a } else { Outcome::Ok }, None);
+    let went_to_a = sent_endpoint(&actions).as_deref() == Some(A);
+    let mut actions = host.end_attempt(id, 0, if went_to_a { outcome_at_a } else { Outcome::Ok }, None);
     for attempt in 1.. {
         if sent_endpoint(&actions).is_none() {
             break;
         }
         actions = host.end_attempt(id, attempt, Outcome::Ok, None);
     }
-    a
+    went_to_a
 }
 
 #[test]
@@ -68,24 +70,26 @@
     for n in 0..100 {
         host.now += 0.2;
         reads += u32::from(request_went_to_a(&mut host, n, "read", Outcome::Overloaded));
-        // Several at once: each endpoint is needed.
-        let asked: Vec<_> = (0..6).map(|c| host.request(&format!("c{c}"), "plain", "unsafe", 1.0)).collect();
-        others += asked.iter().filter(|(_, actions)| sent_endpoint(actions).as_deref() == Some(A)).count();
-        for (id, _) in asked {
+        // Six requests at once need the capacity of every endpoint.
+        let requests: Vec<_> =
+            (0..6).map(|c| host.request(&format!("c{c}"), "plain", "unsafe", 1.0)).collect();
+        others += requests.iter().filter(|(_, actions)| sent_endpoint(actions).as_deref() == Some(A)).count();
+        for (id, _) in requests {
             host.end_attempt(id, 0, Outcome::Ok, None);
         }
     }
-    assert!(reads <= 2, "{reads} sent to a server that turns the class away");
-    assert!(others >= 150, "{others} of 600 of a class that it serves");
-    // It serves the class again: once that was tried, it gets its part as before.
+    assert!(reads <= 2, "{reads} requests of a class sent to the endpoint that rejects it");
+    assert!(others >= 150, "{others} of 600 requests of a class that the endpoint serves");
+    // Once the breaker has closed, the endpoint gets its share of the class as before.
     host.now += 30.0;
     let again: Vec<_> = (0..6).map(|c| host.request(&format!("d{c}"), "plain", "read", 1.0)).collect();
     assert_eq!(again.iter().filter(|(_, actions)| sent_endpoint(actions).as_deref() == Some(A)).count(), 2);
 }
 
 #[test]
-fn what_one_endpoint_rejects_finds_capacity_at_the_others() {
-    // Two may be out at each at first; a third endpoint that rejects the class leaves half as many more.
+fn requests_of_a_rejected_class_find_capacity_at_the_other_endpoints() {
+    // At first each of the three endpoints may have two attempts in flight. If one rejects the class, the
+    // limits of the other two are raised by half for it.
     let mut host = one_near_endpoint();
     for n in 0..2 {
         host.now += 60.0;
--- a/crates/decision/tests/decision/endpoint_list.rs
+++ b/crates/decision/tests/decision/endpoint_list.rs
@@ -7,7 +7,7 @@
 fn draining_and_missing_endpoints_get_no_new_requests() {
     let mut host = Host::new(settings());
     host.event(Event::EndpointChanges(vec![endpoint(A, "east", EndpointState::Draining, None)]));
-    // All are left open, so that an idle endpoint would be chosen.
+    // The requests stay in flight, so that an idle endpoint would be selected.
     let sent: Vec<_> = (0..4)
         .filter_map(|n| sent_endpoint(&host.request(&format!("c{n}"), "plain", "read", 1.0).1))
         .collect();
--- a/crates/decision/tests/decision/endpoint_selection.rs
+++ b/crates/decision/tests/decision/endpoint_selection.rs
@@ -1,11 +1,11 @@
-//! What the choice of an endpoint depends on.
+//! What the selection of an endpoint depends on.
 
 use crate::support::*;
 use liftrouter_decision::*;
 
 #[test]
 fn load_reports_do_not_influence_selection() {
-    // A busy endpoint that stops reporting is not taken for idle: reports decide nothing here.
+    // Selection ignores load reports, so that a busy endpoint that stops reporting is not taken for idle.
     let run = |reports: bool| {
         let mut host = Host::new(settings());
         let mut sent = Vec::new();
@@ -13,8 +13,8 @@
             host.now += 0.02;
             let (id, actions) = host.request(&format!("c{n}"), "plain", "read", 1.0);
             sent.push(sent_endpoint(&actions));
-            let busy = if reports { Some(f64::from(n % 10) / 10.0) } else { None };
-            let report = LoadReport { utilization: busy, ..LoadReport::default() };
+            let utilization = if reports { Some(f64::from(n % 10) / 10.0) } else { None };
+            let report = LoadReport { utilization, ..LoadReport::default() };
             let outcome = Outcome::Ok;
             let ended = Event::AttemptEnded {
                 id,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_endpoint_with_slow_responses_gets_few_requests_until_that_is_forgotten() {
+fn an_endpoint_with_slow_responses_gets_few_requests_until_its_latency_is_forgotten() {
     let mut host = Host::new(settings());
     let in_service = EndpointState::InService;
     host.event(Event::EndpointList(vec![
--- a/crates/decision/tests/decision/limiter.rs
+++ b/crates/decision/tests/decision/limiter.rs
@@ -1,11 +1,11 @@
-//! The limiter as a whole: ticks, nonsensical settings, determinism.
+//! The limiter as a whole: ticks, invalid settings, determinism.
 
 use crate::support::*;
 use liftrouter_decision::*;
 
 #[test]
-fn settings_that_make_no_sense_end_in_rejections_and_no_panic() {
-    let odd = [
+fn invalid_settings_cause_no_panic_and_each_request_gets_one_answer() {
+    let invalid_settings = [
         Settings::default(),
         Settings { classes: vec![Class { name: "read".into(), ..Class::default() }], ..settings() },
         Settings {
@@ -26,9 +26,9 @@
             ..settings()
         },
     ];
-    for set in odd {
+    for settings in invalid_settings {
         for empty in [true, false] {
-            let mut host = Host::new(set.clone());
+            let mut host = Host::new(settings.clone());
             if empty {
                 host.event(Event::EndpointList(Vec::new()));
             } else {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn ticks_begin_with_the_first_event_however_late_it_comes() {
+fn ticks_start_at_the_first_event_even_if_it_is_late() {
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut actions = Vec::new();
     limiter.handle(100.2, Event::EndpointList(Vec::new()), &mut actions);
--- a/crates/decision/tests/decision/main.rs
+++ b/crates/decision/tests/decision/main.rs
@@ -1,4 +1,4 @@
-//! The decisions on scripted events, one file for each behaviour.
+//! Tests of the decision module with scripted events, one file per behavior.
 
 mod admission;
 mod authorization;
--- a/crates/decision/tests/decision/outlier_detection.rs
+++ b/crates/decision/tests/decision/outlier_detection.rs
@@ -1,10 +1,10 @@
-//! Ejection of endpoints that fail in a row.
+//! Ejection of endpoints after consecutive failures.
 
 use crate::support::*;
 use liftrouter_decision::*;
 
 #[test]
-fn an_endpoint_that_fails_in_a_row_is_ejected_but_never_all() {
+fn an_endpoint_with_consecutive_failures_is_ejected_but_never_all_endpoints() {
     let mut host = Host::new(settings());
     let mut to_a = 0;
     for n in 0..10 {
@@ -16,7 +16,7 @@
             host.end_attempt(id, 0, Outcome::Reset, None);
         }
     }
-    assert!((1..=4).contains(&to_a), "{to_a} sent to a failing server");
+    assert!((1..=4).contains(&to_a), "{to_a} attempts at a failing endpoint");
 
     let mut host = Host::new(settings());
     let mut sent = 0;
@@ -26,5 +26,5 @@
         sent += usize::from(sent_endpoint(&actions).is_some());
         host.end_attempt(id, 0, Outcome::Reset, None);
     }
-    assert!(sent > 20, "some are always left to send to: {sent}");
+    assert!(sent > 20, "some endpoints always stay in use: {sent} requests sent");
 }
--- a/crates/decision/tests/decision/quota_accounts.rs
+++ b/crates/decision/tests/decision/quota_accounts.rs
@@ -1,5 +1,5 @@
-//! A customer's account at one limiter: settlement, the hard limit, the concurrency limit, and when it is
-//! forgotten.
+//! A customer's account at one limiter: settlement of units, the hard limit, the concurrency limit, and when
+//! the account is dropped.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -17,8 +17,9 @@
 }
 
 #[test]
-fn an_idle_customer_is_forgotten_only_when_its_bucket_would_be_full() {
-    // A request in two minutes is the fallback here: forgetting it sooner would give a full bucket anew.
+fn an_idle_account_is_dropped_only_when_its_bucket_would_be_full() {
+    // The fallback is one request in two minutes. Dropping the account sooner would give the customer a full
+    // bucket again.
     let mut host = Host::new(Settings { instance_count: 1200, ..settings() });
     host.reachable_instances = 1200;
     assert!(host.serve("c", "plain", 1.0));
@@ -27,7 +28,7 @@
         host.now += 0.05;
         host.event(Event::Timer { token: 0 });
     }
-    assert!(!host.serve("c", "plain", 1.0), "eighty seconds on, at a request in 120 s");
+    assert!(!host.serve("c", "plain", 1.0), "80 s later, at one request in 120 s");
     for _ in 0..1600 {
         host.now += 0.05;
         host.event(Event::Timer { token: 0 });
@@ -39,10 +40,10 @@
 fn the_hard_limit_holds_over_all_limiters_and_a_restart() {
     // Two limiters; one restarts after five seconds. Hard limit: 4 a second, burst 8, overdraft 1.
     let mut hosts = [Host::new(settings()), Host::new(settings())];
-    let (mut store, mut lowest) = (8.0f64, f64::MAX);
+    let (mut tokens, mut lowest) = (8.0f64, f64::MAX);
     for step in 0..1000 {
         let now = 100.0 + f64::from(step) * 0.01;
-        store = (store + 0.04).min(8.0);
+        tokens = (tokens + 0.04).min(8.0);
         if step == 500 {
             hosts[0] = Host::new(settings());
             hosts[0].now = now;
@@ -53,13 +54,13 @@
         for host in &mut hosts {
             host.now = now;
             if host.serve("c", "hard", 1.0) {
-                store -= 1.0;
-                lowest = lowest.min(store);
+                tokens -= 1.0;
+                lowest = lowest.min(tokens);
             }
         }
     }
     assert!(lowest >= -1.0, "{lowest}");
-    assert!(lowest < 8.0, "something went through");
+    assert!(lowest < 8.0, "some requests were admitted");
 }
 
 #[test]
@@ -87,8 +88,8 @@
 
 #[test]
 fn a_limiter_that_starts_late_in_an_epoch_keeps_the_concurrency_limit() {
-    // Own demand since the start against all demand since the epoch began would make the share
-    // of the concurrency limit many times the whole.
+    // If own demand since the limiter's start were compared with all demand since the start of the epoch, the
+    // limiter's share would be many times the concurrency limit.
     let mut host = Host::new(Settings { instance_count: 1, ..settings() });
     (host.reachable_instances, host.now) = (1, 119.0);
     host.limiter = Limiter::new(Settings { instance_count: 1, ..settings() }, 7, host.now);
@@ -103,13 +104,13 @@
         let (id, actions) = host.request("c", "capped", "read", 1.0);
         if sent_endpoint(&actions).is_some() {
             in_flight += 1;
-            // The first ones are answered, so that more are asked for.
+            // The first attempts end, so that more requests are admitted.
             if n < 8 {
                 host.end_attempt(id, 0, Outcome::Ok, None);
                 in_flight -= 1;
             }
         }
-        host.answer_counter_calls(|add| (Outcome::Ok, add));
+        host.answer_counter_calls(|increment| (Outcome::Ok, increment));
         assert!(in_flight <= 2, "{in_flight} are in flight at the {n}th request, of a limit of 2");
     }
     assert_eq!(in_flight, 2, "the limit was reached");
--- a/crates/decision/tests/decision/request_answers.rs
+++ b/crates/decision/tests/decision/request_answers.rs
@@ -1,4 +1,4 @@
-//! One final answer on every path.
+//! Each request gets exactly one final answer, on every path.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn a_request_without_a_response_fails_just_before_its_deadline_and_only_once() {
+fn a_request_without_a_response_fails_once_just_before_its_deadline() {
     let mut host = Host::new(settings());
     let (id, actions) = host.request("c", "plain", "read", 1.0);
-    let (at, token) = find_timer(&actions, id, 1).expect("a timer before the end");
-    assert!(at < host.now + 4.0 && at > host.now + 3.9, "{at}");
-    host.now = at;
+    let (expires_at, token) = find_timer(&actions, id, 1).expect("a deadline timer");
+    assert!(expires_at < host.now + 4.0 && expires_at > host.now + 3.9, "{expires_at}");
+    host.now = expires_at;
     let actions = host.event(Event::Timer { token });
     assert_eq!(failures(&actions), 1);
     host.now += 0.01;
@@ -47,8 +47,8 @@
 fn a_streamed_response_has_no_deadline() {
     let mut host = Host::new(settings());
     let (id, actions) = host.request("c", "plain", "read", 1.0);
-    let (at, token) = find_timer(&actions, id, 1).expect("timer");
+    let (expires_at, token) = find_timer(&actions, id, 1).expect("a deadline timer");
     host.event(Event::StreamStarted { id });
-    host.now = at;
+    host.now = expires_at;
     assert!(host.event(Event::Timer { token }).is_empty());
 }
--- a/crates/decision/tests/decision/retry.rs
+++ b/crates/decision/tests/decision/retry.rs
@@ -1,4 +1,4 @@
-//! How far each kind of idempotency allows retries.
+//! Retries allowed by each kind of idempotency, and the retry budget.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -47,7 +47,8 @@
     let (id, actions) = host.request("c", "plain", "keyed-zone", 1.0);
     let first = sent_endpoint(&actions).expect("sent");
     let other = if &*first == A { B } else { A };
-    // The only endpoint left of the group drains: it may have run, so no other zone and no rejection.
+    // All endpoints of the deduplication scope are draining. The request may have run, so it is neither sent
+    // to another zone nor rejected.
     host.event(Event::EndpointChanges(vec![
         endpoint(other, "east", EndpointState::Draining, None),
         endpoint(&first, "east", EndpointState::Draining, None),
@@ -59,7 +60,11 @@
     let (id, _) = host.request("c", "plain", "keyed-all", 1.0);
     host.now += 1.9;
     let actions = host.end_attempt(id, 0, Outcome::Reset, None);
-    assert_eq!((sent_endpoint(&actions), rejections(&actions)), (None, 1), "too near the end of the window");
+    assert_eq!(
+        (sent_endpoint(&actions), rejections(&actions)),
+        (None, 1),
+        "too close to the end of the deduplication window"
+    );
     let (id, _) = host.request("c", "plain", "keyed-all", 1.0);
     host.now += 0.5;
     assert!(sent_endpoint(&host.end_attempt(id, 0, Outcome::Reset, None)).is_some());
@@ -68,7 +73,7 @@
 #[test]
 fn retries_end_when_the_budget_is_spent_and_requests_earn_more() {
     let mut host = Host::new(settings());
-    // Attempts that were not sent say nothing of their endpoints: only the budget limits their retries.
+    // Attempts that were not sent are no evidence about their endpoints, so only the budget limits retries.
     let retries = |host: &mut Host, requests: u32| -> usize {
         let mut retries = 0;
         for _ in 0..requests {
@@ -79,9 +84,9 @@
         }
         retries
     };
-    // Ten are saved up at first, and each request earns a tenth.
-    let at_first = retries(&mut host, 30);
-    assert!((11..=13).contains(&at_first), "{at_first} retries of 30 requests");
-    let later = retries(&mut host, 100);
-    assert!((9..=11).contains(&later), "{later} retries of 100 requests");
+    // The budget starts with ten retries, and each request earns a tenth of one.
+    let initial_retries = retries(&mut host, 30);
+    assert!((11..=13).contains(&initial_retries), "{initial_retries} retries of 30 requests");
+    let later_retries = retries(&mut host, 100);
+    assert!((9..=11).contains(&later_retries), "{later_retries} retries of 100 requests");
 }
--- a/crates/decision/tests/decision/settings.rs
+++ b/crates/decision/tests/decision/settings.rs
@@ -1,5 +1,5 @@
-//! The names of the settings as deployments write them, and the fields that they become.
-#![allow(clippy::float_cmp, reason = "the values are read, not computed")]
+//! The keys of the settings as deployments write them, and the fields that they set.
+#![allow(clippy::float_cmp, reason = "the values are parsed, not computed")]
 use liftrouter_decision::*;
 
 #[test]
--- a/crates/decision/tests/decision/slow_attempt.rs
+++ b/crates/decision/tests/decision/slow_attempt.rs
@@ -1,17 +1,17 @@
-//! Attempts that take long: their place in the limit, cancellation, and pauses of this process.
+//! Slow attempts: their slot in the concurrency limit, cancellation, and pauses of the limiter's process.
 
 use crate::support::*;
 use liftrouter_decision::*;
 
 #[test]
-fn an_attempt_that_hangs_holds_its_place_for_one_latency_objective_at_most() {
-    // Guards against hung attempts (incident ief87c6): each would fill a small limit until its client
-    // disconnected.
+fn a_hung_attempt_holds_its_slot_for_one_latency_objective_at_most() {
+    // Guards against hung attempts (incident ief87c6): each would occupy a small limit until its client
+    // disconnects.
     let mut host = Host::new(Settings { instance_count: 4, ..settings() });
     host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::InService, None)]));
     let (id, actions) = host.request("c", "plain", "unsafe", 1.0);
     assert!(sent_endpoint(&actions).is_some());
-    assert!(!host.serve("d", "plain", 1.0), "the window of one is full");
+    assert!(!host.serve("d", "plain", 1.0), "the limit of one is reached");
     host.now += 0.6;
     let actions = host.event(Event::Timer { token: id * 4 + 2 });
     let at = actions.iter().find_map(|a| match a {
@@ -19,17 +19,17 @@
         _ => None,
     });
     assert!(!host.serve("d", "plain", 1.0));
-    host.now = at.expect("a second look");
+    host.now = at.expect("a second slow-attempt timer");
     host.event(Event::Timer { token: id * 4 + 2 });
     assert!(host.serve("d", "plain", 1.0));
 }
 
 #[test]
-fn an_attempt_is_cancelled_only_after_two_slow_ones_in_a_row() {
-    // Guards against the ejection spiral and against rare evidence read as a fault: one late response is
-    // slow.
-    let late = |host: &mut Host, id: u64, actions: &[Action]| {
-        let (at, token) = find_timer(actions, id, 2).expect("patience");
+fn an_attempt_is_cancelled_only_after_two_consecutive_slow_ones() {
+    // Guards against a spiral of ejections and against too little evidence being taken for a fault: a single
+    // late response only means a slow attempt.
+    let is_cancelled_when_slow = |host: &mut Host, id: u64, actions: &[Action]| {
+        let (at, token) = find_timer(actions, id, 2).expect("a slow-attempt timer");
         host.now = host.now.max(at);
         host.event(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
     };
@@ -37,28 +37,29 @@
         let mut host = Host::new(settings());
         host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::InService, None)]));
         let (id, actions) = host.request("c", "plain", "read", 1.0);
-        assert!(!late(&mut host, id, &actions), "one late answer");
+        assert!(!is_cancelled_when_slow(&mut host, id, &actions), "cancelled after one slow attempt");
         if answered {
             host.end_attempt(id, 0, Outcome::Ok, None);
         }
         let (id, actions) = host.request("d", "plain", "read", 1.0);
-        assert_eq!(late(&mut host, id, &actions), !answered);
+        assert_eq!(is_cancelled_when_slow(&mut host, id, &actions), !answered);
     }
 }
 
 #[test]
-fn a_paused_limiter_blames_no_endpoint() {
-    // Guards against stalls: what is late after one is no endpoint's fault; nothing is cancelled or counted.
-    let run = |stalled: bool| {
+fn a_pause_of_the_limiter_is_not_attributed_to_an_endpoint() {
+    // Guards against pauses of the limiter's process: attempts that are late because of one are neither
+    // cancelled nor counted against an endpoint.
+    let run = |paused: bool| {
         let mut host = Host::new(settings());
         host.event(Event::Timer { token: 0 });
         host.event(Event::EndpointList(vec![endpoint(A, "east", EndpointState::InService, None)]));
         let mut cancels = 0;
         for n in 0..2 {
             let (id, actions) = host.request(&format!("c{n}"), "plain", "read", 1.0);
-            let (at, token) = find_timer(&actions, id, 2).expect("patience");
+            let (at, token) = find_timer(&actions, id, 2).expect("a slow-attempt timer");
             for step in 1..=10 {
-                if !stalled {
+                if !paused {
                     host.now = host.now.max(at - 0.5 + f64::from(step) * 0.05);
                     host.event(Event::Timer { token: 0 });
                 }
--- a/crates/decision/tests/decision/slow_start.rs
+++ b/crates/decision/tests/decision/slow_start.rs
@@ -1,5 +1,5 @@
-//! Endpoints in slow start under the sum of what all limiters send: within N attempts in any stretch of the
-//! overload window, and 2 x root of N + 2 for chance, N being what the settings allow.
+//! Slow start with the attempts of all limiters together: within any overload window an endpoint gets at most
+//! N attempts, the number that the settings allow, plus 2 sqrt(N) + 2 as a margin for chance.
 
 use crate::support::*;
 use liftrouter_decision::*;
@@ -11,15 +11,17 @@
 
 const STARTED_ENDPOINT: &str = "10.0.0.9:1";
 
-/// Sends in a span to an endpoint in slow start where no warm one shows what it takes, over all limiters.
+/// Attempts of all limiters in an overload window at an endpoint in slow start, where no warm endpoint shows
+/// what an endpoint can serve.
 const MIN_ATTEMPTS: f64 = 4.0;
 
-fn allowed(n: f64) -> f64 {
+/// The bound for `n` attempts: `n` and a margin for chance.
+fn with_chance_margin(n: f64) -> f64 {
     n + 2.0 * n.sqrt() + 2.0
 }
 
-/// The most of these times that lie in one stretch of the span.
-fn most_in_one_window(sends: &[f64]) -> usize {
+/// The largest number of these times that lie within one overload window.
+fn max_in_one_window(sends: &[f64]) -> usize {
     sends
         .iter()
         .map(|from| sends.iter().filter(|t| (0.0..=OVERLOAD_WINDOW).contains(&(**t - from))).count())
@@ -27,19 +29,20 @@
         .unwrap_or(0)
 }
 
-/// Limiters on one clock, each with requests of its own.
+/// Several limiters on a common clock. Each gets different requests.
 struct Limiters {
     hosts: Vec<Host>,
     list: Vec<EndpointEntry>,
     now: f64,
-    /// Sends by endpoint.
-    sends: BTreeMap<EndpointId, Vec<f64>>,
-    next: u64,
+    /// Times of the attempts, by endpoint.
+    attempts: BTreeMap<EndpointId, Vec<f64>>,
+    request_count: u64,
 }
 
 impl Limiters {
     fn new(instances: u32, list: Vec<EndpointEntry>) -> Limiters {
-        let mut limiters = Limiters { hosts: Vec::new(), list, now: 100.0, sends: BTreeMap::new(), next: 0 };
+        let mut limiters =
+            Limiters { hosts: Vec::new(), list, now: 100.0, attempts: BTreeMap::new(), request_count: 0 };
         limiters.hosts = (0..instances).map(|instance| limiters.start(instance, instances)).collect();
         limiters
     }
@@ -56,7 +59,7 @@
         host
     }
 
-    /// A limiter that starts anew knows nothing but the list.
+    /// Restarts a limiter, which then knows nothing but the endpoint list.
     fn restart(&mut self, instance: usize) {
         self.hosts[instance] = self.start(instance as u32, self.hosts.len() as u32);
     }
@@ -69,20 +72,20 @@
         }
     }
 
-    /// A request at a limiter, answered soon: with success, or rejected.
-    fn request(&mut self, instance: usize, how: impl Fn(&str) -> Outcome) {
-        self.next += 1;
+    /// Sends a request to a limiter. Each of its attempts ends at once with its endpoint's outcome.
+    fn request(&mut self, instance: usize, outcome_of: impl Fn(&str) -> Outcome) {
+        self.request_count += 1;
         let host = &mut self.hosts[instance];
         host.now = self.now;
-        let (id, mut actions) = host.request(&format!("c{}", self.next), "free", "read", 1.0);
+        let (id, mut actions) = host.request(&format!("c{}", self.request_count), "free", "read", 1.0);
         for attempt in 0.. {
-            let Some(server) = sent_endpoint(&actions) else { break };
-            self.sends.entry(server.clone()).or_default().push(self.now);
-            actions = host.end_attempt(id, attempt, how(&server), None);
+            let Some(endpoint) = sent_endpoint(&actions) else { break };
+            self.attempts.entry(endpoint.clone()).or_default().push(self.now);
+            actions = host.end_attempt(id, attempt, outcome_of(&endpoint), None);
         }
     }
 
-    /// Ticks all of them.
+    /// Fires the tick timer of each limiter.
     fn tick(&mut self) {
         for host in &mut self.hosts {
             host.now = self.now;
@@ -90,16 +93,17 @@
         }
     }
 
-    fn sent(&self, server: &str) -> &[f64] {
-        self.sends.get(server).map_or(&[], Vec::as_slice)
+    /// Times of the attempts at an endpoint.
+    fn attempt_times(&self, endpoint: &str) -> &[f64] {
+        self.attempts.get(endpoint).map_or(&[], Vec::as_slice)
     }
 }
 
-fn started_at(started: f64) -> EndpointEntry {
-    endpoint(STARTED_ENDPOINT, "east", EndpointState::InService, Some(started))
+fn entry_started_at(started_at: f64) -> EndpointEntry {
+    endpoint(STARTED_ENDPOINT, "east", EndpointState::InService, Some(started_at))
 }
 
-/// The same cases in each run.
+/// Configuration with a fixed seed, so that each run checks the same cases.
 fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -112,10 +116,10 @@
 proptest! {
     #![proptest_config(cases(48))]
 
-    /// A start that all limiters learn of at once, while every limiter has requests that no warm endpoint
-    /// takes.
+    /// All limiters learn of a started endpoint at once, while the warm endpoints reject the requests of
+    /// every limiter.
     #[test]
-    fn a_start_that_all_learn_of_at_once_is_no_moment_to_rush(
+    fn a_start_that_all_limiters_learn_of_at_once_keeps_the_budget(
         instances in 1u32..31,
         at in 0.0f64..OVERLOAD_WINDOW,
     ) {
@@ -125,43 +129,44 @@
         let outcome_of =
             |endpoint: &str| if endpoint == STARTED_ENDPOINT { Outcome::Ok } else { Outcome::Overloaded };
         let (start, mut applied) = (104.0 + at, false);
-        // What a warm endpoint is sent, as long as they accept requests.
-        let each = 40;
+        // Requests a second to each warm endpoint while the warm endpoints accept them.
+        let warm_rate = 40;
         while limiters.now < start + 3.0 * OVERLOAD_WINDOW {
-            limiters.now += 1.0 / f64::from(each);
+            limiters.now += 1.0 / f64::from(warm_rate);
             if limiters.now >= start && !std::mem::replace(&mut applied, true) {
-                limiters.apply_list(warm.iter().cloned().chain([started_at(start)]).collect());
+                limiters.apply_list(warm.iter().cloned().chain([entry_started_at(start)]).collect());
             }
             for n in 0..2 {
-                let instance = (limiters.next as usize * 7 + n) % instances as usize;
+                let instance = (limiters.request_count as usize * 7 + n) % instances as usize;
                 limiters.request(instance, |s| if applied { outcome_of(s) } else { Outcome::Ok });
             }
         }
-        let sent = limiters.sent(STARTED_ENDPOINT);
-        prop_assert!(!sent.is_empty(), "it never warms by work");
+        let sent = limiters.attempt_times(STARTED_ENDPOINT);
+        prop_assert!(!sent.is_empty(), "no attempts at the started endpoint");
         for from in sent {
             let window = 0.0..=OVERLOAD_WINDOW;
             let within = sent.iter().filter(|time| window.contains(&(**time - from))).count() as f64;
-            let warmth = 0.2 + 0.8 * (from - start) / 20.0;
-            let n = 3.0 * warmth * f64::from(each) * OVERLOAD_WINDOW;
-            prop_assert!(within <= allowed(n), "{within} by {instances} limiters, {} allowed", allowed(n));
+            let factor = 0.2 + 0.8 * (from - start) / 20.0;
+            let n = 3.0 * factor * f64::from(warm_rate) * OVERLOAD_WINDOW;
+            let allowed = with_chance_margin(n);
+            prop_assert!(within <= allowed, "{within} by {instances} limiters, {allowed} allowed");
         }
     }
 
-    /// Limiters that forget what they sent, a few times within one window, all or some of them.
+    /// All or some of the limiters restart several times within one window and forget their attempts.
     #[test]
-    fn attempts_that_a_restart_forgot_are_not_sent_twice(
+    fn restarts_that_forget_attempts_give_no_second_budget(
         instances in 1u32..31,
         every in 0.2f64..1.5,
-        part in 1usize..4,
+        step in 1usize..4,
     ) {
-        let mut limiters = Limiters::new(instances, vec![started_at(100.0)]);
+        let mut limiters = Limiters::new(instances, vec![entry_started_at(100.0)]);
         let mut next = 100.0 + every;
         while limiters.now < 110.0 {
             limiters.now += 0.02;
             if limiters.now >= next {
                 next += every;
-                for instance in (0..instances as usize).filter(|instance| instance % part == 0) {
+                for instance in (0..instances as usize).filter(|instance| instance % step == 0) {
                     limiters.restart(instance);
                 }
             }
@@ -169,36 +174,36 @@
                 limiters.request(instance, |_| Outcome::Ok);
             }
         }
-        let most = most_in_one_window(limiters.sent(STARTED_ENDPOINT)) as f64;
-        let allowed = allowed(MIN_ATTEMPTS);
+        let most = max_in_one_window(limiters.attempt_times(STARTED_ENDPOINT)) as f64;
+        let allowed = with_chance_margin(MIN_ATTEMPTS);
         prop_assert!(most <= allowed, "{most} by {instances} limiters, {allowed} allowed");
     }
 
-    /// A list that corrects a start, back and forth.
+    /// Endpoint lists that alternate between two start times of an endpoint.
     #[test]
     fn a_corrected_start_time_gives_no_second_budget(instances in 1u32..31, every in 0.1f64..1.0) {
-        let mut limiters = Limiters::new(instances, vec![started_at(100.0)]);
+        let mut limiters = Limiters::new(instances, vec![entry_started_at(100.0)]);
         let (mut next, mut late) = (100.0 + every, false);
         while limiters.now < 110.0 {
             limiters.now += 0.02;
             if limiters.now >= next {
                 (next, late) = (next + every, !late);
-                limiters.apply_list(vec![started_at(if late { 100.001 } else { 100.0 })]);
+                limiters.apply_list(vec![entry_started_at(if late { 100.001 } else { 100.0 })]);
             }
             for instance in 0..instances as usize {
                 limiters.request(instance, |_| Outcome::Ok);
             }
         }
-        let most = most_in_one_window(limiters.sent(STARTED_ENDPOINT)) as f64;
-        let allowed = allowed(MIN_ATTEMPTS);
+        let most = max_in_one_window(limiters.attempt_times(STARTED_ENDPOINT)) as f64;
+        let allowed = with_chance_margin(MIN_ATTEMPTS);
         prop_assert!(most <= allowed, "{most} by {instances} limiters, {allowed} allowed");
     }
 }
 
-/// Requests that all come within a tenth of a second, wherever that lies in the limiters' windows: on average
-/// no moment gets more than the others.
+/// All requests arrive within a tenth of a second, at any position in the limiters' windows: on average no
+/// position lets more attempts through than the others.
 #[test]
-fn requests_that_all_come_at_once_find_no_better_moment() {
+fn a_burst_of_requests_keeps_the_budget_at_any_position_in_the_window() {
     const CASES: u32 = 24;
     for tenth in 0..20 {
         let mut sent = 0;
@@ -211,15 +216,18 @@
                 (0..30).for_each(|instance| limiters.request(instance, |_| Outcome::Ok));
                 limiters.now += 0.01;
             }
-            sent += limiters.sent(&cold).len();
+            sent += limiters.attempt_times(&cold).len();
         }
         let mean = sent as f64 / f64::from(CASES);
-        assert!(mean <= 1.4 * MIN_ATTEMPTS, "{mean} on average at tenth {tenth} of a window");
+        assert!(
+            mean <= 1.4 * MIN_ATTEMPTS,
+            "{mean} attempts on average with the burst at position {tenth} of 20"
+        );
     }
 }
 
-/// Over 48 limiters each uses a part of the endpoints. Where most of those are ejected, the rest are shared
-/// by more limiters than were meant to use them.
+/// Above 48 limiters each uses a subset of the endpoints. If most of them are ejected, each of the rest is
+/// used by more limiters than intended.
 #[test]
 fn limiters_that_share_the_remaining_endpoints_keep_the_budget() {
     let in_service = EndpointState::InService;
@@ -234,15 +242,18 @@
         });
     }
     let cold: Vec<f64> = limiters
-        .sends
+        .attempts
         .iter()
         .filter(|(s, _)| s.starts_with("10.2."))
-        .map(|(_, sent)| most_in_one_window(sent) as f64)
+        .map(|(_, sent)| max_in_one_window(sent) as f64)
         .collect();
-    assert!(cold.len() >= 20, "they get some: {cold:?}");
-    // Each may have a window of chance; on average none.
+    assert!(cold.len() >= 20, "most endpoints in slow start get attempts: {cold:?}");
+    // By chance a single endpoint may exceed the bound; the average may not.
     let mean = cold.iter().sum::<f64>() / cold.len() as f64;
-    assert!(mean <= allowed(MIN_ATTEMPTS), "{mean} in the most_in_one_window windows on average: {cold:?}");
+    assert!(
+        mean <= with_chance_margin(MIN_ATTEMPTS),
+        "{mean} attempts on average in the fullest window of an endpoint: {cold:?}"
+    );
 }
 
 #[test]
@@ -254,25 +265,25 @@
         endpoint(B, "east", in_service, Some(100.0)),
     ]));
     let mut sends = Vec::new();
-    let mut out_now = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     for n in 0..2000 {
         host.now += 0.005;
         let (id, actions) = host.request(&format!("c{n}"), "plain", "read", 1.0);
         if sent_endpoint(&actions).as_deref() == Some(B) {
             sends.push(host.now);
         }
-        out_now.push_back(id);
-        if out_now.len() > 12 {
-            let id = out_now.pop_front().expect("one");
+        in_flight.push_back(id);
+        if in_flight.len() > 12 {
+            let id = in_flight.pop_front().expect("an attempt in flight");
             host.end_attempt(id, 0, Outcome::Ok, None);
         }
     }
-    assert!(!sends.is_empty(), "a cold server warms by work");
+    assert!(!sends.is_empty(), "no attempts at the endpoint in slow start");
     for start in &sends {
         let within = sends.iter().filter(|t| **t >= *start && **t < *start + 2.0).count() as f64;
-        let warm = 200.0 * 2.0;
-        let warmth = 0.2 + 0.8 * ((start + 2.0 - 100.0) / 20.0);
-        assert!(within <= 3.0 * warmth * warm, "{within} at {start}");
+        let warm_attempts = 200.0 * 2.0;
+        let factor = 0.2 + 0.8 * ((start + 2.0 - 100.0) / 20.0);
+        assert!(within <= 3.0 * factor * warm_attempts, "{within} at {start}");
     }
     let first = sends.iter().filter(|t| **t < 102.0).count();
     assert!(first as f64 <= 3.0 * 0.28 * 400.0 * 0.7, "{first} in the first window");
@@ -280,7 +291,8 @@
 
 #[test]
 fn hundreds_of_limiters_together_keep_the_slow_start_budget() {
-    // Guards against one send from each of them being too much; no warm endpoint shows what it can take.
+    // Guards against one attempt from each limiter exceeding the budget. No warm endpoint shows what an
+    // endpoint can serve.
     for instances in [2u32, 300] {
         let mut sent = 0;
         for instance in 0..instances {
@@ -292,7 +304,7 @@
                 sent += usize::from(host.serve(&format!("c{n}"), "plain", 1.0));
             }
         }
-        // Four an overload window (2 s) over all limiters, and chance.
-        assert!((1..=20).contains(&sent), "{sent} sends in two windows from {instances} limiters");
+        // Four attempts in an overload window (2 s) over all limiters, and a margin for chance.
+        assert!((1..=20).contains(&sent), "{sent} attempts in two windows from {instances} limiters");
     }
 }
--- a/crates/decision/tests/decision/support.rs
+++ b/crates/decision/tests/decision/support.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Value of one rejected step of a counter total; accepted steps stay below it.
+/// What one rejected step adds to a counter total; accepted steps stay below it.
 pub const REJECTED_STEP_VALUE: f64 = 2_000.0;
 
 pub struct Host {
@@ -141,37 +141,38 @@
         })
     }
 
-    /// Sends a request that is answered at once; true if it was admitted.
+    /// Sends a request that is answered at once. Returns whether it was admitted.
     pub fn serve(&mut self, customer: &str, plan: &str, units: f64) -> bool {
         let (id, actions) = self.request(customer, plan, "read", units);
-        let sent = sent_endpoint(&actions).is_some();
-        if sent {
+        let admitted = sent_endpoint(&actions).is_some();
+        if admitted {
             self.end_attempt(id, 0, Outcome::Ok, None);
         }
-        sent
+        admitted
     }
 
-    /// Units admitted at once, one at a time, until the first rejection.
+    /// Sends requests of one unit until the first rejection. Returns the number admitted, at most 200.
     pub fn drain_bucket(&mut self, customer: &str, plan: &str) -> u32 {
         (0..200).take_while(|_| self.serve(customer, plan, 1.0)).count() as u32
     }
 
-    /// Answers each counter call quickly; gives their number.
-    pub fn answer_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
+    /// Replies to each counter call after 1 ms. Returns the number of calls.
+    pub fn answer_counter_calls(&mut self, reply: impl Fn(f64) -> (Outcome, f64)) -> usize {
         let calls = std::mem::take(&mut self.counter_calls);
         for (key, increment) in &calls {
-            let (outcome, total) = answer(*increment);
+            let (outcome, total) = reply(*increment);
             self.event(Event::CounterReply { key: key.clone(), outcome, total, elapsed_s: 0.001 });
         }
         calls.len()
     }
 
-    /// Serves another customer for a while, so that a quick counter is called for every request.
+    /// Serves another customer for a minute with a fast counter, after which the limiter calls the counter
+    /// for every request.
     pub fn with_fast_counter(mut self) -> Self {
         for _ in 0..100 {
             self.now += 0.6;
             self.serve("warm", "plain", 0.1);
-            self.answer_counter_calls(|add| (Outcome::Ok, add));
+            self.answer_counter_calls(|increment| (Outcome::Ok, increment));
         }
         self
     }
@@ -195,8 +196,9 @@
     actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
 }
 
-/// Feeds the limiter a customer's demand for some seconds; the counter replies that all limiters together
-/// had `demand_ratio` times its demand, of which `accepted_ratio` was accepted (both per unit of own demand).
+/// Simulates 17 seconds of a customer's demand. According to the counter's replies, all limiters together had
+/// `demand_ratio` times this limiter's demand, of which `accepted_ratio` was accepted (both per unit of own
+/// demand). Returns the last total.
 pub fn simulate_demand(host: &mut Host, customer: &str, demand_ratio: f64, accepted_ratio: f64) -> f64 {
     let (mut current_key, mut total_rejected, mut total_accepted) = (String::new(), 0.0f64, 0.0f64);
     for _ in 0..170 {
@@ -220,14 +222,15 @@
     total_rejected.round() * REJECTED_STEP_VALUE + total_accepted.round()
 }
 
-/// The limit a customer now has, read off its bucket: drained, then refilled for a second.
+/// A customer's current limit in units a second: its bucket is drained, refilled for a second and drained
+/// again.
 pub fn measured_limit(host: &mut Host, customer: &str) -> u32 {
     host.drain_bucket(customer, "plain");
     host.now += 1.0;
     host.drain_bucket(customer, "plain")
 }
 
-/// Time and token of a request's timer of a kind: 1 deadline, 2 slow attempt.
+/// Time and token of a request's timer. `kind` is 1 for the deadline and 2 for a slow attempt.
 pub fn find_timer(actions: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { expires_at, token } if *token == id * 4 + kind => Some((*expires_at, *token)),
