--- a/crates/decision/tests/decision/support.rs
+++ b/crates/decision/tests/decision/support.rs
@@ -69,16 +69,16 @@
     }
 }
 
-/// Value of one rejected step of a counter total; accepted steps stay below it.
-pub const REJECTED_UNIT: f64 = 2_000.0;
+/// What one rejected step adds to a counter total; accepted steps stay below it.
+pub const REJECTED_STEP_VALUE: f64 = 2_000.0;
 
 pub struct Host {
     pub limiter: Limiter,
     pub now: f64,
     /// Counter calls without a reply: their keys and increments.
-    pub calls: Vec<(String, f64)>,
+    pub counter_calls: Vec<(String, f64)>,
     pub reachable_instances: u32,
-    next: u64,
+    next_id: u64,
 }
 
 impl Host {
@@ -91,7 +91,8 @@
             endpoint(C, "west", in_service, None),
         ];
         let limiter = Limiter::new(settings, 7, 100.0);
-        let mut host = Host { limiter, now: 100.0, calls: Vec::new(), reachable_instances: 2, next: 0 };
+        let mut host =
+            Host { limiter, now: 100.0, counter_calls: Vec::new(), reachable_instances: 2, next_id: 0 };
         host.event(Event::EndpointList(list));
         host
     }
@@ -101,16 +102,16 @@
         self.limiter.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::IncrementCounter { key, increment, .. } = action {
-                self.calls.push((key.clone(), *increment));
+                self.counter_calls.push((key.clone(), *increment));
             }
         }
         actions
     }
 
     pub fn request(&mut self, customer: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
-        self.next += 1;
+        self.next_id += 1;
         let request = Request {
-            id: self.next,
+            id: self.next_id,
             customer: customer.into(),
             plan: plan.into(),
             class: class.into(),
@@ -119,7 +120,7 @@
             is_retry: false,
             deadline: self.now + 4.0,
         };
-        (self.next, self.event(Event::Request(request)))
+        (self.next_id, self.event(Event::Request(request)))
     }
 
     pub fn end_attempt(
@@ -140,37 +141,38 @@
         })
     }
 
-    /// Sends a request that is answered at once; true if it was admitted.
+    /// Sends a request that is answered at once. Returns whether it was admitted.
     pub fn serve(&mut self, customer: &str, plan: &str, units: f64) -> bool {
         let (id, actions) = self.request(customer, plan, "read", units);
-        let sent = sent_endpoint(&actions).is_some();
-        if sent {
+        let admitted = sent_endpoint(&actions).is_some();
+        if admitted {
             self.end_attempt(id, 0, Outcome::Ok, None);
         }
-        sent
+        admitted
     }
 
-    /// Units admitted at once, one at a time, until the first rejection.
-    pub fn drain(&mut self, customer: &str, plan: &str) -> u32 {
+    /// Sends requests of one unit until the first rejection. Returns the number admitted, at most 200.
+    pub fn drain_bucket(&mut self, customer: &str, plan: &str) -> u32 {
         (0..200).take_while(|_| self.serve(customer, plan, 1.0)).count() as u32
     }
 
-    /// Answers each counter call quickly; gives their number.
-    pub fn answer_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
-        let calls = std::mem::take(&mut self.calls);
+    /// Replies to each counter call after 1 ms. Returns the number of calls.
+    pub fn answer_counter_calls(&mut self, reply: impl Fn(f64) -> (Outcome, f64)) -> usize {
+        let calls = std::mem::take(&mut self.counter_calls);
         for (key, increment) in &calls {
-            let (outcome, total) = answer(*increment);
+            let (outcome, total) = reply(*increment);
             self.event(Event::CounterReply { key: key.clone(), outcome, total, elapsed_s: 0.001 });
         }
         calls.len()
     }
 
-    /// Serves another customer for a while, so that a quick counter is called for every request.
-    pub fn with_quick_counter(mut self) -> Self {
+    /// Serves another customer for a minute with a fast counter, after which the limiter calls the counter
+    /// for every request.
+    pub fn with_fast_counter(mut self) -> Self {
         for _ in 0..100 {
             self.now += 0.6;
             self.serve("warm", "plain", 0.1);
-            self.answer_counter_calls(|add| (Outcome::Ok, add));
+            self.answer_counter_calls(|increment| (Outcome::Ok, increment));
         }
         self
     }
@@ -194,39 +196,41 @@
     actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
 }
 
-/// Feeds the limiter a customer's demand for some seconds; the counter replies that all limiters together
-/// had `demand_ratio` times its demand, of which `accepted_ratio` was accepted (both per unit of own demand).
-pub fn settle_demand(host: &mut Host, customer: &str, demand_ratio: f64, accepted_ratio: f64) -> f64 {
+/// Simulates 17 seconds of a customer's demand. According to the counter's replies, all limiters together had
+/// `demand_ratio` times this limiter's demand, of which `accepted_ratio` was accepted (both per unit of own
+/// demand). Returns the last total.
+pub fn simulate_demand(host: &mut Host, customer: &str, demand_ratio: f64, accepted_ratio: f64) -> f64 {
     let (mut current_key, mut total_rejected, mut total_accepted) = (String::new(), 0.0f64, 0.0f64);
     for _ in 0..170 {
         host.now += 0.1;
         host.serve(customer, "plain", 1.0);
-        for (key, increment) in std::mem::take(&mut host.calls) {
+        for (key, increment) in std::mem::take(&mut host.counter_calls) {
             if key != current_key {
                 (current_key, total_rejected, total_accepted) = (key.clone(), 0.0, 0.0);
             }
             let (own_accepted, own_rejected) =
-                (increment % REJECTED_UNIT, (increment / REJECTED_UNIT).floor());
+                (increment % REJECTED_STEP_VALUE, (increment / REJECTED_STEP_VALUE).floor());
             let own = own_accepted + own_rejected;
             let others_accepted =
                 (own * accepted_ratio - own_accepted).clamp(0.0, own * (demand_ratio - 1.0));
             total_accepted += own_accepted + others_accepted;
             total_rejected += own_rejected + own * (demand_ratio - 1.0) - others_accepted;
-            let total = total_rejected.round() * REJECTED_UNIT + total_accepted.round();
+            let total = total_rejected.round() * REJECTED_STEP_VALUE + total_accepted.round();
             host.event(Event::CounterReply { key, outcome: Outcome::Ok, total, elapsed_s: 0.001 });
         }
     }
-    total_rejected.round() * REJECTED_UNIT + total_accepted.round()
+    total_rejected.round() * REJECTED_STEP_VALUE + total_accepted.round()
 }
 
-/// The limit a customer now has, read off its bucket: drained, then refilled for a second.
-pub fn drained_rate(host: &mut Host, customer: &str) -> u32 {
-    host.drain(customer, "plain");
+/// A customer's current limit in units a second: its bucket is drained, refilled for a second and drained
+/// again.
+pub fn measured_limit(host: &mut Host, customer: &str) -> u32 {
+    host.drain_bucket(customer, "plain");
     host.now += 1.0;
-    host.drain(customer, "plain")
+    host.drain_bucket(customer, "plain")
 }
 
-/// Time and token of a request's timer of a kind: 1 deadline, 2 slow attempt.
+/// Time and token of a request's timer. `kind` is 1 for the deadline and 2 for a slow attempt.
 pub fn find_timer(actions: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { expires_at, token } if *token == id * 4 + kind => Some((*expires_at, *token)),
