--- a/crates/storage/src/fault.rs
+++ b/crates/storage/src/fault.rs
@@ -11,12 +11,14 @@
     /// A write stores this share of its bytes and reports a failure.
     ShortWrite {
         /// From 0 to 1.
-        share: f64,
+        #[serde(rename = "share")]
+        stored_ratio: f64,
     },
     /// A write stores this share of its bytes and reports success.
     TornWrite {
         /// From 0 to 1.
-        share: f64,
+        #[serde(rename = "share")]
+        stored_ratio: f64,
     },
     /// A sync reports success and makes nothing durable: written data is there until the process ends.
     #[serde(rename = "empty-sync")]
--- a/crates/storage/src/fault_injection.rs
+++ b/crates/storage/src/fault_injection.rs
@@ -39,15 +39,15 @@
 
 /// The part of the bytes that a write stores, and whether the write reports a failure.
 fn stored_part<'a>(faults: &[ActiveFault], bytes: &'a [u8]) -> (&'a [u8], bool) {
-    let part = |share: f64| {
-        let len = (bytes.len() as f64 * share.clamp(0.0, 1.0)) as usize;
+    let part = |ratio: f64| {
+        let len = (bytes.len() as f64 * ratio.clamp(0.0, 1.0)) as usize;
         &bytes[..len.min(bytes.len())]
     };
     faults
         .iter()
         .find_map(|active| match active.fault {
-            StorageFault::ShortWrite { share } => Some((part(share), true)),
-            StorageFault::TornWrite { share } => Some((part(share), false)),
+            StorageFault::ShortWrite { stored_ratio } => Some((part(stored_ratio), true)),
+            StorageFault::TornWrite { stored_ratio } => Some((part(stored_ratio), false)),
             _ => None,
         })
         .unwrap_or((bytes, false))
--- a/crates/storage/src/log/encoding.rs
+++ b/crates/storage/src/log/encoding.rs
@@ -12,7 +12,7 @@
 pub const FORMAT_VERSION: u16 = 1;
 pub const HEADER_BYTES: usize = 14;
 
-const VERSION_OFFSET: usize = 4;
+const FORMAT_VERSION_OFFSET: usize = 4;
 const KIND_OFFSET: usize = 6;
 const SEQUENCE_OFFSET: usize = 4;
 const CHECKSUM_OFFSET: usize = 12;
@@ -24,8 +24,8 @@
     bytes
 }
 
-pub fn header_version(bytes: &[u8]) -> Option<u16> {
-    u16_at(bytes, VERSION_OFFSET)
+pub fn header_format_version(bytes: &[u8]) -> Option<u16> {
+    u16_at(bytes, FORMAT_VERSION_OFFSET)
 }
 
 pub fn header_kind(bytes: &[u8]) -> Option<u32> {
--- a/crates/storage/src/log/recovery.rs
+++ b/crates/storage/src/log/recovery.rs
@@ -1,7 +1,7 @@
 //! Reads the entries of a log and tells an interrupted last write from damage.
 
 use super::encoding::{
-    decode_frame, header, header_kind, header_version, Frame, FORMAT_VERSION, HEADER_BYTES, MAGIC,
+    decode_frame, header, header_format_version, header_kind, Frame, FORMAT_VERSION, HEADER_BYTES, MAGIC,
 };
 use thiserror::Error;
 
@@ -35,7 +35,7 @@
     NotALog,
     /// The log has another format.
     #[error("a log of version {found}, expected {FORMAT_VERSION}")]
-    Version {
+    FormatVersion {
         /// The version in the header.
         found: u16,
     },
@@ -142,8 +142,8 @@
     if !bytes.starts_with(MAGIC) {
         return LogCorruption::NotALog;
     }
-    match (header_version(bytes), header_kind(bytes)) {
-        (Some(found), _) if found != FORMAT_VERSION => LogCorruption::Version { found },
+    match (header_format_version(bytes), header_kind(bytes)) {
+        (Some(found), _) if found != FORMAT_VERSION => LogCorruption::FormatVersion { found },
         (_, Some(found)) if found != expected => LogCorruption::Kind { found, expected },
         _ => LogCorruption::Header,
     }
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -39,7 +39,7 @@
     rng: fastrand::Rng,
     operations: u64,
     /// After this many further operations every operation fails, as if the process had been killed there.
-    pub fails_after: Option<u64>,
+    pub operations_until_failure: Option<u64>,
 }
 
 impl MemoryStorage {
@@ -54,7 +54,7 @@
             last_file: 0,
             rng: fastrand::Rng::with_seed(seed),
             operations: 0,
-            fails_after: None,
+            operations_until_failure: None,
         }
     }
 
@@ -65,7 +65,7 @@
 
     /// Cuts the power and restores it. Synced data is there; of the rest each change may be there, in part, or not.
     pub fn power_loss(&mut self) {
-        self.fails_after = None;
+        self.operations_until_failure = None;
         let mut files = std::mem::take(&mut self.durable_files);
         for change in std::mem::take(&mut self.unsynced) {
             match (change, self.rng.u8(0..3)) {
@@ -104,11 +104,11 @@
     }
 
     fn count_operation(&mut self, operation: &'static str, name: &str) -> Result<()> {
-        if self.fails_after == Some(0) {
+        if self.operations_until_failure == Some(0) {
             let source = Error::new(ErrorKind::Interrupted, "the process is dead");
             return Err(StorageError::new(operation, name, source));
         }
-        self.fails_after = self.fails_after.map(|left| left - 1);
+        self.operations_until_failure = self.operations_until_failure.map(|left| left - 1);
         self.operations += 1;
         Ok(())
     }
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -24,7 +24,7 @@
 pub struct SnapshotStore {
     name: String,
     kind: u32,
-    version: u16,
+    content_version: u16,
     /// The newest generation that was saved or loaded.
     newest_generation: u64,
 }
@@ -61,7 +61,7 @@
     NotASnapshot,
     /// The file has another format.
     #[error("a snapshot of format {found}, expected {FORMAT_VERSION}")]
-    Format {
+    FormatVersion {
         /// The format version in the header.
         found: u16,
     },
@@ -94,7 +94,7 @@
         "it is of version {found}, expected {expected}: {} program's",
         if .found > .expected { "a later" } else { "an earlier" }
     )]
-    Version {
+    ContentVersion {
         /// The content version in the header.
         found: u16,
         /// The content version of this store.
@@ -126,10 +126,10 @@
 }
 
 impl SnapshotStore {
-    /// The snapshots under a name. `kind` tells them from those of other stores, `version` from those of other versions of
+    /// The snapshots under a name. `kind` tells them from those of other stores, `content_version` from those of other versions of
     /// the program.
-    pub fn new(name: &str, kind: u32, version: u16) -> SnapshotStore {
-        SnapshotStore { name: name.into(), kind, version, newest_generation: 0 }
+    pub fn new(name: &str, kind: u32, content_version: u16) -> SnapshotStore {
+        SnapshotStore { name: name.into(), kind, content_version, newest_generation: 0 }
     }
 
     /// The file of a generation: even and odd generations have one each.
@@ -142,7 +142,7 @@
         bytes.extend(MAGIC);
         bytes.extend(FORMAT_VERSION.to_le_bytes());
         bytes.extend(self.kind.to_le_bytes());
-        bytes.extend(self.version.to_le_bytes());
+        bytes.extend(self.content_version.to_le_bytes());
         bytes.extend(generation.to_le_bytes());
         bytes.extend((content.len() as u64).to_le_bytes());
         bytes.extend(content);
@@ -156,9 +156,12 @@
         if kind != self.kind {
             return Err(SnapshotRejection::Kind { found: kind, expected: self.kind });
         }
-        let version = u16_at(bytes, CONTENT_VERSION_OFFSET).unwrap_or_default();
-        if version != self.version {
-            return Err(SnapshotRejection::Version { found: version, expected: self.version });
+        let content_version = u16_at(bytes, CONTENT_VERSION_OFFSET).unwrap_or_default();
+        if content_version != self.content_version {
+            return Err(SnapshotRejection::ContentVersion {
+                found: content_version,
+                expected: self.content_version,
+            });
         }
         let generation = u64_at(bytes, GENERATION_OFFSET).unwrap_or_default();
         let content = bytes[HEADER_BYTES..bytes.len() - CHECKSUM_BYTES].to_vec();
@@ -242,7 +245,7 @@
     }
     let format = u16_at(bytes, FORMAT_VERSION_OFFSET).unwrap_or_default();
     if format != FORMAT_VERSION {
-        return Err(SnapshotRejection::Format { found: format });
+        return Err(SnapshotRejection::FormatVersion { found: format });
     }
     let content_len = u64_at(bytes, LENGTH_OFFSET).unwrap_or_default();
     let expected_len = content_len.saturating_add(MIN_FILE_BYTES as u64);
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -16,7 +16,7 @@
 }
 
 /// A path in the system's directory for temporary files that no other test uses.
-pub fn unused_directory() -> PathBuf {
+pub fn unused_path() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
     std::env::temp_dir().join(format!("liftrouter-storage-{}-{n}", std::process::id()))
--- a/crates/storage/tests/corruption.rs
+++ b/crates/storage/tests/corruption.rs
@@ -1,13 +1,13 @@
 //! Damage at every byte, power loss at every step, and arbitrary bytes.
 mod common;
 
-use common::{load_state, log_with, reopen, unused_directory, KIND};
+use common::{load_state, log_with, reopen, unused_path, KIND};
 use liftrouter_storage::{Directory, LoadedSnapshots, Log, LogTail, MemoryStorage, SnapshotStore, Storage};
 use proptest::prelude::*;
 
 #[test]
 fn a_directory_keeps_its_files_and_rejects_names_outside_it() {
-    let path = unused_directory();
+    let path = unused_path();
     let mut storage = Directory::open(&path).expect("a folder");
     let mut log = log_with(&mut storage, &[b"one", b"two"]);
     let mut store = SnapshotStore::new("state", KIND, 1);
@@ -87,7 +87,7 @@
     #[test]
     fn power_loss_at_any_step_keeps_what_was_synced(seed: u64, operations in 0u64..60, entries in 1usize..12) {
         let mut storage = MemoryStorage::new(seed);
-        storage.fails_after = Some(operations);
+        storage.operations_until_failure = Some(operations);
         let (mut synced, mut saved, mut appended) = (0, 0, 0);
         let mut store = SnapshotStore::new("state", KIND, 1);
         if let Ok((mut log, _)) = Log::open(&mut storage, "record", KIND) {
--- a/crates/storage/tests/fault_injection.rs
+++ b/crates/storage/tests/fault_injection.rs
@@ -1,7 +1,7 @@
 //! Each fault is shown to an unchecked reader or writer, which accepts wrong data, and to a log or snapshot store, which does not.
 mod common;
 
-use common::{faulty_storage, load_state, log_with, reopen, unused_directory, KIND};
+use common::{faulty_storage, load_state, log_with, reopen, unused_path, KIND};
 use liftrouter_storage::{
     Directory, FaultInjectingStorage, FaultSchedule, LoadedSnapshots, Log, LogTail, SnapshotStore, Storage,
     StorageFault,
@@ -12,7 +12,7 @@
     let (mut storage, schedule) = faulty_storage();
     storage.write("unchecked", b"one;").expect("written");
     let mut log = log_with(&mut storage, &[b"one"]);
-    schedule.begin(1, StorageFault::TornWrite { share: 0.5 }, None);
+    schedule.begin(1, StorageFault::TornWrite { stored_ratio: 0.5 }, None);
     storage.append("unchecked", b"twelve;").expect("success is reported");
     log.append(&mut storage, b"twelve").expect("success is reported");
     schedule.end(1);
@@ -34,7 +34,7 @@
 fn a_torn_write_before_later_entries_is_corruption_and_the_log_is_quarantined() {
     let (mut storage, schedule) = faulty_storage();
     let mut log = log_with(&mut storage, &[b"one"]);
-    schedule.begin(1, StorageFault::TornWrite { share: 0.5 }, None);
+    schedule.begin(1, StorageFault::TornWrite { stored_ratio: 0.5 }, None);
     log.append(&mut storage, b"two").expect("success is reported");
     schedule.end(1);
     log.append(&mut storage, b"three").expect("appended");
@@ -59,7 +59,7 @@
 #[test]
 fn a_failed_write_is_reported_and_blocks_the_log_until_it_is_reopened() {
     for fault_to_inject in
-        [StorageFault::ShortWrite { share: 0.4 }, StorageFault::NoSpace, StorageFault::IoError]
+        [StorageFault::ShortWrite { stored_ratio: 0.4 }, StorageFault::NoSpace, StorageFault::IoError]
     {
         let (mut storage, schedule) = faulty_storage();
         let mut log = log_with(&mut storage, &[b"one"]);
@@ -166,7 +166,7 @@
 
 #[test]
 fn faults_reach_another_process_by_a_file_and_end_with_it() {
-    let path = unused_directory();
+    let path = unused_path();
     let mut storage = FaultInjectingStorage::new(
         Directory::open(&path.join("store")).expect("a folder"),
         FaultSchedule::from_file(&path.join("schedule")),
@@ -174,7 +174,7 @@
     );
     storage.write("unchecked", b"all of it").expect("written");
     let other_process = FaultSchedule::new();
-    other_process.begin(4, StorageFault::TornWrite { share: 0.5 }, Some("unchecked"));
+    other_process.begin(4, StorageFault::TornWrite { stored_ratio: 0.5 }, Some("unchecked"));
     other_process.write_to(&path.join("schedule")).expect("written");
     storage.write("unchecked", b"all of it").expect("success is reported");
     storage.write("other", b"all of it").expect("written");
--- a/crates/storage/tests/format.rs
+++ b/crates/storage/tests/format.rs
@@ -104,8 +104,8 @@
 #[test]
 fn the_fault_file_keeps_its_names() {
     let faults = [
-        (StorageFault::ShortWrite { share: 0.5 }, r#"{"id":0,"lie":"short-write","share":0.5}"#),
-        (StorageFault::TornWrite { share: 0.5 }, r#"{"id":1,"lie":"torn-write","share":0.5}"#),
+        (StorageFault::ShortWrite { stored_ratio: 0.5 }, r#"{"id":0,"lie":"short-write","share":0.5}"#),
+        (StorageFault::TornWrite { stored_ratio: 0.5 }, r#"{"id":1,"lie":"torn-write","share":0.5}"#),
         (StorageFault::LostSync, r#"{"id":2,"lie":"empty-sync"}"#),
         (StorageFault::IoError, r#"{"id":3,"lie":"io"}"#),
         (StorageFault::NoSpace, r#"{"id":4,"lie":"full"}"#),
@@ -120,7 +120,7 @@
         let file = (*fault == StorageFault::DataLoss).then_some("record");
         schedule.begin(id as u32, *fault, file);
     }
-    let path = common::unused_directory();
+    let path = common::unused_path();
     schedule.write_to(&path).expect("written");
     let text = std::fs::read_to_string(&path).expect("read");
     std::fs::remove_file(path).expect("removed");
