--- a/crates/storage/src/directory.rs
+++ b/crates/storage/src/directory.rs
@@ -1,21 +1,21 @@
-//! A directory of the operating system.
+//! Storage in a directory of the file system.
 
 use crate::{Result, Storage, StorageError};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// The files of one directory of the operating system.
+/// A [`Storage`] that keeps its files in one directory of the file system.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
 }
 
 impl Directory {
-    /// Opens a directory and creates it if it does not exist.
+    /// Opens a directory, creating it and its parents if they do not exist.
     ///
     /// # Errors
-    /// It cannot be created, or the path is no directory.
+    /// The directory cannot be created, or the path is not a directory.
     pub fn open(path: &Path) -> Result<Directory> {
         fs::create_dir_all(path)
             .map_err(|source| StorageError::new("make", &path.display().to_string(), source))?;
@@ -24,7 +24,9 @@
 
     fn file_path(&self, name: &str) -> io::Result<PathBuf> {
         if name.is_empty() || name.starts_with('.') || name.contains(['/', '\\', '\0']) {
-            let message = format!("{name:?} is no name of a file in one folder");
+            let message = format!(
+                "{name:?} is not a valid file name: it is empty, starts with a dot or contains a separator"
+            );
             return Err(io::Error::new(ErrorKind::InvalidInput, message));
         }
         Ok(self.path.join(name))
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of storage operations.
+//! The error type of storage operations.
 
 use std::io;
 use thiserror::Error;
 
-/// A storage operation that failed, with the file it was meant for.
+/// A failed storage operation, with the file or directory it was applied to.
 #[derive(Debug, Error)]
 #[error("{file}: cannot {operation}: {source}")]
 pub struct StorageError {
-    /// The operation: `read`, `append to`, `sync` and so on.
+    /// The operation as it appears in the message: `read`, `append to`, `sync` and so on.
     pub operation: &'static str,
-    /// The file, or the directory.
+    /// Path or name of the file or directory.
     pub file: String,
-    /// The cause, from the operating system or from a check.
+    /// The cause: an error of the operating system, or a failed check of this crate.
     pub source: io::Error,
 }
 
--- a/crates/storage/src/fault.rs
+++ b/crates/storage/src/fault.rs
@@ -1,59 +1,59 @@
-//! Storage faults and the schedule that says which of them are active.
+//! Storage faults, and the schedule of the faults that are currently active.
 
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A fault of a disk. The serialized names are those of the fault file: see [`FaultSchedule::from_file`].
+/// A disk fault to inject. The serialized names are part of the fault file format: see [`FaultSchedule::from_file`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "lie")]
 pub enum StorageFault {
-    /// A write stores this share of its bytes and reports a failure.
+    /// A write stores only part of its bytes and reports a failure.
     ShortWrite {
-        /// From 0 to 1.
+        /// Stored bytes as a ratio of the bytes of the write, from 0 to 1.
         #[serde(rename = "share")]
         stored_ratio: f64,
     },
-    /// A write stores this share of its bytes and reports success.
+    /// A write stores only part of its bytes and reports success.
     TornWrite {
-        /// From 0 to 1.
+        /// Stored bytes as a ratio of the bytes of the write, from 0 to 1.
         #[serde(rename = "share")]
         stored_ratio: f64,
     },
-    /// A sync reports success and makes nothing durable: written data is there until the process ends.
+    /// A sync reports success but makes nothing durable: written data can be read until the process ends, then it is lost.
     #[serde(rename = "empty-sync")]
     LostSync,
     /// Every operation fails with EIO.
     #[serde(rename = "io")]
     IoError,
-    /// Every operation that writes fails with ENOSPC.
+    /// Every operation that modifies a file or the directory fails with ENOSPC; reads and syncs work.
     #[serde(rename = "full")]
     NoSpace,
     /// Every operation is delayed.
     Stall {
-        /// Milliseconds.
+        /// Length of the delay, in milliseconds.
         ms: u64,
     },
-    /// Reads return the content from when the fault began.
+    /// Reads return the content that the file had when the fault began.
     #[serde(rename = "old")]
     StaleRead,
-    /// Reads return one flipped bit.
+    /// Reads return the content with one bit flipped.
     #[serde(rename = "flip")]
     BitFlip,
-    /// A rename reports success and does nothing.
+    /// A rename reports success but has no effect.
     LostRename,
-    /// All content is lost when the fault begins.
+    /// All files to which the fault applies are deleted once, when it begins.
     #[serde(rename = "gone")]
     DataLoss,
 }
 
-/// A fault that is active, and for which files.
+/// An active fault, and the files to which it applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ActiveFault {
     pub(crate) id: u32,
     #[serde(flatten)]
     pub(crate) fault: StorageFault,
-    /// Files whose names begin with this; all files if it is missing.
+    /// The fault applies to files whose names start with this prefix, or to all files if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "file")]
     file_prefix: Option<String>,
 }
@@ -64,7 +64,8 @@
     }
 }
 
-/// The active faults: set by a test of this process, or read from a file that another process writes.
+/// The set of active faults. A test of the same process sets them directly; another process passes them through a file.
+/// Clones share the faults that were set directly.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSchedule {
     active: Arc<Mutex<Vec<ActiveFault>>>,
@@ -72,14 +73,14 @@
 }
 
 impl FaultSchedule {
-    /// A schedule without active faults.
+    /// Creates a schedule without active faults.
     pub fn new() -> FaultSchedule {
         FaultSchedule::default()
     }
 
-    /// A schedule read from a file at each operation, one fault a line:
-    /// `{"id": 1, "lie": "torn-write", "share": 0.5, "file": "record"}`. A missing file has no faults. A line that cannot be
-    /// parsed is reported on standard error and ignored: only the test kit writes this file.
+    /// Creates a schedule that is read from a file again at each operation. Each line of the file is one fault:
+    /// `{"id": 1, "lie": "torn-write", "share": 0.5, "file": "record"}`. If the file does not exist, no faults are active. A
+    /// line that cannot be parsed is reported on standard error and ignored, since only the test kit writes this file.
     pub fn from_file(path: &Path) -> FaultSchedule {
         FaultSchedule { active: Arc::default(), file: Some(path.into()) }
     }
@@ -88,17 +89,17 @@
         self.active.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Activates a fault for files whose names begin with a prefix, or for all files.
+    /// Activates a fault for all files whose names start with `file_prefix`, or for all files if it is `None`.
     pub fn begin(&self, id: u32, fault: StorageFault, file_prefix: Option<&str>) {
         self.active().push(ActiveFault { id, fault, file_prefix: file_prefix.map(Into::into) });
     }
 
-    /// Ends the faults with this id.
+    /// Deactivates the faults with this id.
     pub fn end(&self, id: u32) {
         self.active().retain(|active| active.id != id);
     }
 
-    /// Writes the active faults to a file for another process; the file is replaced as a whole.
+    /// Writes the active faults to a file for another process. The file is replaced atomically, by a rename.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -110,14 +111,14 @@
         std::fs::rename(temporary, path)
     }
 
-    /// The faults active now, those of the file included.
+    /// Returns the faults that are active now, including those of the file.
     pub(crate) fn current(&self) -> Vec<ActiveFault> {
         let mut faults = self.active().clone();
         let text = self.file.as_ref().and_then(|path| std::fs::read_to_string(path).ok()).unwrap_or_default();
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match serde_json::from_str(line) {
                 Ok(fault) => faults.push(fault),
-                Err(error) => eprintln!("liftrouter: a lie of the disk that is none: {line}: {error}"),
+                Err(error) => eprintln!("liftrouter: ignoring invalid storage fault: {line}: {error}"),
             }
         }
         faults
--- a/crates/storage/src/fault_injection.rs
+++ b/crates/storage/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Storage that injects faults into the operations of another one.
+//! A storage that injects faults into the operations of another storage.
 
 use crate::fault::ActiveFault;
 use crate::{FaultSchedule, Result, Storage, StorageError, StorageFault};
@@ -9,20 +9,21 @@
 const EIO: i32 = 5;
 const ENOSPC: i32 = 28;
 
-/// Content by file name.
+/// File contents by file name.
 type Files = BTreeMap<String, Vec<u8>>;
 
-/// Storage that forwards to another one and injects the active faults of a schedule.
+/// A [`Storage`] that forwards operations to another storage and injects the active faults of a schedule.
 #[derive(Debug)]
 pub struct FaultInjectingStorage<S> {
     storage: S,
     schedule: FaultSchedule,
-    /// Content from when a [`StorageFault::StaleRead`] began, by the id of the fault.
-    stale: BTreeMap<u32, Files>,
-    /// The cache while syncs are lost: content by file name, `None` for a removed file.
+    /// The files as they were when a [`StorageFault::StaleRead`] began, by the id of the fault.
+    stale_copies: BTreeMap<u32, Files>,
+    /// Changes that have not reached the wrapped storage because syncs are lost: content by file name, `None` for a removed
+    /// file.
     cache: BTreeMap<String, Option<Vec<u8>>>,
-    /// Ids of the [`StorageFault::DataLoss`] faults that have been carried out.
-    data_lost: Vec<u32>,
+    /// Ids of the active [`StorageFault::DataLoss`] faults whose files have been deleted already.
+    applied_data_losses: Vec<u32>,
     rng: fastrand::Rng,
 }
 
@@ -37,42 +38,42 @@
     faults.iter().any(|active| active.fault == fault)
 }
 
-/// The part of the bytes that a write stores, and whether the write reports a failure.
-fn stored_part<'a>(faults: &[ActiveFault], bytes: &'a [u8]) -> (&'a [u8], bool) {
-    let part = |ratio: f64| {
+/// Returns the bytes that a write stores under the active faults, and whether it reports a failure.
+fn stored_bytes<'a>(faults: &[ActiveFault], bytes: &'a [u8]) -> (&'a [u8], bool) {
+    let prefix = |ratio: f64| {
         let len = (bytes.len() as f64 * ratio.clamp(0.0, 1.0)) as usize;
         &bytes[..len.min(bytes.len())]
     };
     faults
         .iter()
         .find_map(|active| match active.fault {
-            StorageFault::ShortWrite { stored_ratio } => Some((part(stored_ratio), true)),
-            StorageFault::TornWrite { stored_ratio } => Some((part(stored_ratio), false)),
+            StorageFault::ShortWrite { stored_ratio } => Some((prefix(stored_ratio), true)),
+            StorageFault::TornWrite { stored_ratio } => Some((prefix(stored_ratio), false)),
             _ => None,
         })
         .unwrap_or((bytes, false))
 }
 
 impl<S: Storage> FaultInjectingStorage<S> {
-    /// Wraps another storage; what the faults leave open is drawn from the seed.
+    /// Wraps another storage. The seed determines which bits are flipped by [`StorageFault::BitFlip`].
     pub fn new(storage: S, schedule: FaultSchedule, seed: u64) -> FaultInjectingStorage<S> {
         let rng = fastrand::Rng::with_seed(seed);
         FaultInjectingStorage {
             storage,
             schedule,
-            stale: BTreeMap::new(),
+            stale_copies: BTreeMap::new(),
             cache: BTreeMap::new(),
-            data_lost: Vec::new(),
+            applied_data_losses: Vec::new(),
             rng,
         }
     }
 
-    /// The wrapped storage, without what is in the cache.
+    /// Returns the wrapped storage and drops the cached changes, as the end of the process would.
     pub fn into_inner(self) -> S {
         self.storage
     }
 
-    /// The current content of all files, the cache included.
+    /// Returns the current content of all files, including cached changes.
     fn all_files(&mut self) -> Result<Files> {
         let mut files = Files::new();
         for name in self.storage.list()? {
@@ -89,16 +90,17 @@
         Ok(files)
     }
 
-    /// Carries out what faults do at their begin and end, then those that affect every operation. Returns the faults that
-    /// apply to the file; a directory operation has an empty name and meets the faults of any file.
+    /// Handles faults that have begun or ended since the last operation, then applies those that delay or fail the operation
+    /// as a whole. Returns the faults that apply to the file. A directory operation passes an empty name and is affected by
+    /// the faults of all files.
     fn apply_faults(
         &mut self,
         operation: &'static str,
         name: &str,
-        writes: bool,
+        modifies: bool,
     ) -> Result<Vec<ActiveFault>> {
         let mut faults = self.schedule.current();
-        self.begin_faults(&faults)?;
+        self.update_fault_state(&faults)?;
         if !has_fault(&faults, StorageFault::LostSync) {
             self.flush_cache()?;
         }
@@ -108,29 +110,32 @@
             match active.fault {
                 StorageFault::Stall { ms } => std::thread::sleep(Duration::from_millis(ms)),
                 StorageFault::IoError => return error(EIO),
-                StorageFault::NoSpace if writes => return error(ENOSPC),
+                StorageFault::NoSpace if modifies => return error(ENOSPC),
                 _ => {}
             }
         }
         Ok(faults)
     }
 
-    fn begin_faults(&mut self, faults: &[ActiveFault]) -> Result<()> {
-        self.stale.retain(|id, _| faults.iter().any(|active| active.id == *id));
-        self.data_lost.retain(|id| faults.iter().any(|active| active.id == *id));
+    /// Copies the files for stale reads that have begun, deletes the files of data losses that have begun, and drops the
+    /// state of faults that have ended.
+    fn update_fault_state(&mut self, faults: &[ActiveFault]) -> Result<()> {
+        self.stale_copies.retain(|id, _| faults.iter().any(|active| active.id == *id));
+        self.applied_data_losses.retain(|id| faults.iter().any(|active| active.id == *id));
         for active in faults {
-            if active.fault == StorageFault::StaleRead && !self.stale.contains_key(&active.id) {
+            if active.fault == StorageFault::StaleRead && !self.stale_copies.contains_key(&active.id) {
                 let files = self.all_files()?;
-                self.stale.insert(active.id, files);
+                self.stale_copies.insert(active.id, files);
             }
-            if active.fault == StorageFault::DataLoss && !self.data_lost.contains(&active.id) {
-                self.data_lost.push(active.id);
+            if active.fault == StorageFault::DataLoss && !self.applied_data_losses.contains(&active.id) {
+                self.applied_data_losses.push(active.id);
                 self.lose_data(active)?;
             }
         }
         Ok(())
     }
 
+    /// Deletes the files to which a fault applies, and drops all cached changes.
     fn lose_data(&mut self, active: &ActiveFault) -> Result<()> {
         self.cache.clear();
         for name in self.storage.list()? {
@@ -141,6 +146,7 @@
         Ok(())
     }
 
+    /// Writes the cached changes to the wrapped storage.
     fn flush_cache(&mut self) -> Result<()> {
         for (name, cached) in std::mem::take(&mut self.cache) {
             match cached {
@@ -151,16 +157,18 @@
         Ok(())
     }
 
-    /// Whether an operation on a file stays in the cache: syncs are lost, or the file is in the cache already.
+    /// Whether an operation on a file applies to the cache: syncs are lost, or the file is cached already.
     fn is_cached(&self, faults: &[ActiveFault], name: &str) -> bool {
         has_fault(faults, StorageFault::LostSync) || self.cache.contains_key(name)
     }
 
+    /// Returns the files as they were when the first active stale read began.
     fn stale_files(&self, faults: &[ActiveFault]) -> Option<&Files> {
         let active = faults.iter().find(|active| active.fault == StorageFault::StaleRead)?;
-        self.stale.get(&active.id)
+        self.stale_copies.get(&active.id)
     }
 
+    /// Returns the content of a file, including cached changes.
     fn current_content(&mut self, name: &str) -> Result<Option<Vec<u8>>> {
         match self.cache.get(name) {
             Some(cached) => Ok(cached.clone()),
@@ -168,22 +176,29 @@
         }
     }
 
-    fn store(&mut self, name: &str, bytes: &[u8], faults: &[ActiveFault], mode: WriteMode) -> Result<()> {
-        let (part, reports_failure) = stored_part(faults, bytes);
+    /// Writes the bytes that the active faults let through, to the cache or to the wrapped storage.
+    fn write_with_faults(
+        &mut self,
+        name: &str,
+        bytes: &[u8],
+        faults: &[ActiveFault],
+        mode: WriteMode,
+    ) -> Result<()> {
+        let (stored, reports_failure) = stored_bytes(faults, bytes);
         if self.is_cached(faults, name) {
             let mut content = match mode {
                 WriteMode::Append => self.current_content(name)?.unwrap_or_default(),
                 WriteMode::Replace => Vec::new(),
             };
-            content.extend_from_slice(part);
+            content.extend_from_slice(stored);
             self.cache.insert(name.into(), Some(content));
         } else if mode == WriteMode::Append {
-            self.storage.append(name, part)?;
+            self.storage.append(name, stored)?;
         } else {
-            self.storage.write(name, part)?;
+            self.storage.write(name, stored)?;
         }
         if reports_failure {
-            let message = format!("{} of {} bytes were written", part.len(), bytes.len());
+            let message = format!("{} of {} bytes were written", stored.len(), bytes.len());
             return Err(StorageError::new("write", name, Error::new(ErrorKind::WriteZero, message)));
         }
         Ok(())
@@ -208,12 +223,12 @@
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         let faults = self.apply_faults("write", name, true)?;
-        self.store(name, bytes, &faults, WriteMode::Replace)
+        self.write_with_faults(name, bytes, &faults, WriteMode::Replace)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         let faults = self.apply_faults("append to", name, true)?;
-        self.store(name, bytes, &faults, WriteMode::Append)
+        self.write_with_faults(name, bytes, &faults, WriteMode::Append)
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> Result<()> {
--- a/crates/storage/src/little_endian.rs
+++ b/crates/storage/src/little_endian.rs
@@ -1,4 +1,4 @@
-//! Little-endian integers at an offset of a byte slice; `None` where the slice ends before them.
+//! Reads little-endian integers at an offset of a byte slice. Returns `None` if the slice is too short.
 
 fn array_at<const N: usize>(bytes: &[u8], offset: usize) -> Option<[u8; N]> {
     bytes.get(offset..offset + N)?.try_into().ok()
--- a/crates/storage/src/log/recovery.rs
+++ b/crates/storage/src/log/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads the entries of a log and tells an interrupted last write from damage.
+//! Recovers the entries of a log, and distinguishes an interrupted last write from corruption.
 
 use super::encoding::{
     decode_frame, header, header_format_version, header_kind, Frame, FORMAT_VERSION, HEADER_BYTES, MAGIC,
@@ -8,64 +8,64 @@
 /// How a recovered log ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogTail {
-    /// With its last entry.
+    /// With its last entry, complete.
     Complete,
-    /// With a part of an entry whose write was interrupted. No synced entry is missing, provided that the disk reported its
-    /// syncs truthfully.
+    /// With part of an entry whose write was interrupted. No synced entry is missing, unless the disk reported a sync as
+    /// successful without performing it.
     Torn {
-        /// Where the part begins.
+        /// The offset at which the incomplete entry begins.
         offset: u64,
-        /// Length of the part, in bytes.
+        /// Length of the incomplete entry, in bytes.
         bytes: u64,
     },
-    /// With damage that is not an interrupted last write. Entries behind the damage are not recovered.
+    /// With corruption that an interrupted last write does not explain. Entries after it are not recovered.
     Corrupt {
-        /// Where the damage begins.
+        /// The offset at which the corruption begins.
         offset: u64,
-        /// What was found there.
+        /// What was found at the offset.
         cause: LogCorruption,
     },
 }
 
-/// The damage found in a log: what was found, and what was expected.
+/// The corruption found in a log: what was found, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LogCorruption {
-    /// The file is no log.
-    #[error("it does not begin as a log does")]
+    /// The file does not begin with the magic bytes of a log.
+    #[error("not a log file: the magic bytes do not match")]
     NotALog,
-    /// The log has another format.
-    #[error("a log of version {found}, expected {FORMAT_VERSION}")]
+    /// The log has a format version that this program does not support.
+    #[error("log format version {found}, expected {FORMAT_VERSION}")]
     FormatVersion {
-        /// The version in the header.
+        /// The format version in the header.
         found: u16,
     },
     /// The log belongs to another store.
-    #[error("a log of kind {found}, expected {expected}")]
+    #[error("log kind {found}, expected {expected}")]
     Kind {
         /// The kind in the header.
         found: u32,
         /// The kind that the log was opened with.
         expected: u32,
     },
-    /// The header does not match its checksum.
-    #[error("its head is damaged")]
+    /// The header is damaged: its checksum does not match, or it is incomplete and is not the start of a valid header.
+    #[error("the header is corrupt")]
     Header,
-    /// Entries are missing, or stand twice.
-    #[error("entry {found}, expected {expected}")]
+    /// Entries are missing or duplicated.
+    #[error("entry {found}, expected entry {expected}")]
     Sequence {
         /// The sequence number found.
         found: u64,
-        /// The one that follows the entry before.
+        /// The successor of the previous entry's sequence number.
         expected: u64,
     },
     /// Undamaged entries follow bytes that cannot be decoded.
-    #[error("{bytes} bytes that are no entry before entry {following}, expected {}", expected_entry(*.expected))]
+    #[error("{bytes} undecodable bytes before entry {following}, expected {}", expected_entry(*.expected))]
     Gap {
-        /// Length of the damaged part.
+        /// Length of the undecodable part, in bytes.
         bytes: usize,
-        /// Sequence number of the first undamaged entry behind it.
+        /// Sequence number of the first undamaged entry after that part.
         following: u64,
-        /// The sequence number expected in its place; `None` before the first entry.
+        /// The sequence number that was expected instead; `None` if no entry was recovered before.
         expected: Option<u64>,
     },
 }
@@ -77,9 +77,9 @@
 /// What was recovered from a log when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecovery {
-    /// The entries up to the first damage.
+    /// The entries before the torn or corrupt part, if there is one.
     pub entries: Vec<Vec<u8>>,
-    /// The sequence number of the first of them.
+    /// The sequence number of the first entry; 0 if there are no entries.
     pub first_sequence: u64,
     /// How the log ends.
     pub tail: LogTail,
@@ -103,6 +103,7 @@
     recovery
 }
 
+/// Recovers the entries after the header, and returns how the log ends.
 fn recover_entries(bytes: &[u8], recovery: &mut LogRecovery) -> LogTail {
     let mut offset = HEADER_BYTES;
     let mut expected = None;
@@ -125,7 +126,8 @@
     LogTail::Complete
 }
 
-/// Bytes that cannot be decoded are an interrupted write only if no later entry follows them.
+/// Classifies a tail whose first frame cannot be decoded. It is an interrupted write only if no later entry follows; only
+/// the first frame that can be decoded after it is considered.
 fn undecodable_tail(bytes: &[u8], offset: usize, expected: Option<u64>) -> LogTail {
     let following = (offset + 1..bytes.len())
         .find_map(|candidate| Some((candidate, decode_frame(bytes, candidate)?.sequence)));
@@ -138,6 +140,7 @@
     }
 }
 
+/// Returns why a header differs from the expected one.
 fn header_corruption(bytes: &[u8], expected: u32) -> LogCorruption {
     if !bytes.starts_with(MAGIC) {
         return LogCorruption::NotALog;
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,4 +1,4 @@
-//! Storage in memory whose power can be cut at any step.
+//! An in-memory storage that simulates a process kill or a power loss after any operation.
 
 use crate::{Result, Storage, StorageError};
 use std::collections::BTreeMap;
@@ -7,10 +7,10 @@
 /// Identifies a file independently of its name, as an inode does.
 type FileId = u64;
 
-/// The directory: file by name.
+/// The directory: file ids by file name.
 type Names = BTreeMap<String, FileId>;
 
-/// A change that is not durable yet: a power loss keeps all of it, a part, or nothing.
+/// A change that is not durable yet. A power loss preserves all of it, part of it, or nothing.
 #[derive(Clone, Debug)]
 enum Change {
     Write(FileId, Vec<u8>),
@@ -26,24 +26,26 @@
     }
 }
 
-/// Storage in memory. What was not synced may be lost on a power loss: all of it, a part, or nothing, drawn from a seed.
+/// A [`Storage`] in memory for tests. A power loss preserves all, part or nothing of each change that was not synced, drawn
+/// from a seeded random generator.
 #[derive(Clone, Debug)]
 pub struct MemoryStorage {
     names: Names,
     durable_names: Names,
     files: BTreeMap<FileId, Vec<u8>>,
     durable_files: BTreeMap<FileId, Vec<u8>>,
-    /// Changes since the files were last synced, in order.
+    /// Changes to files since their last sync, in order.
     unsynced: Vec<Change>,
-    last_file: FileId,
+    last_file_id: FileId,
     rng: fastrand::Rng,
     operations: u64,
-    /// After this many further operations every operation fails, as if the process had been killed there.
+    /// Counts down with each operation that [`MemoryStorage::operations`] counts. At 0 all of them fail, as if the process
+    /// had been killed; [`MemoryStorage::power_loss`] resets it to `None`, which means no failures.
     pub operations_until_failure: Option<u64>,
 }
 
 impl MemoryStorage {
-    /// Empty storage; the effects of power losses are drawn from the seed.
+    /// Creates an empty storage. The seed determines which unsynced changes a power loss preserves.
     pub fn new(seed: u64) -> MemoryStorage {
         MemoryStorage {
             names: Names::new(),
@@ -51,19 +53,21 @@
             files: BTreeMap::new(),
             durable_files: BTreeMap::new(),
             unsynced: Vec::new(),
-            last_file: 0,
+            last_file_id: 0,
             rng: fastrand::Rng::with_seed(seed),
             operations: 0,
             operations_until_failure: None,
         }
     }
 
-    /// Successful operations so far that changed something or made it durable.
+    /// Returns the number of operations so far that modify files, the directory or their durable state, without those that
+    /// [`MemoryStorage::operations_until_failure`] made fail.
     pub fn operations(&self) -> u64 {
         self.operations
     }
 
-    /// Cuts the power and restores it. Synced data is there; of the rest each change may be there, in part, or not.
+    /// Simulates a power loss and a restart. Synced data is preserved; each unsynced change is preserved completely, in
+    /// part, or not at all.
     pub fn power_loss(&mut self) {
         self.operations_until_failure = None;
         let mut files = std::mem::take(&mut self.durable_files);
@@ -81,7 +85,7 @@
                 (Change::Truncate(file, len), _) => files.entry(file).or_default().truncate(len as usize),
             }
         }
-        // The directory is written as one: its changes survive in their order or not at all.
+        // Unsynced changes to the directory are preserved all together or not at all.
         if self.rng.bool() {
             self.durable_names = self.names.clone();
         }
@@ -94,7 +98,7 @@
         self.durable_files = files;
     }
 
-    /// How many of `len` written bytes survive: all of them for an extent of 1, otherwise a random part.
+    /// Returns how many of `len` written bytes a power loss preserves: all if `extent` is 1, otherwise a random number.
     fn surviving_len(&mut self, extent: u8, len: usize) -> usize {
         if extent == 1 {
             len
@@ -103,27 +107,28 @@
         }
     }
 
+    /// Counts an operation, or fails it if the simulated process has been killed.
     fn count_operation(&mut self, operation: &'static str, name: &str) -> Result<()> {
         if self.operations_until_failure == Some(0) {
-            let source = Error::new(ErrorKind::Interrupted, "the process is dead");
+            let source = Error::new(ErrorKind::Interrupted, "simulated process kill");
             return Err(StorageError::new(operation, name, source));
         }
-        self.operations_until_failure = self.operations_until_failure.map(|left| left - 1);
+        self.operations_until_failure = self.operations_until_failure.map(|remaining| remaining - 1);
         self.operations += 1;
         Ok(())
     }
 
     fn existing(&self, operation: &'static str, name: &str) -> Result<FileId> {
         let missing =
-            || StorageError::new(operation, name, Error::new(ErrorKind::NotFound, "it is not there"));
+            || StorageError::new(operation, name, Error::new(ErrorKind::NotFound, "file does not exist"));
         self.names.get(name).copied().ok_or_else(missing)
     }
 
     fn existing_or_new(&mut self, name: &str) -> FileId {
-        let last_file = &mut self.last_file;
+        let last_file_id = &mut self.last_file_id;
         *self.names.entry(name.into()).or_insert_with(|| {
-            *last_file += 1;
-            *last_file
+            *last_file_id += 1;
+            *last_file_id
         })
     }
 }
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots in two generations: a new one replaces the older, so that the newer survives a failure at any step.
+//! Snapshots, of which the last two generations are kept: a new snapshot replaces the older one, so that the newer one
+//! survives a failure at any step.
 //!
 //! File format, integers little-endian: magic, format version (u16), kind (u32), content version (u16), generation (u64),
 //! length (u64), the content, CRC-32 of all before it.
@@ -19,29 +20,29 @@
 const CHECKSUM_BYTES: usize = 4;
 const MIN_FILE_BYTES: usize = HEADER_BYTES + CHECKSUM_BYTES;
 
-/// The snapshots of one store, under one name.
+/// Saves and loads the snapshots of one state, in two files under a common name.
 #[derive(Debug)]
 pub struct SnapshotStore {
     name: String,
     kind: u32,
     content_version: u16,
-    /// The newest generation that was saved or loaded.
+    /// The newest generation that was saved or loaded; 0 if there is none.
     newest_generation: u64,
 }
 
-/// An undamaged snapshot.
+/// A snapshot whose header and checksum are valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Counts up from 1 with each snapshot saved.
+    /// The number of the snapshot: 1 for the first one, and one more with each snapshot saved.
     pub generation: u64,
-    /// The content.
+    /// The content that was passed to [`SnapshotStore::save`].
     pub bytes: Vec<u8>,
 }
 
 /// A snapshot file that was not loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedSnapshot {
-    /// The file.
+    /// Name of the file.
     pub file: String,
     /// Why it was rejected.
     pub cause: SnapshotRejection,
@@ -50,48 +51,48 @@
 /// Why a snapshot file was rejected: what was found, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, ThisError)]
 pub enum SnapshotRejection {
-    /// The file is shorter than any snapshot.
-    #[error("{found} bytes, expected {MIN_FILE_BYTES} at least: it is torn")]
+    /// The file is shorter than a snapshot without content.
+    #[error("torn file: {found} bytes, expected at least {MIN_FILE_BYTES}")]
     TooShort {
         /// Length of the file, in bytes.
         found: usize,
     },
-    /// The file is no snapshot.
-    #[error("it does not begin as a snapshot does")]
+    /// The file does not begin with the magic bytes of a snapshot.
+    #[error("not a snapshot file: the magic bytes do not match")]
     NotASnapshot,
-    /// The file has another format.
-    #[error("a snapshot of format {found}, expected {FORMAT_VERSION}")]
+    /// The file has a format version that this program does not support.
+    #[error("snapshot format version {found}, expected {FORMAT_VERSION}")]
     FormatVersion {
         /// The format version in the header.
         found: u16,
     },
-    /// The file is not as long as its header says.
-    #[error("{found} bytes, expected {expected}: it is torn")]
+    /// The length of the file differs from the length that its header implies.
+    #[error("torn file: {found} bytes, expected {expected}")]
     Torn {
         /// Length of the file, in bytes.
         found: usize,
-        /// The length by the header.
+        /// The length of the file according to the header, in bytes.
         expected: u64,
     },
-    /// The content does not match its checksum.
-    #[error("its checksum is {found:08x}, expected {expected:08x}: bytes of it are changed")]
+    /// The checksum does not match the header and content.
+    #[error("checksum mismatch: computed {found:08x}, stored {expected:08x}")]
     Checksum {
-        /// Computed from the file.
+        /// The checksum computed from the file.
         found: u32,
-        /// Stored in the file.
+        /// The checksum stored in the file.
         expected: u32,
     },
     /// The snapshot belongs to another store.
-    #[error("a snapshot of kind {found}, expected {expected}: it is another store's")]
+    #[error("snapshot kind {found}, expected {expected}: it belongs to another store")]
     Kind {
         /// The kind in the header.
         found: u32,
         /// The kind of this store.
         expected: u32,
     },
-    /// The content was written by another version of the program.
+    /// The content has another version than this store: another version of the program wrote it.
     #[error(
-        "it is of version {found}, expected {expected}: {} program's",
+        "content version {found}, expected {expected}: written by {} version of the program",
         if .found > .expected { "a later" } else { "an earlier" }
     )]
     ContentVersion {
@@ -100,39 +101,39 @@
         /// The content version of this store.
         expected: u16,
     },
-    /// The generation does not belong under this name: an old copy was put back.
-    #[error("generation {generation} under this name: it is misplaced")]
+    /// The generation belongs in the other file of the store: an old copy was put back under the wrong name.
+    #[error("misplaced snapshot: generation {generation} belongs in the other file")]
     Misplaced {
         /// The generation in the header.
         generation: u64,
     },
 }
 
-/// What was found when snapshots were loaded.
+/// The result of [`SnapshotStore::load`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadedSnapshots {
-    /// The newest undamaged snapshot.
+    /// The newest valid snapshot; `None` if there is none.
     pub newest: Option<Snapshot>,
-    /// Files that were not loaded.
+    /// The files that were rejected.
     pub rejected: Vec<RejectedSnapshot>,
 }
 
 #[derive(Debug, ThisError)]
 enum VerificationError {
-    #[error("what was written is not what is there")]
+    #[error("the content read back differs from the content written")]
     ContentDiffers,
-    #[error("the rename said yes and did nothing")]
+    #[error("the rename reported success but had no effect")]
     RenameLost,
 }
 
 impl SnapshotStore {
-    /// The snapshots under a name. `kind` tells them from those of other stores, `content_version` from those of other versions of
-    /// the program.
+    /// Creates a store for the snapshots under a name. It rejects files of another `kind`, which belong to another store,
+    /// and of another `content_version`, which were written by another version of the program.
     pub fn new(name: &str, kind: u32, content_version: u16) -> SnapshotStore {
         SnapshotStore { name: name.into(), kind, content_version, newest_generation: 0 }
     }
 
-    /// The file of a generation: even and odd generations have one each.
+    /// The name of the file that holds a generation: one file holds even generations, the other odd ones.
     fn file(&self, generation: u64) -> String {
         format!("{}.{}", self.name, generation % 2)
     }
@@ -168,7 +169,7 @@
         Ok(Snapshot { generation, bytes: content })
     }
 
-    /// Decodes the file of the even (0) or odd (1) generations.
+    /// Decodes the file that holds the even (`parity` 0) or odd (1) generations.
     fn decode_file(&self, bytes: &[u8], parity: u64) -> std::result::Result<Snapshot, SnapshotRejection> {
         let snapshot = self.decode(bytes)?;
         if snapshot.generation % 2 == parity {
@@ -178,11 +179,11 @@
         }
     }
 
-    /// Loads the newest undamaged snapshot. A disk that returns an old file as the newest is not detected here: compare the
-    /// generation with what other processes know.
+    /// Loads the newest valid snapshot. A disk that returns an older version of a file is not detected here: the caller must
+    /// compare the generation with the one that other processes know.
     ///
     /// # Errors
-    /// A file cannot be read, and there is no undamaged snapshot in the other.
+    /// A file cannot be read, and the other file holds no valid snapshot.
     pub fn load(&mut self, storage: &mut dyn Storage) -> Result<LoadedSnapshots> {
         let mut loaded = LoadedSnapshots::default();
         let mut read_error = None;
@@ -213,11 +214,11 @@
         }
     }
 
-    /// Saves a snapshot in place of the older of two and returns its generation. It is read back before it replaces
-    /// anything, so that a torn write that was reported as successful leaves both as they were.
+    /// Saves a snapshot in place of the older of the two existing ones, and returns its generation. The new file is read
+    /// back before it replaces the older one, so that a torn write that was reported as successful leaves both unchanged.
     ///
     /// # Errors
-    /// The snapshot cannot be written, made durable or read back. The newer of the two is there as before.
+    /// The snapshot cannot be written, made durable or read back. The newer of the existing snapshots is unchanged.
     pub fn save(&mut self, storage: &mut dyn Storage, content: &[u8]) -> Result<u64> {
         let generation = self.newest_generation + 1;
         let bytes = self.encode(generation, content);
@@ -228,14 +229,14 @@
         let file = self.file(generation);
         storage.rename(&temporary, &file)?;
         storage.sync_directory()?;
-        // A lost rename would leave two old generations, and the next save would replace the newer of them.
+        // An undetected lost rename would leave two old generations, and the next save would replace the newer of them.
         verify(storage, &file, &bytes, VerificationError::RenameLost)?;
         self.newest_generation = generation;
         Ok(generation)
     }
 }
 
-/// Checks length, format and checksum.
+/// Checks the length, magic bytes, format version and checksum of a snapshot file.
 fn check_integrity(bytes: &[u8]) -> std::result::Result<(), SnapshotRejection> {
     if bytes.len() < MIN_FILE_BYTES {
         return Err(SnapshotRejection::TooShort { found: bytes.len() });
@@ -261,14 +262,10 @@
     Ok(())
 }
 
-fn verify(
-    storage: &mut dyn Storage,
-    file: &str,
-    expected: &[u8],
-    otherwise: VerificationError,
-) -> Result<()> {
+/// Reads a file back, and fails with `mismatch` if its content is not as expected.
+fn verify(storage: &mut dyn Storage, file: &str, expected: &[u8], mismatch: VerificationError) -> Result<()> {
     if storage.read(file)?.as_deref() == Some(expected) {
         return Ok(());
     }
-    Err(StorageError::new("store", file, Error::new(ErrorKind::InvalidData, otherwise)))
+    Err(StorageError::new("store", file, Error::new(ErrorKind::InvalidData, mismatch)))
 }
--- a/crates/storage/tests/format.rs
+++ b/crates/storage/tests/format.rs
@@ -1,4 +1,5 @@
-//! The files in `fixtures` were written by b315b5b: they must stay readable and be written again byte for byte.
+//! Tests that the file formats do not change. The files in `fixtures` were written by commit b315b5b: they must stay
+//! readable, and writing the same content must produce the same bytes.
 mod common;
 
 use common::KIND;
@@ -17,13 +18,14 @@
 const SNAPSHOT_CORRUPT: &[u8] = include_bytes!("fixtures/snapshot-corrupt.bin");
 const SNAPSHOT_VERSION: u16 = 3;
 
+/// Writes a log file with this content and opens it.
 fn recover_log(storage: &mut MemoryStorage, bytes: &[u8]) -> (Log, LogRecovery) {
-    storage.write("record", bytes).expect("written");
-    Log::open(storage, "record", KIND).expect("opened")
+    storage.write("record", bytes).expect("write file");
+    Log::open(storage, "record", KIND).expect("open log")
 }
 
 fn content(storage: &mut MemoryStorage, file: &str) -> Vec<u8> {
-    storage.read(file).expect("read").expect("there")
+    storage.read(file).expect("read file").expect("file exists")
 }
 
 #[test]
@@ -36,10 +38,10 @@
         (FIRST_SEQUENCE, &ENTRIES.map(Vec::from)[..])
     );
     let mut storage = MemoryStorage::new(1);
-    let (mut log, _) = Log::open(&mut storage, "record", KIND).expect("opened");
+    let (mut log, _) = Log::open(&mut storage, "record", KIND).expect("open log");
     log.continue_from(FIRST_SEQUENCE);
     for entry in ENTRIES {
-        log.append(&mut storage, entry).expect("appended");
+        log.append(&mut storage, entry).expect("append entry");
     }
     assert_eq!(content(&mut storage, "record"), LOG_COMPLETE);
 }
@@ -53,39 +55,40 @@
         (recovery.first_sequence, &recovery.entries[..]),
         (FIRST_SEQUENCE, &ENTRIES[..2].iter().map(|entry| entry.to_vec()).collect::<Vec<_>>()[..])
     );
-    log.append(&mut storage, ENTRIES[2]).expect("appended");
+    log.append(&mut storage, ENTRIES[2]).expect("append entry");
     assert_eq!(content(&mut storage, "record"), LOG_COMPLETE);
 }
 
 #[test]
-fn a_corrupt_log_is_named_with_its_damage_and_left_as_it_is() {
+fn a_corrupt_log_is_reported_with_offset_and_cause_and_left_unchanged() {
     let mut storage = MemoryStorage::new(1);
     let (mut log, recovery) = recover_log(&mut storage, LOG_CORRUPT);
     let cause = LogCorruption::Gap { bytes: 27, following: FIRST_SEQUENCE + 1, expected: None };
     assert_eq!(recovery.tail, LogTail::Corrupt { offset: 14, cause });
     assert!(recovery.entries.is_empty());
-    let error = log.append(&mut storage, b"more").expect_err("corrupt").to_string();
+    let error = log.append(&mut storage, b"more").expect_err("the log is corrupt").to_string();
     assert_eq!(
         error,
-        "record: cannot append to: broken at byte 14: 27 bytes that are no entry before entry 42, expected the first entry"
+        "record: cannot append to: corrupt at byte 14: 27 undecodable bytes before entry 42, expected the first entry"
     );
     assert_eq!(content(&mut storage, "record"), LOG_CORRUPT);
 }
 
+/// Writes a snapshot file with this content and loads it.
 fn load_snapshot(bytes: &[u8]) -> LoadedSnapshots {
     let mut storage = MemoryStorage::new(1);
-    storage.write("state.0", bytes).expect("written");
+    storage.write("state.0", bytes).expect("write file");
     common::load_state(&mut storage, KIND, SNAPSHOT_VERSION)
 }
 
 #[test]
 fn a_complete_snapshot_is_loaded_and_written_again_byte_for_byte() {
-    let snapshot = load_snapshot(SNAPSHOT_COMPLETE).newest.expect("complete");
+    let snapshot = load_snapshot(SNAPSHOT_COMPLETE).newest.expect("valid snapshot");
     assert_eq!((snapshot.generation, &snapshot.bytes[..]), (2, &b"second state"[..]));
     let mut storage = MemoryStorage::new(1);
     let mut store = SnapshotStore::new("state", KIND, SNAPSHOT_VERSION);
-    store.save(&mut storage, b"first state").expect("saved");
-    store.save(&mut storage, b"second state").expect("saved");
+    store.save(&mut storage, b"first state").expect("save snapshot");
+    store.save(&mut storage, b"second state").expect("save snapshot");
     assert_eq!(content(&mut storage, "state.0"), SNAPSHOT_COMPLETE);
 }
 
@@ -95,14 +98,14 @@
     assert!(torn.newest.is_none());
     assert_eq!(torn.rejected[0].file, "state.0");
     assert_eq!(torn.rejected[0].cause, SnapshotRejection::Torn { found: 40, expected: 44 });
-    assert_eq!(torn.rejected[0].cause.to_string(), "40 bytes, expected 44: it is torn");
+    assert_eq!(torn.rejected[0].cause.to_string(), "torn file: 40 bytes, expected 44");
     let corrupt = load_snapshot(SNAPSHOT_CORRUPT);
     assert!(corrupt.newest.is_none());
     assert!(matches!(corrupt.rejected[0].cause, SnapshotRejection::Checksum { .. }), "{corrupt:?}");
 }
 
 #[test]
-fn the_fault_file_keeps_its_names() {
+fn the_names_in_the_fault_file_are_stable() {
     let faults = [
         (StorageFault::ShortWrite { stored_ratio: 0.5 }, r#"{"id":0,"lie":"short-write","share":0.5}"#),
         (StorageFault::TornWrite { stored_ratio: 0.5 }, r#"{"id":1,"lie":"torn-write","share":0.5}"#),
@@ -121,8 +124,8 @@
         schedule.begin(id as u32, *fault, file);
     }
     let path = common::unused_path();
-    schedule.write_to(&path).expect("written");
-    let text = std::fs::read_to_string(&path).expect("read");
-    std::fs::remove_file(path).expect("removed");
+    schedule.write_to(&path).expect("write file");
+    let text = std::fs::read_to_string(&path).expect("read file");
+    std::fs::remove_file(path).expect("remove file");
     assert_eq!(text.lines().collect::<Vec<_>>(), faults.map(|(_, line)| line));
 }
