--- a/crates/catalog/examples/tree.rs
+++ b/crates/catalog/examples/tree.rs
@@ -7,43 +7,43 @@
 mod support;
 
 use std::process::ExitCode;
-use support::scenario::{play, Outcome, Scenario};
-use support::world::{Broken, Settings};
+use support::scenario::{run_scenario, Outcome, Scenario};
+use support::world::{Defect, Settings};
 
 const DEFAULT_SIZES: [usize; 3] = [100, 1_000, 7_100];
 
 const FAULTS: [Scenario; 10] = [
     Scenario::Steady,
-    Scenario::ZoneRelayDies,
-    Scenario::RegionRelayDies,
-    Scenario::RelayIsSlow,
+    Scenario::ZoneRelayCrashes,
+    Scenario::RegionRelayCrashes,
+    Scenario::SlowRelay,
     Scenario::ReplicasReturn,
     Scenario::RevisionsLost,
     Scenario::ZoneJoins,
-    Scenario::RegionsApart,
-    Scenario::RegionsPartOften,
+    Scenario::RegionPartition,
+    Scenario::RepeatedRegionPartitions,
     Scenario::TenthRestarts,
 ];
 
-const BROKEN: [Broken; 3] = [Broken::NoDigests, Broken::RelayDropsChanges, Broken::NeverStale];
+const BROKEN: [Defect; 3] = [Defect::NoDigests, Defect::RelayDropsChanges, Defect::NeverStale];
 
 fn name(scenario: Scenario) -> &'static str {
     match scenario {
         Scenario::Steady => "steady",
-        Scenario::ZoneRelayDies => "a relay of a zone dies in a burst of 100 changes a second",
-        Scenario::RegionRelayDies => "a relay of a region dies in such a burst",
-        Scenario::RelayIsSlow => "a relay of a region becomes slow by 3 s",
+        Scenario::ZoneRelayCrashes => "a relay of a zone dies in a burst of 100 changes a second",
+        Scenario::RegionRelayCrashes => "a relay of a region dies in such a burst",
+        Scenario::SlowRelay => "a relay of a region becomes slow by 3 s",
         Scenario::ReplicasReturn => "a tenth of the replicas returns after an hour",
         Scenario::RevisionsLost => "one revision lost on the way to a replica, one to a relay",
         Scenario::ZoneJoins => "all replicas of a zone join at once",
-        Scenario::RegionsApart => "the regions are apart for an hour",
-        Scenario::RegionsPartOften => "the regions part for 15 s, 20 times",
+        Scenario::RegionPartition => "the regions are apart for an hour",
+        Scenario::RepeatedRegionPartitions => "the regions part for 15 s, 20 times",
         Scenario::TenthRestarts => "a tenth of the replicas restarts",
     }
 }
 
-fn broken_name(broken: Broken) -> String {
-    format!("BROKEN {broken:?}: {}", name(broken.shown_by()))
+fn broken_name(broken: Defect) -> String {
+    format!("BROKEN {broken:?}: {}", name(broken.exposing_scenario()))
 }
 
 fn main() -> ExitCode {
@@ -59,12 +59,15 @@
     let mut violations = 0;
     for size in sizes {
         for scenario in FAULTS.into_iter().filter(|scenario| is_selected(name(*scenario))) {
-            let outcome = play(scenario, Settings::of_size(size));
+            let outcome = run_scenario(scenario, Settings::with_replicas(size));
             print_row(size, name(scenario), &outcome);
             violations += outcome.violations.len();
         }
         for broken in BROKEN.into_iter().filter(|broken| is_selected(&broken_name(*broken))) {
-            let outcome = play(broken.shown_by(), Settings { broken, ..Settings::of_size(size) });
+            let outcome = run_scenario(
+                broken.exposing_scenario(),
+                Settings { defect: broken, ..Settings::with_replicas(size) },
+            );
             print_row(size, &broken_name(broken), &outcome);
         }
     }
@@ -80,17 +83,17 @@
     println!(
         "| {size} | {name} | {:.1} | {:.1} | {:.3} | {:.1} | {:.0} | {:.0} | {:.0} | {} | {:.0} | {} | {} | {:.4} | {} |",
         traffic.mean_bytes,
-        traffic.largest_bytes,
+        traffic.max_bytes,
         traffic.mean_messages,
         lags.p50,
         lags.p99,
         lags.p999,
-        lags.last,
+        lags.max,
         lags.count,
-        joins.last,
+        joins.max,
         outcome.whole_lists,
         outcome.repairs,
-        outcome.stale_share,
+        outcome.stale_ratio,
         outcome.violations.len(),
     );
 }
--- a/crates/catalog/tests/support/checker.rs
+++ b/crates/catalog/tests/support/checker.rs
@@ -3,16 +3,16 @@
 
 use super::source::Source;
 use super::world::ReplicaNode;
-use super::{Micros, OLDEST_REVISION};
+use super::{Micros, MAX_REVISION_AGE};
 use liftrouter_catalog::Digest;
 
 /// What a replica did that it must not do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// It acted on a revision that was too old without saying that it is stale.
-    OldRevision { replica: usize, at: Micros, revision: u64 },
+    StaleRevision { replica: usize, at: Micros, revision: u64 },
     /// For too long its list was not that of its revision, and it did not say that it is stale.
-    WrongList { replica: usize, at: Micros, revision: u64 },
+    ListMismatch { replica: usize, at: Micros, revision: u64 },
     /// At the end of a fault it says that it is stale.
     StaleAtEnd { replica: usize },
     /// At the end of a fault it does not hold the revision of the source.
@@ -24,24 +24,24 @@
 /// Looks at one replica now and then.
 pub fn sample(source: &Source, index: usize, node: &mut ReplicaNode, now: Micros) -> Option<Violation> {
     let Some(revision) = node.replica.revision().filter(|_| !node.stale(now)) else {
-        node.wrong_since = None;
+        node.mismatch_since = None;
         return None;
     };
-    if behind(source, node, revision, now) {
-        return Some(Violation::OldRevision { replica: index, at: now, revision });
+    if is_behind(source, node, revision, now) {
+        return Some(Violation::StaleRevision { replica: index, at: now, revision });
     }
     if node.replica.digest() == expected_digest(source, node, revision) {
-        node.wrong_since = None;
+        node.mismatch_since = None;
         return None;
     }
-    let since = *node.wrong_since.get_or_insert(now);
-    (now - since > OLDEST_REVISION).then_some(Violation::WrongList { replica: index, at: now, revision })
+    let since = *node.mismatch_since.get_or_insert(now);
+    (now - since > MAX_REVISION_AGE).then_some(Violation::ListMismatch { replica: index, at: now, revision })
 }
 
 /// Whether a change that the replica does not know is too old.
-fn behind(source: &Source, node: &ReplicaNode, revision: u64, now: Micros) -> bool {
+fn is_behind(source: &Source, node: &ReplicaNode, revision: u64, now: Micros) -> bool {
     let missed = |service: &String| source.revisions_after(service, revision).first();
-    node.services.iter().filter_map(missed).any(|revision| now - revision.at > OLDEST_REVISION)
+    node.services.iter().filter_map(missed).any(|revision| now - revision.at > MAX_REVISION_AGE)
 }
 
 fn expected_digest(source: &Source, node: &ReplicaNode, revision: u64) -> Digest {
@@ -63,6 +63,6 @@
     }
     let mut expected: Vec<_> = node.services.iter().flat_map(|service| source.service(service)).collect();
     expected.sort_by(|a, b| a.instance_id.cmp(&b.instance_id));
-    let same = node.replica.instances().eq(expected);
-    (!same).then_some(Violation::ListAtEnd { replica: index })
+    let is_equal = node.replica.instances().eq(expected);
+    (!is_equal).then_some(Violation::ListAtEnd { replica: index })
 }
--- a/crates/catalog/tests/support/follower.rs
+++ b/crates/catalog/tests/support/follower.rs
@@ -6,10 +6,10 @@
 pub type WatchId = u64;
 
 /// How long a call waits for the first sign.
-const CALL_TIMEOUT: Micros = SECOND;
+const CONNECT_TIMEOUT: Micros = SECOND;
 
-const FIRST_PAUSE: Micros = 50 * MILLISECOND;
-const LONGEST_PAUSE: Micros = 2 * SECOND;
+const INITIAL_BACKOFF: Micros = 50 * MILLISECOND;
+const MAX_BACKOFF: Micros = 2 * SECOND;
 
 /// What the child wants done.
 #[derive(Debug)]
@@ -29,157 +29,163 @@
     upstreams: Vec<Node>,
     position: usize,
     watch: Option<Watch>,
-    call: Option<(Watch, Micros)>,
-    next_call: Option<Micros>,
+    attempt: Option<(Watch, Micros)>,
+    next_attempt_at: Option<Micros>,
     failures: u32,
     /// When a watch last told something.
-    last_sign: Option<Micros>,
+    last_message_at: Option<Micros>,
     /// When the list was last confirmed by the source, as far as is known.
-    confirmed: Option<Micros>,
+    confirmed_at: Option<Micros>,
     /// Something was lost: only a whole list will do.
-    repairs: bool,
+    needs_whole_list: bool,
 }
 
 impl Follower {
     /// A child that calls its first upstream at a time.
-    pub fn new(upstreams: Vec<Node>, first_call: Micros) -> Self {
+    pub fn new(upstreams: Vec<Node>, first_attempt_at: Micros) -> Self {
         Follower {
             upstreams,
             position: 0,
             watch: None,
-            call: None,
-            next_call: Some(first_call),
+            attempt: None,
+            next_attempt_at: Some(first_attempt_at),
             failures: 0,
-            last_sign: None,
-            confirmed: None,
-            repairs: false,
+            last_message_at: None,
+            confirmed_at: None,
+            needs_whole_list: false,
         }
     }
 
-    pub fn repairs(&self) -> bool {
-        self.repairs
+    pub fn needs_whole_list(&self) -> bool {
+        self.needs_whole_list
     }
 
     /// Whether the list was confirmed within a time.
     pub fn confirmed_within(&self, bound: Micros, now: Micros) -> bool {
-        self.confirmed.is_some_and(|at| now - at <= bound)
+        self.confirmed_at.is_some_and(|at| now - at <= bound)
     }
 
     /// How many milliseconds ago the list was confirmed, at most.
     pub fn confirmed_ago_ms(&self, now: Micros) -> u64 {
-        self.confirmed.map_or(0, |at| (now - at).div_ceil(MILLISECOND))
+        self.confirmed_at.map_or(0, |at| (now - at).div_ceil(MILLISECOND))
     }
 
-    pub fn knows(&self, id: WatchId) -> bool {
-        let called = self.call.is_some_and(|(call, _)| call.id == id);
-        called || self.watch.is_some_and(|watch| watch.id == id)
+    pub fn is_active(&self, id: WatchId) -> bool {
+        let attempted = self.attempt.is_some_and(|(attempt, _)| attempt.id == id);
+        attempted || self.watch.is_some_and(|watch| watch.id == id)
     }
 
     /// When [`Follower::wake`] has something to do.
     pub fn wake_at(&self) -> Option<Micros> {
-        if let Some((_, deadline)) = self.call {
+        if let Some((_, deadline)) = self.attempt {
             return Some(deadline);
         }
-        self.next_call.or_else(|| self.silent_at())
+        self.next_attempt_at.or_else(|| self.silence_deadline())
     }
 
-    fn silent_at(&self) -> Option<Micros> {
-        self.watch.and(self.last_sign).map(|at| at + HEARTBEAT_TIMEOUT)
+    fn silence_deadline(&self) -> Option<Micros> {
+        self.watch.and(self.last_message_at).map(|at| at + HEARTBEAT_TIMEOUT)
     }
 
     /// Gives up a call that took too long, and makes the one that is due.
     pub fn wake(&mut self, now: Micros, random: &mut fastrand::Rng, commands: &mut Vec<Command>) {
-        if let Some((call, deadline)) = self.call {
+        if let Some((attempt, deadline)) = self.attempt {
             if deadline <= now {
-                self.call = None;
-                commands.push(Command::Close { watch: call.id, upstream: call.upstream });
-                self.call_later(now, random);
+                self.attempt = None;
+                commands.push(Command::Close { watch: attempt.id, upstream: attempt.upstream });
+                self.schedule_retry(now, random);
             }
         }
-        let silent = self.silent_at().is_some_and(|at| at <= now);
-        if self.call.is_none() && self.next_call.is_none() && silent {
+        let silent = self.silence_deadline().is_some_and(|at| at <= now);
+        if self.attempt.is_none() && self.next_attempt_at.is_none() && silent {
             self.position += 1;
-            self.next_call = Some(now);
+            self.next_attempt_at = Some(now);
         }
-        if self.call.is_none() && self.next_call.is_some_and(|at| at <= now) {
-            self.call(now, random, commands);
+        if self.attempt.is_none() && self.next_attempt_at.is_some_and(|at| at <= now) {
+            self.connect(now, random, commands);
         }
     }
 
-    fn call(&mut self, now: Micros, random: &mut fastrand::Rng, commands: &mut Vec<Command>) {
+    fn connect(&mut self, now: Micros, random: &mut fastrand::Rng, commands: &mut Vec<Command>) {
         let upstream = self.upstreams[self.position % self.upstreams.len()];
         let watch = Watch { id: random.u64(..), upstream };
-        self.next_call = None;
-        self.call = Some((watch, now + CALL_TIMEOUT));
+        self.next_attempt_at = None;
+        self.attempt = Some((watch, now + CONNECT_TIMEOUT));
         commands.push(Command::Connect { watch: watch.id, upstream });
     }
 
     /// The next upstream is called after a pause that grows.
-    fn call_later(&mut self, now: Micros, random: &mut fastrand::Rng) {
+    fn schedule_retry(&mut self, now: Micros, random: &mut fastrand::Rng) {
         self.position += 1;
-        let pause = (FIRST_PAUSE << self.failures.min(10)).min(LONGEST_PAUSE);
+        let backoff = (INITIAL_BACKOFF << self.failures.min(10)).min(MAX_BACKOFF);
         self.failures += 1;
-        self.next_call = Some(now + random.u64(pause / 2..=pause));
+        self.next_attempt_at = Some(now + random.u64(backoff / 2..=backoff));
     }
 
     /// A watch told something that was taken in, of a list that was confirmed some milliseconds ago. Gives whether
     /// it was not the one that was followed.
-    pub fn sign(&mut self, id: WatchId, now: Micros, ago_ms: u64, commands: &mut Vec<Command>) -> bool {
-        let opened = self.call.filter(|(call, _)| call.id == id);
-        let dropped = match opened {
-            Some((call, _)) => self.watch.replace(call),
-            None => self.call.map(|(call, _)| call),
+    pub fn message_applied(
+        &mut self,
+        id: WatchId,
+        now: Micros,
+        ago_ms: u64,
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        let opened = self.attempt.filter(|(attempt, _)| attempt.id == id);
+        let superseded = match opened {
+            Some((attempt, _)) => self.watch.replace(attempt),
+            None => self.attempt.map(|(attempt, _)| attempt),
         };
-        if let Some(dropped) = dropped {
-            commands.push(Command::Close { watch: dropped.id, upstream: dropped.upstream });
+        if let Some(superseded) = superseded {
+            commands.push(Command::Close { watch: superseded.id, upstream: superseded.upstream });
         }
-        self.call = None;
-        self.next_call = None;
+        self.attempt = None;
+        self.next_attempt_at = None;
         self.failures = 0;
-        self.last_sign = Some(now);
-        self.confirmed = self.confirmed.max(now.checked_sub(ago_ms * MILLISECOND));
-        self.repairs = false;
+        self.last_message_at = Some(now);
+        self.confirmed_at = self.confirmed_at.max(now.checked_sub(ago_ms * MILLISECOND));
+        self.needs_whole_list = false;
         opened.is_some()
     }
 
     /// A watch or call was refused, ended, or told what could not be taken in.
-    pub fn failed(
+    pub fn connection_failed(
         &mut self,
         id: WatchId,
         now: Micros,
         random: &mut fastrand::Rng,
         commands: &mut Vec<Command>,
     ) {
-        let called = self.call.filter(|(call, _)| call.id == id).map(|(call, _)| call);
+        let attempted = self.attempt.filter(|(attempt, _)| attempt.id == id).map(|(attempt, _)| attempt);
         let watched = self.watch.filter(|watch| watch.id == id);
-        let Some(ended) = called.or(watched) else { return };
+        let Some(ended) = attempted.or(watched) else { return };
         commands.push(Command::Close { watch: ended.id, upstream: ended.upstream });
-        if called.is_some() {
-            self.call = None;
+        if attempted.is_some() {
+            self.attempt = None;
         } else {
             self.watch = None;
         }
-        if self.call.is_none() && self.next_call.is_none() {
-            self.call_later(now, random);
+        if self.attempt.is_none() && self.next_attempt_at.is_none() {
+            self.schedule_retry(now, random);
         }
     }
 
     /// A watch told a digest that is not that of the list: the same upstream is asked for the whole list, and the
     /// next one where that does not help.
-    pub fn repair(
+    pub fn request_whole_list(
         &mut self,
         id: WatchId,
         now: Micros,
         random: &mut fastrand::Rng,
         commands: &mut Vec<Command>,
     ) {
-        let again = self.repairs;
+        let already_requested = self.needs_whole_list;
         let position = self.position;
-        self.failed(id, now, random, commands);
-        self.repairs = true;
-        if !again {
+        self.connection_failed(id, now, random, commands);
+        self.needs_whole_list = true;
+        if !already_requested {
             self.position = position;
-            self.next_call = self.next_call.map(|_| now);
+            self.next_attempt_at = self.next_attempt_at.map(|_| now);
         }
     }
 }
--- a/crates/catalog/tests/support/measure.rs
+++ b/crates/catalog/tests/support/measure.rs
@@ -18,22 +18,22 @@
 
 /// The traffic to all replicas, each second of simulated time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TrafficSummary {
+pub struct TrafficRates {
     pub mean_bytes: f64,
-    pub largest_bytes: f64,
+    pub max_bytes: f64,
     pub mean_messages: f64,
 }
 
-impl TrafficSummary {
+impl TrafficRates {
     pub fn of(replicas: &[Traffic], duration: Micros) -> Self {
         let seconds = duration as f64 / SECOND as f64;
         let per_replica = seconds * replicas.len() as f64;
         let bytes: u64 = replicas.iter().map(|traffic| traffic.bytes).sum();
         let messages: u64 = replicas.iter().map(|traffic| traffic.messages).sum();
         let largest = replicas.iter().map(|traffic| traffic.bytes).max().unwrap_or(0);
-        TrafficSummary {
+        TrafficRates {
             mean_bytes: bytes as f64 / per_replica,
-            largest_bytes: largest as f64 / seconds,
+            max_bytes: largest as f64 / seconds,
             mean_messages: messages as f64 / per_replica,
         }
     }
@@ -41,19 +41,19 @@
 
 /// Times, of which the quantiles are asked.
 #[derive(Default)]
-pub struct Times(Vec<Micros>);
+pub struct Durations(Vec<Micros>);
 
 /// The quantiles of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TimesSummary {
+pub struct DurationSummary {
     pub count: usize,
     pub p50: f64,
     pub p99: f64,
     pub p999: f64,
-    pub last: f64,
+    pub max: f64,
 }
 
-impl Times {
+impl Durations {
     pub fn add(&mut self, time: Micros) {
         self.0.push(time);
     }
@@ -62,20 +62,20 @@
         self.0.clear();
     }
 
-    pub fn summary(&mut self) -> TimesSummary {
+    pub fn summary(&mut self) -> DurationSummary {
         self.0.sort_unstable();
-        TimesSummary {
+        DurationSummary {
             count: self.0.len(),
             p50: self.quantile(0.5),
             p99: self.quantile(0.99),
             p999: self.quantile(0.999),
-            last: self.quantile(1.0),
+            max: self.quantile(1.0),
         }
     }
 
     /// The smallest time that this share of all does not exceed.
-    fn quantile(&self, share: f64) -> f64 {
-        let rank = (share * self.0.len() as f64).ceil() as usize;
+    fn quantile(&self, ratio: f64) -> f64 {
+        let rank = (ratio * self.0.len() as f64).ceil() as usize;
         let time = rank.checked_sub(1).map_or(0, |index| self.0[index]);
         time as f64 / MILLISECOND as f64
     }
--- a/crates/catalog/tests/support/mod.rs
+++ b/crates/catalog/tests/support/mod.rs
@@ -22,7 +22,7 @@
 pub const HEARTBEAT: Micros = 2 * SECOND;
 
 /// One in so many heartbeats is a message with a digest.
-pub const DIGEST_EVERY: u64 = 2;
+pub const HEARTBEATS_PER_DIGEST: u64 = 2;
 
 /// A watch that told nothing for so long is replaced.
 pub const HEARTBEAT_TIMEOUT: Micros = 2_500 * MILLISECOND;
@@ -31,4 +31,4 @@
 pub const STALE_AFTER: Micros = 4_500 * MILLISECOND;
 
 /// The age of a revision that no replica may act on without saying that it is stale.
-pub const OLDEST_REVISION: Micros = 8 * SECOND;
+pub const MAX_REVISION_AGE: Micros = 8 * SECOND;
--- a/crates/catalog/tests/support/server.rs
+++ b/crates/catalog/tests/support/server.rs
@@ -33,7 +33,7 @@
 
 impl Payload {
     pub fn update(update: Update) -> Self {
-        let bytes = serde_json::to_vec(&update).expect("an update can be written").len();
+        let bytes = serde_json::to_vec(&update).expect("an update can be encoded").len();
         Payload::Update(Rc::new(Encoded { update, bytes }))
     }
 
@@ -47,10 +47,10 @@
 }
 
 /// One watch.
-pub struct Served {
+pub struct WatchState {
     pub child: Node,
     /// The revision that the child holds once all that was sent has arrived.
-    sent: u64,
+    sent_revision: u64,
     last_arrival: Micros,
 }
 
@@ -58,7 +58,7 @@
 pub struct Server {
     pub log: ChangeLog,
     subscribers: Subscribers<WatchId>,
-    watches: BTreeMap<WatchId, Served>,
+    watches: BTreeMap<WatchId, WatchState>,
     busy_until: Micros,
     /// A broken variant: no message carries a digest.
     pub without_digests: bool,
@@ -70,11 +70,11 @@
     }
 
     pub fn children(&self) -> impl Iterator<Item = (WatchId, Node)> + '_ {
-        self.watches.iter().map(|(id, served)| (*id, served.child))
+        self.watches.iter().map(|(id, watch_state)| (*id, watch_state.child))
     }
 
     pub fn child(&self, id: WatchId) -> Option<Node> {
-        self.watches.get(&id).map(|served| served.child)
+        self.watches.get(&id).map(|watch_state| watch_state.child)
     }
 
     /// Opens a watch; its first message brings the child to the revision at hand.
@@ -87,8 +87,8 @@
         confirmed_ago_ms: u64,
     ) -> Option<Payload> {
         let update = self.log.since(&subscription, after)?;
-        let first = self.complete(update, &subscription, confirmed_ago_ms);
-        self.watches.insert(id, Served { child, sent: first.revision, last_arrival: 0 });
+        let first = self.with_digest(update, &subscription, confirmed_ago_ms);
+        self.watches.insert(id, WatchState { child, sent_revision: first.revision, last_arrival: 0 });
         self.subscribers.subscribe(id, subscription);
         Some(Payload::update(first))
     }
@@ -98,7 +98,7 @@
         self.subscribers.unsubscribe(&id);
     }
 
-    fn complete(&self, update: Update, subscription: &Subscription, confirmed_ago_ms: u64) -> Update {
+    fn with_digest(&self, update: Update, subscription: &Subscription, confirmed_ago_ms: u64) -> Update {
         let digest = Some(self.log.digest(subscription)).filter(|_| !self.without_digests);
         Update { digest, confirmed_ago_ms, ..update }
     }
@@ -106,20 +106,21 @@
     /// The messages to the children that follow any of these services.
     pub fn deltas(&mut self, services: &BTreeSet<String>, confirmed_ago_ms: u64) -> Vec<(WatchId, Payload)> {
         let mut messages = Vec::new();
-        let mut written: HashMap<(&Subscription, u64), Payload> = HashMap::new();
+        let mut payloads: HashMap<(&Subscription, u64), Payload> = HashMap::new();
         for id in self.subscribers.interested_in_any(services.iter().map(String::as_str)) {
-            let (Some(served), Some(subscription)) =
+            let (Some(watch_state), Some(subscription)) =
                 (self.watches.get(&id), self.subscribers.subscription(&id))
             else {
                 continue;
             };
-            let payload = written.entry((subscription, served.sent)).or_insert_with(|| {
-                let delta = self.log.since(subscription, Some(served.sent)).expect("there is a list");
-                Payload::update(self.complete(delta, subscription, confirmed_ago_ms))
+            let payload = payloads.entry((subscription, watch_state.sent_revision)).or_insert_with(|| {
+                let delta =
+                    self.log.since(subscription, Some(watch_state.sent_revision)).expect("there is a list");
+                Payload::update(self.with_digest(delta, subscription, confirmed_ago_ms))
             });
             messages.push((id, payload.clone()));
         }
-        self.note_sent(&messages);
+        self.record_sent(&messages);
         messages
     }
 
@@ -128,17 +129,17 @@
         let mut messages = Vec::new();
         for (id, subscription) in self.subscribers.iter() {
             let Some(message) = self.log.digest_message(subscription) else { continue };
-            messages.push((*id, Payload::update(self.complete(message, subscription, confirmed_ago_ms))));
+            messages.push((*id, Payload::update(self.with_digest(message, subscription, confirmed_ago_ms))));
         }
-        self.note_sent(&messages);
+        self.record_sent(&messages);
         messages
     }
 
-    fn note_sent(&mut self, messages: &[(WatchId, Payload)]) {
+    fn record_sent(&mut self, messages: &[(WatchId, Payload)]) {
         let revision = self.log.revision().unwrap_or(0);
         for (id, _) in messages {
-            if let Some(served) = self.watches.get_mut(id) {
-                served.sent = revision;
+            if let Some(watch_state) = self.watches.get_mut(id) {
+                watch_state.sent_revision = revision;
             }
         }
     }
@@ -148,18 +149,18 @@
     }
 
     /// When a message is on its way: one is sent after the other.
-    pub fn departure(&mut self, now: Micros, bytes: usize) -> Micros {
+    pub fn departure_time(&mut self, now: Micros, bytes: usize) -> Micros {
         let nanoseconds = NANOSECONDS_PER_MESSAGE + NANOSECONDS_PER_BYTE * bytes as u64;
         self.busy_until = self.busy_until.max(now) + nanoseconds / 1_000;
         self.busy_until
     }
 
     /// When a message arrives; the messages of a watch stay in order.
-    pub fn arrival(&mut self, id: WatchId, at: Micros) -> Micros {
+    pub fn arrival_time(&mut self, id: WatchId, at: Micros) -> Micros {
         match self.watches.get_mut(&id) {
-            Some(served) => {
-                served.last_arrival = served.last_arrival.max(at);
-                served.last_arrival
+            Some(watch_state) => {
+                watch_state.last_arrival = watch_state.last_arrival.max(at);
+                watch_state.last_arrival
             }
             None => at,
         }
--- a/crates/catalog/tests/support/source.rs
+++ b/crates/catalog/tests/support/source.rs
@@ -23,7 +23,7 @@
     lists: BTreeMap<String, BTreeMap<String, Instance>>,
     revisions: HashMap<String, Vec<Revision>>,
     services: usize,
-    servers_made: usize,
+    servers_created: usize,
 }
 
 pub fn service_name(number: usize) -> String {
@@ -38,14 +38,14 @@
             lists: BTreeMap::new(),
             revisions: HashMap::new(),
             services,
-            servers_made: 0,
+            servers_created: 0,
         };
         for number in 0..services {
             for _ in 0..SERVERS_PER_SERVICE {
                 let instance = source.new_instance(service_name(number));
-                source.put(instance);
+                source.insert_instance(instance);
             }
-            source.note_revision(&service_name(number), 0);
+            source.record_revision(&service_name(number), 0);
         }
         let instances = source.lists.values().flat_map(|list| list.values().cloned()).collect();
         let whole = Update { revision: FIRST_REVISION, reset: true, instances, ..Update::default() };
@@ -58,8 +58,8 @@
     }
 
     fn new_instance(&mut self, service: String) -> Instance {
-        self.servers_made += 1;
-        let number = self.servers_made as u32;
+        self.servers_created += 1;
+        let number = self.servers_created as u32;
         let [_, high, middle, low] = number.to_be_bytes();
         Instance {
             instance_id: format!("i-{number:08x}"),
@@ -74,12 +74,12 @@
         }
     }
 
-    fn put(&mut self, instance: Instance) {
+    fn insert_instance(&mut self, instance: Instance) {
         let list = self.lists.entry(instance.service.clone()).or_default();
         list.insert(instance.instance_id.clone(), instance);
     }
 
-    fn note_revision(&mut self, service: &str, at: Micros) {
+    fn record_revision(&mut self, service: &str, at: Micros) {
         let digest = Digest::of(self.lists.get(service).into_iter().flat_map(BTreeMap::values));
         let revision = Revision { number: self.revision, at, digest };
         self.revisions.entry(service.to_owned()).or_default().push(revision);
@@ -92,18 +92,18 @@
             return BTreeSet::new();
         };
         let chosen = list.values().nth(random.usize(0..list.len())).expect("it is within").clone();
-        let changed = self.changed(chosen, random);
+        let changed = self.random_change(chosen, random);
         self.revision += 1;
         let mut services = BTreeSet::from([service.clone()]);
         for instance in &changed {
             self.lists.get_mut(&service).expect("it was there").remove(&instance.instance_id);
             services.insert(instance.service.clone());
             if !instance.is_terminated() {
-                self.put(instance.clone());
+                self.insert_instance(instance.clone());
             }
         }
         for service in &services {
-            self.note_revision(service, now);
+            self.record_revision(service, now);
         }
         let update = Update { revision: self.revision, instances: changed, ..Update::default() };
         let applied = self.server.log.apply(update).expect("the source is in order");
@@ -111,7 +111,7 @@
         services
     }
 
-    fn changed(&mut self, chosen: Instance, random: &mut fastrand::Rng) -> Vec<Instance> {
+    fn random_change(&mut self, chosen: Instance, random: &mut fastrand::Rng) -> Vec<Instance> {
         match random.u8(0..20) {
             0..8 => {
                 let weight = Some(chosen.weight.unwrap_or(1.0) + 0.125);
@@ -156,7 +156,7 @@
     }
 
     /// The time that a number of changes a second leaves between two.
-    pub fn pause_between_changes(per_second: f64) -> Micros {
+    pub fn change_interval(per_second: f64) -> Micros {
         (SECOND as f64 / per_second) as Micros
     }
 }
--- a/crates/catalog/tests/tree.rs
+++ b/crates/catalog/tests/tree.rs
@@ -6,24 +6,24 @@
 mod support;
 
 use support::checker::Violation;
-use support::scenario::{play, Outcome, Scenario};
-use support::world::{Broken, Settings};
+use support::scenario::{run_scenario, Outcome, Scenario};
+use support::world::{Defect, Settings};
 
 /// A change is in force within so many milliseconds in 99.9 of 100 cases.
-const IN_FORCE_MS: f64 = 8_000.0;
+const MAX_PROPAGATION_MS: f64 = 8_000.0;
 
 /// The control traffic of a replica, in bytes a second.
-const LARGEST_TRAFFIC: f64 = 4_096.0;
+const MAX_BYTES_PER_S: f64 = 4_096.0;
 
 /// The share of the replicas that are in the other region than the source: three zones of seven.
-const FAR_SHARE: f64 = 3.0 / 7.0;
+const REMOTE_REGION_RATIO: f64 = 3.0 / 7.0;
 
 /// How much more a replica of a tree of ten times the size may receive.
-const FLAT: f64 = 1.2;
+const MAX_TRAFFIC_GROWTH: f64 = 1.2;
 
 /// Plays a scenario and checks what must hold in each.
 fn check(scenario: Scenario, settings: Settings) -> Outcome {
-    let outcome = play(scenario, settings);
+    let outcome = run_scenario(scenario, settings);
     let shown = &outcome.violations[..outcome.violations.len().min(5)];
     assert!(
         shown.is_empty(),
@@ -31,23 +31,23 @@
         outcome.violations.len()
     );
     assert!(outcome.lags.count > 0, "{scenario:?} {settings:?}: nothing was measured, {outcome:?}");
-    assert!(outcome.lags.p999 < IN_FORCE_MS, "{scenario:?} {settings:?}: {outcome:?}");
-    assert!(outcome.joins.last < IN_FORCE_MS, "{scenario:?} {settings:?}: {outcome:?}");
-    assert!(outcome.traffic.largest_bytes < LARGEST_TRAFFIC, "{scenario:?} {settings:?}: {outcome:?}");
+    assert!(outcome.lags.p999 < MAX_PROPAGATION_MS, "{scenario:?} {settings:?}: {outcome:?}");
+    assert!(outcome.joins.max < MAX_PROPAGATION_MS, "{scenario:?} {settings:?}: {outcome:?}");
+    assert!(outcome.traffic.max_bytes < MAX_BYTES_PER_S, "{scenario:?} {settings:?}: {outcome:?}");
     outcome
 }
 
 /// Plays a scenario in trees of 100 replicas with several seeds, and in one of 1,000.
 fn check_sizes(scenario: Scenario) -> Outcome {
     for seed in 2..=4 {
-        check(scenario, Settings { seed, ..Settings::of_size(100) });
+        check(scenario, Settings { seed, ..Settings::with_replicas(100) });
     }
-    check(scenario, Settings::of_size(1_000))
+    check(scenario, Settings::with_replicas(1_000))
 }
 
 /// Plays a scenario of an hour in trees of 100 replicas with several seeds.
 fn check_hour(scenario: Scenario, history: usize) -> Outcome {
-    let settings = |seed| Settings { history, seed, ..Settings::of_size(100) };
+    let settings = |seed| Settings { history, seed, ..Settings::with_replicas(100) };
     check(scenario, settings(1));
     check(scenario, settings(2))
 }
@@ -57,30 +57,30 @@
 fn changes_reach_every_replica() {
     let outcome = check_sizes(Scenario::Steady);
     assert_eq!((outcome.repairs, outcome.whole_lists), (0, 0), "nothing is lost: {outcome:?}");
-    assert_eq!(outcome.stale_share, 0.0, "{outcome:?}");
+    assert_eq!(outcome.stale_ratio, 0.0, "{outcome:?}");
     assert!(outcome.lags.p50 < 100.0 && outcome.lags.p99 < 1_000.0, "{outcome:?}");
     assert!(outcome.traffic.mean_messages < 1.0, "one message in two seconds, and the changes: {outcome:?}");
 }
 
 #[test]
 fn a_relay_of_a_zone_dies_in_a_burst() {
-    check_sizes(Scenario::ZoneRelayDies);
+    check_sizes(Scenario::ZoneRelayCrashes);
 }
 
 #[test]
 fn a_relay_of_a_region_dies_in_a_burst() {
-    check_sizes(Scenario::RegionRelayDies);
+    check_sizes(Scenario::RegionRelayCrashes);
 }
 
 #[test]
 fn a_relay_is_slow() {
-    let outcome = check_sizes(Scenario::RelayIsSlow);
-    assert!(outcome.lags.last > 3_000.0, "somebody stays with the slow relay: {outcome:?}");
+    let outcome = check_sizes(Scenario::SlowRelay);
+    assert!(outcome.lags.max > 3_000.0, "somebody stays with the slow relay: {outcome:?}");
 }
 
 #[test]
 fn replicas_return_after_an_hour() {
-    let outcome = check_hour(Scenario::ReplicasReturn, Settings::of_size(100).history);
+    let outcome = check_hour(Scenario::ReplicasReturn, Settings::with_replicas(100).history);
     assert_eq!(outcome.whole_lists, 0, "the history reaches back: {outcome:?}");
 }
 
@@ -106,15 +106,15 @@
 
 #[test]
 fn regions_are_apart_for_an_hour() {
-    let outcome = check_hour(Scenario::RegionsApart, Settings::of_size(100).history);
-    assert!(outcome.stale_share > 0.4, "the other region says so: {outcome:?}");
-    assert!(outcome.stale_share <= FAR_SHARE, "the near region goes on: {outcome:?}");
+    let outcome = check_hour(Scenario::RegionPartition, Settings::with_replicas(100).history);
+    assert!(outcome.stale_ratio > 0.4, "the other region says so: {outcome:?}");
+    assert!(outcome.stale_ratio <= REMOTE_REGION_RATIO, "the near region goes on: {outcome:?}");
 }
 
 #[test]
 fn regions_part_again_and_again() {
-    let settings = Settings { changes_per_second: 5.0, ..Settings::of_size(1_000) };
-    check(Scenario::RegionsPartOften, settings);
+    let settings = Settings { changes_per_second: 5.0, ..Settings::with_replicas(1_000) };
+    check(Scenario::RepeatedRegionPartitions, settings);
 }
 
 #[test]
@@ -125,33 +125,33 @@
 
 #[test]
 fn the_traffic_of_a_replica_does_not_grow_with_the_tree() {
-    let small = check(Scenario::Steady, Settings::of_size(710)).traffic;
-    let large = check(Scenario::Steady, Settings::of_size(7_100)).traffic;
+    let small = check(Scenario::Steady, Settings::with_replicas(710)).traffic;
+    let large = check(Scenario::Steady, Settings::with_replicas(7_100)).traffic;
     let growth = large.mean_bytes / small.mean_bytes;
-    assert!((1.0 / FLAT..FLAT).contains(&growth), "{small:?} {large:?}");
+    assert!((1.0 / MAX_TRAFFIC_GROWTH..MAX_TRAFFIC_GROWTH).contains(&growth), "{small:?} {large:?}");
 }
 
 /// Plays a scenario in a broken tree.
-fn violations(broken: Broken) -> Vec<Violation> {
-    play(broken.shown_by(), Settings { broken, ..Settings::of_size(100) }).violations
+fn violations(defect: Defect) -> Vec<Violation> {
+    run_scenario(defect.exposing_scenario(), Settings { defect, ..Settings::with_replicas(100) }).violations
 }
 
 #[test]
 fn without_digests_a_lost_delta_is_a_violation() {
-    let violations = violations(Broken::NoDigests);
-    assert!(violations.iter().any(|v| matches!(v, Violation::WrongList { .. })), "{violations:?}");
+    let violations = violations(Defect::NoDigests);
+    assert!(violations.iter().any(|v| matches!(v, Violation::ListMismatch { .. })), "{violations:?}");
     assert!(violations.iter().any(|v| matches!(v, Violation::ListAtEnd { .. })), "{violations:?}");
 }
 
 #[test]
 fn a_relay_that_drops_changes_is_a_violation() {
-    let violations = violations(Broken::RelayDropsChanges);
-    assert!(violations.iter().any(|v| matches!(v, Violation::WrongList { .. })), "{violations:?}");
+    let violations = violations(Defect::RelayDropsChanges);
+    assert!(violations.iter().any(|v| matches!(v, Violation::ListMismatch { .. })), "{violations:?}");
     assert!(violations.iter().any(|v| matches!(v, Violation::ListAtEnd { .. })), "{violations:?}");
 }
 
 #[test]
 fn a_replica_that_hides_that_it_is_stale_is_a_violation() {
-    let violations = violations(Broken::NeverStale);
-    assert!(violations.iter().any(|v| matches!(v, Violation::OldRevision { .. })), "{violations:?}");
+    let violations = violations(Defect::NeverStale);
+    assert!(violations.iter().any(|v| matches!(v, Violation::StaleRevision { .. })), "{violations:?}");
 }
