--- a/crates/catalog/tests/arbitrary/mod.rs
+++ b/crates/catalog/tests/arbitrary/mod.rs
@@ -1,9 +1,9 @@
-//! Servers and states for the property tests.
+//! Test data and configuration shared by the property tests.
 
 use liftrouter_catalog::{Instance, Lifecycle};
 use proptest::prelude::*;
 
-/// Always the same cases.
+/// A configuration with a fixed seed, so that every run tests the same cases.
 pub fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
@@ -13,7 +13,7 @@
     }
 }
 
-/// A server of a service.
+/// A server whose fields are derived from the arguments.
 pub fn instance(id: u8, service: &str, weight: u8, lifecycle: Lifecycle) -> Instance {
     Instance {
         instance_id: format!("i{id}"),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A state, most often in service.
+/// Any lifecycle state, most often in service.
 pub fn any_lifecycle() -> impl Strategy<Value = Lifecycle> {
     prop_oneof![
         4 => Just(Lifecycle::InService),
--- a/crates/catalog/tests/fixtures.rs
+++ b/crates/catalog/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Catalog updates of every kind, byte for byte as earlier versions write them.
+//! Updates of every kind in the exact bytes that earlier versions write.
 
 use liftrouter_catalog::{Digest, Instance, Lifecycle, Update};
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Only what every server has.
+/// A server without optional fields.
 fn plain_instance(id: &str) -> Instance {
     Instance {
         service: String::new(),
--- a/crates/catalog/tests/properties.rs
+++ b/crates/catalog/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Change logs and replicas against a plain reference: the list of every revision, as a map.
+//! Property tests of change logs and replicas against a reference model that keeps the list of every revision.
 
 mod arbitrary;
 
@@ -19,7 +19,7 @@
     arbitrary::instance(id, SERVICES[service], weight, lifecycle)
 }
 
-/// One change of one server at the root.
+/// A change of one server at the root.
 fn any_change() -> impl Strategy<Value = Instance> {
     (0..SERVERS, 0..SERVICES.len(), 0..3u8, any_lifecycle())
         .prop_map(|(id, service, weight, lifecycle)| instance(id, service, weight, lifecycle))
@@ -32,7 +32,7 @@
     ]
 }
 
-/// How a relay goes on: by so many revisions, by a delta or a whole list.
+/// The next update of a relay: how many revisions it advances, and whether it is a whole list.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     revisions: usize,
@@ -44,7 +44,7 @@
     (0..4usize, reset).prop_map(|(revisions, reset)| Step { revisions, reset })
 }
 
-/// The list at every revision, the first of which is empty.
+/// The reference model: the list at every revision, starting with an empty one, and the changes between them.
 struct Reference {
     lists: Vec<List>,
     changes: Vec<Instance>,
@@ -79,13 +79,13 @@
         Update { revision: revision as u64, reset: true, instances, ..Update::default() }
     }
 
-    /// All changes after one revision up to another.
+    /// The changes after one revision up to another.
     fn delta(&self, after: usize, revision: usize) -> Update {
         let instances = self.changes[after..revision].to_vec();
         Update { revision: revision as u64, instances, ..Update::default() }
     }
 
-    fn step(&self, at: usize, step: Step) -> Update {
+    fn next_update(&self, at: usize, step: Step) -> Update {
         let to = (at + step.revisions).min(self.last());
         if step.reset {
             self.whole(to, &Subscription::All)
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A replica that holds what was subscribed at a revision.
+    /// A replica with the subscribed servers of a revision.
     fn replica(&self, revision: usize, subscription: &Subscription) -> Replica {
         let mut replica = Replica::new();
         replica.apply(&self.whole(revision, subscription)).expect("a complete list");
@@ -115,7 +115,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Wherever a subscriber comes from, and whatever its relay has missed, it holds the list of its relay afterwards.
+    /// An update from any earlier revision gives a subscriber the list of its relay, even if the relay itself skipped
+    /// revisions or received whole lists.
     #[test]
     fn a_subscriber_holds_the_list_after_any_revision(
         changes in prop::collection::vec(any_change(), 1..30),
@@ -128,7 +129,7 @@
         let mut at = 0;
         log.apply(reference.whole(at, &Subscription::All)).unwrap();
         for step in steps {
-            let mut update = reference.step(at, step);
+            let mut update = reference.next_update(at, step);
             at = update.revision as usize;
             update.digest = Some(Digest::of(reference.lists[at].values()));
             log.apply(update).unwrap();
@@ -144,7 +145,7 @@
                 prop_assert_eq!(&held(&subscriber), &expected, "after {}", after);
                 prop_assert_eq!(subscriber.revision(), Some(at as u64));
             }
-            // From a later revision, or from none, only the whole list is right.
+            // A subscriber with a later revision, or with none, must get the whole list.
             for after in [Some(at as u64 + 1), None] {
                 let update = log.since(&subscription, after).unwrap();
                 prop_assert!(update.reset);
@@ -154,10 +155,9 @@
         }
     }
 
-    /// The history is used: a log that saw every revision, and remembers them all, gives deltas, and these name
-    /// just the servers that changed.
+    /// A log with all revisions in its history answers with deltas, which name only servers that changed.
     #[test]
-    fn a_remembered_revision_is_answered_by_a_delta(
+    fn a_revision_in_the_history_is_answered_by_a_delta(
         changes in prop::collection::vec(any_change(), 1..30), subscription in any_subscription(),
     ) {
         let reference = Reference::new(changes);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A whole list from upstream reaches subscribers as the difference.
+    /// A whole list from upstream reaches subscribers as a delta that names only the servers that differ.
     #[test]
     fn a_reset_from_upstream_becomes_a_delta(
         changes in prop::collection::vec(any_change(), 2..30),
@@ -209,9 +209,9 @@
         prop_assert!(services.is_subset(&applied.services));
     }
 
-    /// Two lists have the same digest just where they are the same.
+    /// Digests are equal if and only if the lists are, regardless of order.
     #[test]
-    fn digests_are_equal_just_where_lists_are(
+    fn digests_are_equal_only_for_equal_lists(
         first in prop::collection::vec(any_change(), 0..10),
         second in prop::collection::vec(any_change(), 0..10),
     ) {
@@ -221,10 +221,10 @@
         prop_assert_eq!(Digest::of(first.values()), Digest::of(first.values().rev()));
     }
 
-    /// A delta that was lost is found by the next digest where it made a difference, nothing is changed then, and
-    /// a whole list mends it.
+    /// If a lost delta made a difference, the next digest detects it, the update is rejected without effect, and a
+    /// whole list repairs the replica.
     #[test]
-    fn a_lost_delta_is_found(
+    fn a_lost_delta_is_detected_and_repaired(
         changes in prop::collection::vec(any_change(), 3..20),
         lost in 0..20usize,
         subscription in any_subscription(),
@@ -249,11 +249,11 @@
                 }
             }
             let before = held(&subscriber);
-            let right = expected == reference.list(revision, &subscription);
+            let matches_source = expected == reference.list(revision, &subscription);
             match subscriber.apply(&delta) {
-                Ok(_) => prop_assert!(right, "not found"),
+                Ok(_) => prop_assert!(matches_source, "the loss was not detected"),
                 Err(ApplyError::DigestMismatch { .. }) => {
-                    prop_assert!(!right);
+                    prop_assert!(!matches_source);
                     prop_assert_eq!(held(&subscriber), before);
                     let mut whole = log.since(&subscription, None).unwrap();
                     whole.digest = Some(log.digest(&subscription));
@@ -265,7 +265,7 @@
         prop_assert_eq!(held(&subscriber), reference.list(reference.last(), &subscription));
     }
 
-    /// The changes that a replica returns lead from the list before to the list after.
+    /// The changes that a replica returns, applied to its previous list, give its new list.
     #[test]
     fn a_replica_returns_what_changed(
         changes in prop::collection::vec(any_change(), 1..20), reset: bool, after in 0..20usize,
@@ -293,9 +293,9 @@
         prop_assert_eq!(held(&subscriber), list);
     }
 
-    /// A subscriber is told of a service just where it follows it, and once.
+    /// Exactly the subscribers of a service are notified of its changes, each once.
     #[test]
-    fn interested_subscribers_are_those_that_follow(
+    fn interested_subscribers_are_those_of_the_service(
         operations in prop::collection::vec((0..5u8, prop::option::of(any_subscription())), 0..20),
     ) {
         let mut subscribers = Subscribers::new();
@@ -324,7 +324,7 @@
     }
 }
 
-/// A list that changes for ever, with ever new services, costs no more than the history.
+/// The history stays within its limit however many changes and new services there are.
 #[test]
 fn the_memory_of_the_history_is_bounded() {
     const LIMIT: usize = 100;
@@ -334,8 +334,8 @@
     for revision in 1..20_000u64 {
         let mut next = instance((revision % 4) as u8, 0, 0, Lifecycle::InService);
         next.service = format!("service-{revision}");
-        let gone = before.replace(next.clone()).map(|instance| instance.terminated());
-        let instances = gone.into_iter().chain([next]).collect();
+        let terminated = before.replace(next.clone()).map(|instance| instance.terminated());
+        let instances = terminated.into_iter().chain([next]).collect();
         log.apply(Update { revision: revision * 2, instances, ..Update::default() }).unwrap();
         assert!(log.history_len() <= LIMIT);
         assert!(log.history_services() <= LIMIT + 1, "{} services", log.history_services());
@@ -343,12 +343,12 @@
     assert_eq!(log.history_len(), LIMIT);
 }
 
-/// A service that nothing happened to is answered by a delta however much happened to others.
+/// Changes of one service do not push the history of another one out, so its subscribers still get deltas.
 #[test]
-fn a_quiet_service_is_answered_by_a_delta_for_long() {
+fn an_unchanged_service_is_answered_by_a_delta() {
     let mut log = ChangeLog::with_history(10);
-    let quiet = instance(0, 0, 1, Lifecycle::InService);
-    log.apply(Update { revision: 1, reset: true, instances: vec![quiet], ..Update::default() }).unwrap();
+    let unchanged = instance(0, 0, 1, Lifecycle::InService);
+    log.apply(Update { revision: 1, reset: true, instances: vec![unchanged], ..Update::default() }).unwrap();
     for revision in 2..1_000 {
         let changed = instance(1, 1, (revision % 2) as u8, Lifecycle::InService);
         log.apply(Update { revision, instances: vec![changed], ..Update::default() }).unwrap();
@@ -358,40 +358,43 @@
     assert!(log.since(&Subscription::services(["b"]), Some(1)).unwrap().reset);
 }
 
-/// A revision that was passed over stays unknown, however many others were since.
+/// A subscriber with a revision that the log skipped must get a whole list, even after many later revisions.
 #[test]
-fn an_old_jump_is_not_forgotten() {
+fn a_skipped_revision_is_never_answered_by_a_delta() {
     let mut log = ChangeLog::new();
     let listed = instance(0, 0, 1, Lifecycle::InService);
     log.apply(Update { revision: 10, reset: true, instances: vec![listed], ..Update::default() }).unwrap();
     for step in 1..10_000 {
         log.apply(Update { revision: 10 + step * 2, ..Update::default() }).unwrap();
-        assert!(log.since(&Subscription::All, Some(11)).unwrap().reset, "after {step} jumps");
+        assert!(log.since(&Subscription::All, Some(11)).unwrap().reset, "after {step} skipped revisions");
     }
 }
 
-/// A whole list that mends a revision without ending it reaches the subscribers that hold this revision.
+/// A whole list that corrects the current revision must reach subscribers that already have this revision.
 #[test]
-fn a_list_repaired_at_its_revision_is_sent_completely() {
-    let right = [instance(0, 0, 1, Lifecycle::InService), instance(1, 0, 1, Lifecycle::InService)];
+fn a_list_corrected_within_its_revision_is_sent_whole() {
+    let complete = [instance(0, 0, 1, Lifecycle::InService), instance(1, 0, 1, Lifecycle::InService)];
     let mut log = ChangeLog::new();
-    log.apply(Update { revision: 5, reset: true, instances: right[..1].to_vec(), ..Update::default() })
+    log.apply(Update { revision: 5, reset: true, instances: complete[..1].to_vec(), ..Update::default() })
         .unwrap();
-    let digest = Some(Digest::of(&right));
-    let found = log.apply(Update { revision: 5, digest, ..Update::default() });
-    assert!(matches!(found, Err(ApplyError::DigestMismatch { revision: 5, .. })));
-    log.apply(Update { revision: 5, reset: true, instances: right.to_vec(), digest, ..Update::default() })
+    let digest = Some(Digest::of(&complete));
+    let rejected = log.apply(Update { revision: 5, digest, ..Update::default() });
+    assert!(matches!(rejected, Err(ApplyError::DigestMismatch { revision: 5, .. })));
+    log.apply(Update { revision: 5, reset: true, instances: complete.to_vec(), digest, ..Update::default() })
         .unwrap();
     let subscription = Subscription::services(["a"]);
     let update = log.since(&subscription, Some(5)).unwrap();
     assert!(update.reset);
     assert_eq!(update.instances.len(), 2);
-    assert!(!log.since(&Subscription::services(["b"]), Some(5)).unwrap().reset, "the others lost nothing");
+    assert!(
+        !log.since(&Subscription::services(["b"]), Some(5)).unwrap().reset,
+        "subscribers of other services need no whole list"
+    );
 }
 
-/// What is refused changes nothing.
+/// Rejected updates leave the list and its revision unchanged.
 #[test]
-fn an_update_that_does_not_fit_is_refused_with_its_reason() {
+fn an_update_that_does_not_fit_is_rejected_with_its_reason() {
     let listed = instance(0, 0, 1, Lifecycle::InService);
     let whole =
         |revision| Update { revision, reset: true, instances: vec![listed.clone()], ..Update::default() };
@@ -418,9 +421,10 @@
     assert_eq!(replica.apply(&message), Ok(Vec::new()));
 }
 
-/// A root that counts anew is followed once its old count is let go of, and nobody is sent a delta across that.
+/// A root that restarts its numbering is accepted after the old revision is forgotten, and no subscriber is sent a
+/// delta across the restart.
 #[test]
-fn a_root_with_a_new_history_is_followed() {
+fn a_root_that_restarts_its_numbering_is_followed() {
     let [old, new] = [1, 2].map(|weight| instance(0, 0, weight, Lifecycle::InService));
     let whole = |revision, listed: &Instance| Update {
         revision,
@@ -445,7 +449,7 @@
     assert_eq!(replica.apply(&update), Ok(vec![Change::Listed(new)]));
 }
 
-/// Entries that cannot be read leave the digest unmet for ever: it is not looked at then.
+/// With unreadable entries the digest can never match, so it is not checked.
 #[test]
 fn a_message_with_unreadable_entries_is_applied() {
     let listed = instance(0, 0, 1, Lifecycle::InService);
--- a/crates/catalog/tests/regions.rs
+++ b/crates/catalog/tests/regions.rs
@@ -1,4 +1,4 @@
-//! The lists of several regions as one, against a plain reference: a map for each region.
+//! Property tests of the merged list of several regions against a reference model with one map per region.
 
 mod arbitrary;
 
@@ -20,7 +20,7 @@
     (0..SERVERS, 0..3u8, any_lifecycle()).prop_map(|(id, weight, state)| instance(id, "", weight, state))
 }
 
-/// The next update of a region: changes, or a complete list.
+/// An update of one region: a delta or a whole list.
 #[derive(Clone, Debug)]
 struct RegionUpdate {
     region: usize,
@@ -34,7 +34,7 @@
         .prop_map(|(region, reset, instances)| RegionUpdate { region, reset, instances })
 }
 
-/// The maps of the regions, and the list of all by the rule: the region that comes first counts.
+/// The reference model. If several regions list the same server, the entry of the first of these regions is used.
 #[derive(Default)]
 struct Reference {
     regions: [List; REGIONS],
@@ -54,17 +54,17 @@
         }
     }
 
-    fn seen(&self) -> List {
-        let mut seen = List::new();
+    fn merged(&self) -> List {
+        let mut merged = List::new();
         for (id, instance) in self.regions.iter().flatten() {
-            seen.entry(id.clone()).or_insert_with(|| instance.clone());
+            merged.entry(id.clone()).or_insert_with(|| instance.clone());
         }
-        seen
+        merged
     }
 }
 
-/// A list that is kept by what changed alone.
-fn commit(list: &mut List, changes: &[Change]) {
+/// Applies returned changes to a list, as a consumer that sees only the changes does.
+fn apply_changes(list: &mut List, changes: &[Change]) {
     for change in changes {
         match change {
             Change::Listed(instance) => drop(list.insert(instance.instance_id.clone(), instance.clone())),
@@ -80,26 +80,26 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Both the list as a whole and the one that follows the changes are the regions' updates make it, and each region
-    /// counts its own revisions.
+    /// The merged list and a list built from the returned changes both match the reference model, and each region has
+    /// revisions of its own.
     #[test]
-    fn the_merged_list_is_that_of_the_regions(history in prop::collection::vec(any_region_update(), 0..40)) {
+    fn the_merged_list_matches_the_regions(history in prop::collection::vec(any_region_update(), 0..40)) {
         let (mut lists, mut reference, mut followed) =
             (RegionLists::new(REGIONS), Reference::default(), List::new());
         let mut revisions = [None; REGIONS];
         for region_update in &history {
-            // The first message of a region is a whole list.
+            // The first update of a region must be a whole list.
             let region_update = RegionUpdate { reset: region_update.reset || revisions[region_update.region].is_none(), ..region_update.clone() };
             let revision = revisions[region_update.region].map_or(region_update.region as u64 * 100, |held| held + 1);
             revisions[region_update.region] = Some(revision);
             let message = update(revision, region_update.reset, region_update.instances.clone());
-            let changes = lists.apply(region_update.region, &message).expect("it fits");
+            let changes = lists.apply(region_update.region, &message).expect("the update fits the list");
             reference.apply(&region_update);
-            commit(&mut followed, &changes);
-            let seen: List =
+            apply_changes(&mut followed, &changes);
+            let merged: List =
                 lists.instances().map(|listed| (listed.instance_id.clone(), listed.clone())).collect();
-            prop_assert_eq!(&seen, &reference.seen());
-            prop_assert_eq!(&followed, &reference.seen());
+            prop_assert_eq!(&merged, &reference.merged());
+            prop_assert_eq!(&followed, &reference.merged());
         }
         for (region, revision) in revisions.into_iter().enumerate() {
             prop_assert_eq!(lists.revision(region), revision);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn an_update_that_a_region_refuses_changes_nothing() {
+fn a_rejected_update_changes_nothing() {
     let mut lists = RegionLists::new(2);
     lists.apply(0, &update(5, true, vec![in_service(1)])).expect("a first list");
     let older = lists.apply(0, &update(4, true, Vec::new()));
--- a/crates/catalog/tests/support/checker.rs
+++ b/crates/catalog/tests/support/checker.rs
@@ -1,27 +1,28 @@
-//! Compares replicas with the source. Samples compare digests at the replica's revision; the comparison at the
-//! end of a fault goes through the lists server by server.
+//! Compares replicas with the source. Periodic samples compare digests at the replica's revision; the comparison after
+//! a fault compares whole lists.
 
 use super::source::Source;
 use super::world::ReplicaNode;
 use super::{Micros, MAX_REVISION_AGE};
 use liftrouter_catalog::Digest;
 
-/// What a replica did that it must not do.
+/// A broken guarantee of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// It acted on a revision that was too old without saying that it is stale.
+    /// It missed a change of its services for longer than [`MAX_REVISION_AGE`] without reporting itself stale.
     StaleRevision { replica: usize, at: Micros, revision: u64 },
-    /// For too long its list was not that of its revision, and it did not say that it is stale.
+    /// Its list differed from that of its revision for longer than [`MAX_REVISION_AGE`] without it reporting itself
+    /// stale.
     ListMismatch { replica: usize, at: Micros, revision: u64 },
-    /// At the end of a fault it says that it is stale.
+    /// It still reports itself stale after the fault.
     StaleAtEnd { replica: usize },
-    /// At the end of a fault it does not hold the revision of the source.
+    /// It does not have the source's revision after the fault.
     RevisionAtEnd { replica: usize, held: Option<u64>, source: u64 },
-    /// At the end of a fault its list is not that of the source.
+    /// Its list differs from the source's after the fault.
     ListAtEnd { replica: usize },
 }
 
-/// Looks at one replica now and then.
+/// Checks one replica while the tree is running.
 pub fn sample(source: &Source, index: usize, node: &mut ReplicaNode, now: Micros) -> Option<Violation> {
     let Some(revision) = node.replica.revision().filter(|_| !node.stale(now)) else {
         node.mismatch_since = None;
@@ -38,7 +39,7 @@
     (now - since > MAX_REVISION_AGE).then_some(Violation::ListMismatch { replica: index, at: now, revision })
 }
 
-/// Whether a change that the replica does not know is too old.
+/// Whether the replica has missed a change of its services for longer than [`MAX_REVISION_AGE`].
 fn is_behind(source: &Source, node: &ReplicaNode, revision: u64, now: Micros) -> bool {
     let missed = |service: &String| source.revisions_after(service, revision).first();
     node.services.iter().filter_map(missed).any(|revision| now - revision.at > MAX_REVISION_AGE)
@@ -52,7 +53,7 @@
     digest
 }
 
-/// Compares a replica with the source when all is quiet again.
+/// Compares a replica with the source once changes have stopped and had time to propagate.
 pub fn compare(source: &Source, index: usize, node: &ReplicaNode, now: Micros) -> Option<Violation> {
     if node.stale(now) {
         return Some(Violation::StaleAtEnd { replica: index });
--- a/crates/catalog/tests/support/follower.rs
+++ b/crates/catalog/tests/support/follower.rs
@@ -1,17 +1,17 @@
-//! The child's end: which upstream it watches, and when it calls another.
+//! The receiving side of a watch: the choice of the upstream, reconnection and freshness of the list.
 
 use super::topology::Node;
 use super::{Micros, HEARTBEAT_TIMEOUT, MILLISECOND, SECOND};
 
 pub type WatchId = u64;
 
-/// How long a call waits for the first sign.
+/// The longest wait for the first message of a new watch.
 const CONNECT_TIMEOUT: Micros = SECOND;
 
 const INITIAL_BACKOFF: Micros = 50 * MILLISECOND;
 const MAX_BACKOFF: Micros = 2 * SECOND;
 
-/// What the child wants done.
+/// A network action requested by a follower.
 #[derive(Debug)]
 pub enum Command {
     Connect { watch: WatchId, upstream: Node },
@@ -24,24 +24,25 @@
     upstream: Node,
 }
 
-/// A watch is kept until another has given a sign, however silent it is.
+/// The connection state of a child. A silent watch is kept until a message from its replacement has been applied.
 pub struct Follower {
     upstreams: Vec<Node>,
     position: usize,
     watch: Option<Watch>,
+    /// The pending connection attempt and its deadline.
     attempt: Option<(Watch, Micros)>,
     next_attempt_at: Option<Micros>,
     failures: u32,
-    /// When a watch last told something.
+    /// When a message of a watch was last applied.
     last_message_at: Option<Micros>,
-    /// When the list was last confirmed by the source, as far as is known.
+    /// The latest time at which the list is known to have been confirmed by the source.
     confirmed_at: Option<Micros>,
-    /// Something was lost: only a whole list will do.
+    /// Whether a digest mismatch showed that a change was lost. Connection attempts then request a whole list.
     needs_whole_list: bool,
 }
 
 impl Follower {
-    /// A child that calls its first upstream at a time.
+    /// Creates a follower that connects to its first upstream at `first_attempt_at`.
     pub fn new(upstreams: Vec<Node>, first_attempt_at: Micros) -> Self {
         Follower {
             upstreams,
@@ -60,12 +61,12 @@
         self.needs_whole_list
     }
 
-    /// Whether the list was confirmed within a time.
+    /// Whether the list was confirmed at most `bound` ago.
     pub fn confirmed_within(&self, bound: Micros, now: Micros) -> bool {
         self.confirmed_at.is_some_and(|at| now - at <= bound)
     }
 
-    /// How many milliseconds ago the list was confirmed, at most.
+    /// Milliseconds since the list was last confirmed, rounded up; zero if it never was.
     pub fn confirmed_ago_ms(&self, now: Micros) -> u64 {
         self.confirmed_at.map_or(0, |at| (now - at).div_ceil(MILLISECOND))
     }
@@ -75,7 +76,7 @@
         attempted || self.watch.is_some_and(|watch| watch.id == id)
     }
 
-    /// When [`Follower::wake`] has something to do.
+    /// The time of the next call of [`Follower::wake`].
     pub fn wake_at(&self) -> Option<Micros> {
         if let Some((_, deadline)) = self.attempt {
             return Some(deadline);
@@ -87,7 +88,7 @@
         self.watch.and(self.last_message_at).map(|at| at + HEARTBEAT_TIMEOUT)
     }
 
-    /// Gives up a call that took too long, and makes the one that is due.
+    /// Abandons an attempt that timed out, and connects if an attempt is due or the watch has been silent.
     pub fn wake(&mut self, now: Micros, random: &mut fastrand::Rng, commands: &mut Vec<Command>) {
         if let Some((attempt, deadline)) = self.attempt {
             if deadline <= now {
@@ -114,7 +115,7 @@
         commands.push(Command::Connect { watch: watch.id, upstream });
     }
 
-    /// The next upstream is called after a pause that grows.
+    /// Schedules an attempt at the next upstream after an exponential backoff with jitter.
     fn schedule_retry(&mut self, now: Micros, random: &mut fastrand::Rng) {
         self.position += 1;
         let backoff = (INITIAL_BACKOFF << self.failures.min(10)).min(MAX_BACKOFF);
@@ -122,8 +123,8 @@
         self.next_attempt_at = Some(now + random.u64(backoff / 2..=backoff));
     }
 
-    /// A watch told something that was taken in, of a list that was confirmed some milliseconds ago. Gives whether
-    /// it was not the one that was followed.
+    /// Records that a message of a watch was applied, and that its list was confirmed `ago_ms` before. Returns whether
+    /// this was the first message of a new watch, which then replaces the previous one.
     pub fn message_applied(
         &mut self,
         id: WatchId,
@@ -148,7 +149,7 @@
         opened.is_some()
     }
 
-    /// A watch or call was refused, ended, or told what could not be taken in.
+    /// Closes a watch or attempt that was refused or whose message could not be applied, and schedules a retry.
     pub fn connection_failed(
         &mut self,
         id: WatchId,
@@ -170,8 +171,8 @@
         }
     }
 
-    /// A watch told a digest that is not that of the list: the same upstream is asked for the whole list, and the
-    /// next one where that does not help.
+    /// Reconnects after a digest mismatch to get the whole list: at once and from the same upstream, or after a backoff
+    /// from the next one if a whole list was already requested.
     pub fn request_whole_list(
         &mut self,
         id: WatchId,
--- a/crates/catalog/tests/support/measure.rs
+++ b/crates/catalog/tests/support/measure.rs
@@ -1,8 +1,8 @@
-//! What the replicas received, and how long changes took to be in force.
+//! Measurements: traffic to the replicas, and quantiles of durations.
 
 use super::{Micros, MILLISECOND, SECOND};
 
-/// The traffic to one replica.
+/// The total traffic to one replica.
 #[derive(Clone, Copy, Default)]
 pub struct Traffic {
     pub bytes: u64,
@@ -16,10 +16,11 @@
     }
 }
 
-/// The traffic to all replicas, each second of simulated time.
+/// Bytes and messages received by a replica per second of simulated time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficRates {
     pub mean_bytes: f64,
+    /// The rate of the replica that received the most.
     pub max_bytes: f64,
     pub mean_messages: f64,
 }
@@ -39,11 +40,11 @@
     }
 }
 
-/// Times, of which the quantiles are asked.
+/// A sample of durations.
 #[derive(Default)]
 pub struct Durations(Vec<Micros>);
 
-/// The quantiles of times, in milliseconds.
+/// Quantiles of a sample of durations, in milliseconds; zero for an empty sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DurationSummary {
     pub count: usize,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The smallest time that this share of all does not exceed.
+    /// The smallest duration that at least this ratio of the sorted sample does not exceed.
     fn quantile(&self, ratio: f64) -> f64 {
         let rank = (ratio * self.0.len() as f64).ceil() as usize;
         let time = rank.checked_sub(1).map_or(0, |index| self.0[index]);
--- a/crates/catalog/tests/support/mod.rs
+++ b/crates/catalog/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A tree of relays and its replicas in simulated time: the catalog's own code, over a network with delays, losses
-//! and faults, and a checker that compares every replica with the source.
+//! Discrete-event simulation of a relay tree. Change logs and replicas run the production code of the catalog over a
+//! simulated network with delays, losses and faults, and a checker compares every replica with the source.
 
 pub mod checker;
 pub mod follower;
@@ -18,17 +18,17 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// How often the source tells that it lives.
+/// The interval between heartbeats of the source.
 pub const HEARTBEAT: Micros = 2 * SECOND;
 
-/// One in so many heartbeats is a message with a digest.
+/// Every nth heartbeat of the source is sent as a message with a digest.
 pub const HEARTBEATS_PER_DIGEST: u64 = 2;
 
-/// A watch that told nothing for so long is replaced.
+/// The silence after which a child connects to the next upstream.
 pub const HEARTBEAT_TIMEOUT: Micros = 2_500 * MILLISECOND;
 
-/// A replica whose list was last confirmed so long ago says that it is stale.
+/// The time since the last confirmation of its list after which a replica reports itself stale.
 pub const STALE_AFTER: Micros = 4_500 * MILLISECOND;
 
-/// The age of a revision that no replica may act on without saying that it is stale.
+/// The longest time that a replica may miss a change, or hold an incorrect list, without reporting itself stale.
 pub const MAX_REVISION_AGE: Micros = 8 * SECOND;
--- a/crates/catalog/tests/support/network.rs
+++ b/crates/catalog/tests/support/network.rs
@@ -1,18 +1,19 @@
-//! How long messages take, and which are lost.
+//! Delays and losses of messages.
 
 use super::topology::{Node, Topology};
 use super::{Micros, MILLISECOND};
 use std::collections::HashMap;
 
+/// One-way delays; random jitter of up to the same amount is added.
 const DELAY_IN_ZONE: Micros = MILLISECOND / 2;
 const DELAY_IN_REGION: Micros = 2 * MILLISECOND;
 const DELAY_BETWEEN_REGIONS: Micros = 40 * MILLISECOND;
 
-/// The share of the messages whose packets are lost once; the connection sends these again.
+/// The ratio of messages with a lost packet, which the transport retransmits once.
 const PACKET_LOSS_RATIO: f64 = 0.005;
 const RETRANSMISSION_DELAY: Micros = 200 * MILLISECOND;
 
-/// The share of the calls that are lost; the caller has to call again.
+/// The ratio of connection attempts that are lost; the child retries after a timeout.
 const CONNECT_LOSS_RATIO: f64 = 0.005;
 
 pub struct Network {
@@ -26,7 +27,7 @@
         Network { random: fastrand::Rng::with_seed(seed), partitioned: false, extra_delays: HashMap::new() }
     }
 
-    /// All that a node sends takes so much longer from now on.
+    /// Adds a delay to all later messages of a node, in place of an earlier extra delay.
     pub fn set_extra_delay(&mut self, node: Node, extra: Micros) {
         self.extra_delays.insert(node, extra);
     }
@@ -35,7 +36,7 @@
         !self.partitioned || topology.place(from).region == topology.place(to).region
     }
 
-    /// How long the next message of a connection takes.
+    /// Draws the delay of one message.
     pub fn delay(&mut self, topology: &Topology, from: Node, to: Node) -> Micros {
         let (from_place, to_place) = (topology.place(from), topology.place(to));
         let base = if from_place.region != to_place.region {
--- a/crates/catalog/tests/support/queue.rs
+++ b/crates/catalog/tests/support/queue.rs
@@ -1,4 +1,4 @@
-//! The events to come, in the order of their time; those of one time in the order of their making.
+//! A queue of pending events, ordered by time; events of the same time keep their order of insertion.
 
 use super::Micros;
 use std::cmp::Ordering;
@@ -11,7 +11,8 @@
 
 struct Entry<E> {
     at: Micros,
-    number: u64,
+    /// The position in the order of insertion.
+    sequence: u64,
     event: E,
 }
 
@@ -22,10 +23,10 @@
 
     pub fn push(&mut self, at: Micros, event: E) {
         self.pushed += 1;
-        self.events.push(Entry { at, number: self.pushed, event });
+        self.events.push(Entry { at, sequence: self.pushed, event });
     }
 
-    /// The next event up to a time.
+    /// Removes the next event if it is due at `end` or earlier.
     pub fn pop_until(&mut self, end: Micros) -> Option<(Micros, E)> {
         if self.events.peek()?.at > end {
             return None;
@@ -36,8 +37,8 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives the greatest first.
-        (other.at, other.number).cmp(&(self.at, self.number))
+        // Reversed: `BinaryHeap` pops the greatest entry, and the earliest event must come first.
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
--- a/crates/catalog/tests/support/scenario.rs
+++ b/crates/catalog/tests/support/scenario.rs
@@ -1,4 +1,4 @@
-//! The faults, one after the other in a tree of its own each.
+//! The fault scenarios. Each runs in a new tree.
 
 use super::checker::Violation;
 use super::measure::{DurationSummary, TrafficRates};
@@ -11,10 +11,10 @@
 const CONVERGENCE_WAIT: Micros = 15 * SECOND;
 const CHANGES_PER_BURST: u64 = 100;
 
-/// So many bursts have a change for every replica.
+/// The number of bursts within which every replica must have been sent a delta.
 const MAX_BURSTS: usize = 200;
 
-/// How much longer all messages of the slow relay take in the end.
+/// The extra delay of the slow relay's messages at the end of its gradual slowdown.
 const SLOW_RELAY_DELAY: Micros = 3 * SECOND;
 const SLOWDOWN_STEPS: u64 = 100;
 const SLOWDOWN_DURATION: Micros = 50 * SECOND;
@@ -40,7 +40,7 @@
 }
 
 impl Defect {
-    /// The scenario that shows what is broken.
+    /// The scenario in which the checker detects the defect.
     pub fn exposing_scenario(self) -> Scenario {
         match self {
             Defect::None => Scenario::Steady,
@@ -50,20 +50,24 @@
     }
 }
 
-/// What came of a scenario.
+/// The measurements and violations of a scenario.
 #[derive(Debug)]
 pub struct Outcome {
     pub traffic: TrafficRates,
+    /// Durations from a change at the source to its application by a replica.
     pub lags: DurationSummary,
+    /// Durations from the start, return or reconnection of a replica to its next applied update.
     pub joins: DurationSummary,
     pub violations: Vec<Violation>,
-    /// The share of the samples in which a replica said that it is stale.
+    /// The ratio of samples in which a replica reported itself stale.
     pub stale_ratio: f64,
+    /// The number of updates rejected for a digest mismatch.
     pub repairs: u64,
+    /// The number of whole lists that replicas received.
     pub whole_lists: u64,
 }
 
-/// Plays a scenario in a new tree.
+/// Runs a scenario in a new tree, and compares all replicas with the source at its end.
 pub fn run_scenario(scenario: Scenario, settings: Settings) -> Outcome {
     let starts_later = |place: Place| scenario == Scenario::ZoneJoins && place.zone == Some(JOINING_ZONE);
     let mut world = World::new(settings, starts_later);
@@ -163,7 +167,7 @@
     world.run_for(20 * SECOND);
 }
 
-/// Where the parting meets the heartbeats and calls differs from time to time.
+/// Partitions start at random phases of the heartbeats and connection attempts.
 fn partition_regions_repeatedly(world: &mut World) {
     for _ in 0..PARTITION_COUNT {
         world.set_partitioned(true);
--- a/crates/catalog/tests/support/server.rs
+++ b/crates/catalog/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! The serving end of the source and of a relay: the log, and the watches on it.
+//! The serving side of the source and of relays: a change log and the watches of its subscribers.
 
 use super::follower::WatchId;
 use super::topology::Node;
@@ -7,24 +7,24 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// The time that it takes to send a message, and each byte of it.
+/// The time to send a message, without and per byte of its length. Messages of one server are sent one at a time.
 const NANOSECONDS_PER_MESSAGE: u64 = 20_000;
 const NANOSECONDS_PER_BYTE: u64 = 10;
 
-/// The bytes of an empty line as a chunk.
+/// The length of an empty line in HTTP chunked encoding.
 const HEARTBEAT_BYTES: usize = 6;
 
-/// What goes down a watch.
+/// A message of a watch.
 #[derive(Clone, Debug)]
 pub enum Payload {
     /// An empty line.
     Heartbeat,
     Update(Rc<Encoded>),
-    /// The upstream has no list that it trusts.
+    /// The upstream has no list, or its list may be out of date or incorrect.
     Refused,
 }
 
-/// An update and its length as text.
+/// An update and the length of its JSON.
 #[derive(Debug)]
 pub struct Encoded {
     pub update: Update,
@@ -46,10 +46,10 @@
     }
 }
 
-/// One watch.
+/// The server's state of a watch.
 pub struct WatchState {
     pub child: Node,
-    /// The revision that the child holds once all that was sent has arrived.
+    /// The revision of the child once it has received every message sent so far.
     sent_revision: u64,
     last_arrival: Micros,
 }
@@ -60,7 +60,7 @@
     subscribers: Subscribers<WatchId>,
     watches: BTreeMap<WatchId, WatchState>,
     busy_until: Micros,
-    /// A broken variant: no message carries a digest.
+    /// Whether messages lack digests; see `Defect::NoDigests`.
     pub without_digests: bool,
 }
 
@@ -77,7 +77,8 @@
         self.watches.get(&id).map(|watch_state| watch_state.child)
     }
 
-    /// Opens a watch; its first message brings the child to the revision at hand.
+    /// Opens a watch and returns its first message, which brings the child to the current revision; none before the
+    /// first list.
     pub fn open(
         &mut self,
         id: WatchId,
@@ -103,7 +104,7 @@
         Update { digest, confirmed_ago_ms, ..update }
     }
 
-    /// The messages to the children that follow any of these services.
+    /// The messages to the subscribers of any of these services.
     pub fn deltas(&mut self, services: &BTreeSet<String>, confirmed_ago_ms: u64) -> Vec<(WatchId, Payload)> {
         let mut messages = Vec::new();
         let mut payloads: HashMap<(&Subscription, u64), Payload> = HashMap::new();
@@ -124,7 +125,7 @@
         messages
     }
 
-    /// The messages with a digest to all children.
+    /// The messages without changes by which all children verify their digests.
     pub fn digests(&mut self, confirmed_ago_ms: u64) -> Vec<(WatchId, Payload)> {
         let mut messages = Vec::new();
         for (id, subscription) in self.subscribers.iter() {
@@ -148,14 +149,14 @@
         self.watches.keys().map(|id| (*id, Payload::Heartbeat)).collect()
     }
 
-    /// When a message is on its way: one is sent after the other.
+    /// The time at which a message has been sent, after all earlier messages of this server.
     pub fn departure_time(&mut self, now: Micros, bytes: usize) -> Micros {
         let nanoseconds = NANOSECONDS_PER_MESSAGE + NANOSECONDS_PER_BYTE * bytes as u64;
         self.busy_until = self.busy_until.max(now) + nanoseconds / 1_000;
         self.busy_until
     }
 
-    /// When a message arrives; the messages of a watch stay in order.
+    /// The arrival time of a message, delayed where needed to keep the messages of its watch in order.
     pub fn arrival_time(&mut self, id: WatchId, at: Micros) -> Micros {
         match self.watches.get_mut(&id) {
             Some(watch_state) => {
--- a/crates/catalog/tests/support/source.rs
+++ b/crates/catalog/tests/support/source.rs
@@ -1,4 +1,4 @@
-//! The root: the servers as they are, in plain maps, and all that ever changed in them.
+//! The root of the tree: the current servers in plain maps, and the digest of each service at every revision.
 
 use super::server::Server;
 use super::{Micros, SECOND};
@@ -9,11 +9,12 @@
 const FIRST_REVISION: u64 = 1_000;
 const STARTED_AT_MS: f64 = 1.7e12;
 
-/// One state of a service.
+/// A revision that changed a service.
 #[derive(Clone, Copy)]
 pub struct Revision {
     pub number: u64,
     pub at: Micros,
+    /// The digest of the service after the change.
     pub digest: Digest,
 }
 
@@ -49,7 +50,7 @@
         }
         let instances = source.lists.values().flat_map(|list| list.values().cloned()).collect();
         let whole = Update { revision: FIRST_REVISION, reset: true, instances, ..Update::default() };
-        source.server.log.apply(whole).expect("a first list is taken");
+        source.server.log.apply(whole).expect("the first list is applied");
         source
     }
 
@@ -85,18 +86,18 @@
         self.revisions.entry(service.to_owned()).or_default().push(revision);
     }
 
-    /// Changes something about a random server. Gives the services that this concerns.
+    /// Changes a random server and returns the affected services.
     pub fn change(&mut self, now: Micros, random: &mut fastrand::Rng) -> BTreeSet<String> {
         let service = service_name(random.usize(0..self.services));
         let Some(list) = self.lists.get(&service).filter(|list| !list.is_empty()) else {
             return BTreeSet::new();
         };
-        let chosen = list.values().nth(random.usize(0..list.len())).expect("it is within").clone();
+        let chosen = list.values().nth(random.usize(0..list.len())).expect("the index is in range").clone();
         let changed = self.random_change(chosen, random);
         self.revision += 1;
         let mut services = BTreeSet::from([service.clone()]);
         for instance in &changed {
-            self.lists.get_mut(&service).expect("it was there").remove(&instance.instance_id);
+            self.lists.get_mut(&service).expect("the service is listed").remove(&instance.instance_id);
             services.insert(instance.service.clone());
             if !instance.is_terminated() {
                 self.insert_instance(instance.clone());
@@ -106,7 +107,7 @@
             self.record_revision(service, now);
         }
         let update = Update { revision: self.revision, instances: changed, ..Update::default() };
-        let applied = self.server.log.apply(update).expect("the source is in order");
+        let applied = self.server.log.apply(update).expect("the update fits the log");
         assert_eq!(applied.services, services);
         services
     }
@@ -136,26 +137,26 @@
         }
     }
 
-    /// The servers of one service.
+    /// The current servers of a service.
     pub fn service(&self, service: &str) -> impl Iterator<Item = &Instance> {
         self.lists.get(service).into_iter().flat_map(BTreeMap::values)
     }
 
-    /// The states of a service after a revision.
+    /// The changes of a service after a revision.
     pub fn revisions_after(&self, service: &str, revision: u64) -> &[Revision] {
         let Some(revisions) = self.revisions.get(service) else { return &[] };
-        let first = revisions.partition_point(|state| state.number <= revision);
+        let first = revisions.partition_point(|change| change.number <= revision);
         &revisions[first..]
     }
 
-    /// The digest of a service at a revision.
+    /// The digest of a service as of a revision.
     pub fn digest_at(&self, service: &str, revision: u64) -> Digest {
         let Some(revisions) = self.revisions.get(service) else { return Digest::default() };
-        let after = revisions.partition_point(|state| state.number <= revision);
+        let after = revisions.partition_point(|change| change.number <= revision);
         after.checked_sub(1).map_or(Digest::default(), |last| revisions[last].digest)
     }
 
-    /// The time that a number of changes a second leaves between two.
+    /// The interval between changes at a rate.
     pub fn change_interval(per_second: f64) -> Micros {
         (SECOND as f64 / per_second) as Micros
     }
--- a/crates/catalog/tests/support/topology.rs
+++ b/crates/catalog/tests/support/topology.rs
@@ -1,16 +1,18 @@
-//! Who is where, and the order in which a child tries its upstreams.
+//! The places of the nodes, and the order in which a child tries its upstreams.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 pub const REGIONS: usize = 2;
 pub const ZONES: usize = 7;
 
-/// The zones from this one on are in the second region.
+/// Zones with this number or a higher one are in the second region.
 const FIRST_ZONE_OF_SECOND_REGION: usize = 4;
 
 const RELAYS_PER_REGION: usize = 2;
 
-/// A participant of the tree.
+/// A node of the tree.
+///
+/// The `Debug` text of a node is hashed into the order of its upstreams, so renaming a variant changes the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
     Source,
@@ -18,11 +20,11 @@
     Replica(usize),
 }
 
-/// Where a participant runs.
+/// The region and zone of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     pub region: usize,
-    /// None for what serves a whole region.
+    /// None for the source and for relays that serve a whole region.
     pub zone: Option<usize>,
 }
 
@@ -32,7 +34,7 @@
     }
 }
 
-/// The places of all participants. The relays of the regions come first, then those of the zones.
+/// The places of all relays and replicas. Relays of regions come before relays of zones.
 pub struct Topology {
     pub relays: Vec<Place>,
     pub replicas: Vec<Place>,
@@ -56,8 +58,8 @@
         }
     }
 
-    /// The upstreams of a child, in the order in which it tries them: the nearest first, among those the order
-    /// of their hashes with the child.
+    /// The upstreams of a child in the order in which it tries them: nearest first, and ordered by a hash of child
+    /// and relay among equally near ones.
     pub fn upstreams(&self, child: Node) -> Vec<Node> {
         let place = self.place(child);
         if place.zone.is_none() {
@@ -76,7 +78,7 @@
     }
 }
 
-/// How far a relay is: in the zone, in the region, or elsewhere.
+/// 0 for a relay in the same zone, 1 in the same region, 2 in another region.
 fn distance(child: Place, relay: Place) -> u8 {
     if child.region == relay.region {
         u8::from(child.zone != relay.zone)
--- a/crates/catalog/tests/support/world.rs
+++ b/crates/catalog/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The source, the relays and the replicas, and all that happens between them.
+//! The simulated source, relays and replicas, and the events between them.
 
 use super::checker::{self, Violation};
 use super::follower::{Command, Follower, WatchId};
@@ -16,22 +16,22 @@
 const MAX_SERVICES_PER_REPLICA: usize = 3;
 const SAMPLE_INTERVAL: Micros = SECOND / 2;
 
-/// Relays are there before the replicas.
+/// Replicas start after the relays, at random times within the spread.
 const FIRST_REPLICA_START: Micros = 2 * SECOND;
 const REPLICA_START_SPREAD: Micros = 3 * SECOND;
 
-/// A relay that drops changes drops the entries of one update in so many.
+/// The relay with `Defect::RelayDropsChanges` drops the changes of every nth delta.
 const UPDATES_PER_DROP: u64 = 5;
 
-/// What is wrong with the tree, if anything.
+/// A deliberate defect, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     None,
-    /// No message carries a digest.
+    /// Messages lack digests.
     NoDigests,
-    /// One relay forgets the servers of some updates, and does not look at the digests of its upstream.
+    /// One relay drops the changes of some deltas, and does not check the digests of its upstream.
     RelayDropsChanges,
-    /// Replicas never say that they are stale.
+    /// Replicas with a list never report themselves stale.
     NeverStale,
 }
 
@@ -46,7 +46,8 @@
 }
 
 impl Settings {
-    /// A tree of so many replicas; changes come ten times as often as the mean of a day of 27,000 in the full size.
+    /// Settings of a tree with this number of replicas. The rate of changes is ten times the mean of 27,000 changes a
+    /// day in a tree of 7,100 replicas, scaled to the size.
     pub fn with_replicas(replicas: usize) -> Self {
         Settings {
             replicas,
@@ -81,7 +82,7 @@
     deltas_received: u64,
 }
 
-#[allow(clippy::struct_excessive_bools, reason = "each is a fact of its own about a simulated node")]
+#[allow(clippy::struct_excessive_bools, reason = "the flags are independent")]
 pub struct ReplicaNode {
     pub replica: Replica,
     pub services: BTreeSet<String>,
@@ -89,17 +90,18 @@
     follower: Follower,
     alive: bool,
     scheduled_wake: Option<Micros>,
-    /// Since when changes could come to it.
+    /// When it was started or its region was last reconnected; changes could not reach it before.
     reachable_since: Micros,
-    /// It has not had a list since then.
+    /// Whether it has applied no update since `reachable_since`.
     awaiting_list: bool,
+    /// See `Defect::NeverStale`.
     never_stale: bool,
     traffic: Traffic,
     violation_reported: bool,
 }
 
 impl ReplicaNode {
-    /// Whether it says that its list may be out of date.
+    /// Whether it reports that its list may be out of date.
     pub fn stale(&self, now: Micros) -> bool {
         let stale = self.follower.needs_whole_list() || !self.follower.confirmed_within(STALE_AFTER, now);
         self.replica.revision().is_none() || (stale && !self.never_stale)
@@ -113,27 +115,29 @@
     pub network: Network,
     pub relays: Vec<RelayNode>,
     pub replicas: Vec<ReplicaNode>,
-    /// Times from changes to their being in force.
+    /// Durations from a change at the source to its application by a replica.
     pub lags: Durations,
-    /// Times from the start, return or reconnection of replicas to their next list.
+    /// Durations from the start, return or reconnection of a replica to its next applied update.
     pub joins: Durations,
     pub violations: Vec<Violation>,
     samples: u64,
-    /// Samples in which a replica said that it is stale.
+    /// The number of samples in which a replica reported itself stale.
     stale_samples: u64,
+    /// The number of updates rejected for a digest mismatch.
     pub repairs: u64,
+    /// The number of whole lists that replicas received.
     pub whole_lists: u64,
     settings: Settings,
     queue: Queue<Event>,
     heartbeats: u64,
     changes_enabled: bool,
-    /// The next change that is sent to this child is lost.
+    /// The child whose next delta with changes is lost.
     drop_next_change_to: Option<Node>,
     measurement_start: Micros,
 }
 
 impl World {
-    /// A tree whose relays start at once and whose replicas start within seconds, but for those that wait.
+    /// Creates a tree. Relays start at once, and replicas within seconds except those that the scenario starts later.
     pub fn new(settings: Settings, starts_later: impl Fn(Place) -> bool) -> Self {
         let topology = Topology::new(settings.replicas, settings.relays_per_zone);
         let mut world = World {
@@ -210,9 +214,9 @@
         }
     }
 
-    // What scenarios do.
+    // Operations of scenarios.
 
-    /// Starts a replica, or lets it return with the list that it held.
+    /// Starts a replica; one that was stopped keeps its list.
     pub fn start_replica(&mut self, index: usize, at: Micros) {
         let upstreams = self.topology.upstreams(Node::Replica(index));
         let replica = &mut self.replicas[index];
@@ -224,7 +228,7 @@
         self.schedule_wake(Node::Replica(index));
     }
 
-    /// Stops a replica; its connections are closed.
+    /// Stops a replica and closes its connections.
     pub fn stop_replica(&mut self, index: usize) {
         let watches: Vec<(WatchId, Node)> = self.watches_of(Node::Replica(index));
         for (watch, upstream) in watches {
@@ -233,7 +237,7 @@
         self.replicas[index].alive = false;
     }
 
-    /// Stops a replica and starts it without a list.
+    /// Restarts a replica without its list.
     pub fn restart_replica(&mut self, index: usize) {
         self.stop_replica(index);
         self.replicas[index].replica = Replica::new();
@@ -249,35 +253,35 @@
         watches
     }
 
-    /// Ends a relay without a word: its host is gone.
+    /// Stops a relay without closing its connections, as if its host had failed.
     pub fn kill_relay(&mut self, index: usize) {
         self.relays[index].alive = false;
     }
 
-    /// Starts a relay that holds nothing.
+    /// Starts a relay again without its list and watches.
     pub fn restart_relay(&mut self, index: usize) {
         self.relays[index] = self.new_relay(index);
         self.schedule_wake(Node::Relay(index));
     }
 
-    /// The relay of a kind with the most children.
+    /// The relay with the most children among those of zones or those of regions.
     pub fn busiest_relay(&self, of_zone: bool) -> usize {
         let of_kind = |index: &usize| self.topology.relays[*index].zone.is_some() == of_zone;
         let children = |index: &usize| self.relays[*index].server.children().count();
         (0..self.relays.len()).filter(of_kind).max_by_key(children).expect("there are relays of both kinds")
     }
 
-    /// Loses the next change that is sent to a child.
+    /// Loses the next delta with changes that is sent to a child.
     pub fn drop_next_change(&mut self, child: Node) {
         self.drop_next_change_to = Some(child);
     }
 
-    /// Whether the change that was to be lost is still to come.
+    /// Whether the delta to be lost has not been sent yet.
     pub fn change_drop_pending(&self) -> bool {
         self.drop_next_change_to.is_some()
     }
 
-    /// The regions are parted, or come together again.
+    /// Starts or ends a network partition between the regions.
     pub fn set_partitioned(&mut self, partitioned: bool) {
         self.network.partitioned = partitioned;
         if partitioned {
@@ -291,7 +295,7 @@
         }
     }
 
-    /// Makes changes at once, evenly over a time.
+    /// Makes changes at regular intervals over a duration.
     pub fn apply_burst(&mut self, changes: u64, over: Micros) {
         for _ in 0..changes {
             self.run_for(over / changes);
@@ -299,7 +303,7 @@
         }
     }
 
-    /// Forgets what was measured until now.
+    /// Discards all measurements made so far.
     pub fn reset_measurements(&mut self) {
         self.lags.clear();
         self.joins.clear();
@@ -313,7 +317,7 @@
         }
     }
 
-    /// The share of the samples in which a replica said that it is stale.
+    /// The ratio of samples in which a replica reported itself stale.
     pub fn stale_ratio(&self) -> f64 {
         self.stale_samples as f64 / self.samples.max(1) as f64
     }
@@ -323,7 +327,7 @@
         TrafficRates::of(&replicas, self.now - self.measurement_start)
     }
 
-    /// Ends the changes, waits, and compares every replica with the source.
+    /// Pauses the changes for a duration, and compares every running replica with the source at its end.
     pub fn check_convergence(&mut self, wait: Micros) {
         self.changes_enabled = false;
         self.run_for(wait);
@@ -343,7 +347,7 @@
         self.now = end;
     }
 
-    // What happens.
+    // Event handlers.
 
     fn handle(&mut self, event: Event) {
         match event {
@@ -449,7 +453,7 @@
         let Some(child) = server.child(watch) else { return };
         let departure = server.departure_time(now, payload.bytes());
         if !self.network.can_reach(&self.topology, from, child) {
-            // The connection breaks where it cannot deliver; the child finds it silent.
+            // The server closes a connection that cannot deliver; the child notices only its silence.
             self.server(from).into_iter().for_each(|server| server.close(watch));
             return;
         }
@@ -567,7 +571,7 @@
         self.run_commands(Node::Replica(index), commands);
     }
 
-    /// Measures the changes that an update brought into force at a replica.
+    /// Records how long the changes of an update took to be applied by a replica.
     fn record_propagation(&mut self, index: usize, before: Option<u64>) {
         let node = &mut self.replicas[index];
         if std::mem::take(&mut node.awaiting_list) {
@@ -587,7 +591,7 @@
         let mut random = self.network.random.fork();
         let mut commands = Vec::new();
         let Some((follower, scheduled_wake)) = self.follower(node) else { return };
-        // Another wake has taken the place of this one.
+        // Another wake was scheduled in place of this one.
         if *scheduled_wake != Some(now) {
             return;
         }
@@ -610,7 +614,7 @@
         }
     }
 
-    /// Sees to it that the node wakes no later than it wants to.
+    /// Schedules a wake of a node unless it has one that is early enough.
     fn schedule_wake(&mut self, node: Node) {
         let now = self.now;
         let Some((follower, scheduled_wake)) = self.follower(node) else { return };
@@ -658,7 +662,7 @@
 }
 
 impl RelayNode {
-    /// An update as the relay takes it in; a broken one loses some.
+    /// The update as the relay processes it; with the defect, without its digest and sometimes without its changes.
     fn apply_defect(&mut self, update: &Update, drops_changes: bool) -> Update {
         let mut update = update.clone();
         if drops_changes && !update.reset {
--- a/crates/catalog/tests/tree.rs
+++ b/crates/catalog/tests/tree.rs
@@ -1,7 +1,7 @@
-//! Trees of relays in simulated time: after each fault every replica holds the list of the source, and says until
-//! then where it may be out of date.
+//! Simulated relay trees: after each fault every replica holds the list of the source, and until then it reports itself
+//! stale if its list may be out of date.
 //!
-//! The trees of 7,100 replicas are played by the example `tree`, which prints what was measured.
+//! The example `tree` runs the same scenarios with 7,100 replicas and prints the measurements.
 
 mod support;
 
@@ -9,19 +9,20 @@
 use support::scenario::{run_scenario, Outcome, Scenario};
 use support::world::{Defect, Settings};
 
-/// A change is in force within so many milliseconds in 99.9 of 100 cases.
+/// The bound on the 99.9th percentile of the time from a change to its application by a replica, and on the time that a
+/// joining replica waits for its first update.
 const MAX_PROPAGATION_MS: f64 = 8_000.0;
 
-/// The control traffic of a replica, in bytes a second.
+/// The bound on the control traffic to any replica, in bytes per second.
 const MAX_BYTES_PER_S: f64 = 4_096.0;
 
-/// The share of the replicas that are in the other region than the source: three zones of seven.
+/// The ratio of replicas in the region without the source: three zones of seven.
 const REMOTE_REGION_RATIO: f64 = 3.0 / 7.0;
 
-/// How much more a replica of a tree of ten times the size may receive.
+/// The bound on the growth of the traffic to a replica in a tree of ten times the size.
 const MAX_TRAFFIC_GROWTH: f64 = 1.2;
 
-/// Plays a scenario and checks what must hold in each.
+/// Runs a scenario and checks the bounds that apply to all of them.
 fn check(scenario: Scenario, settings: Settings) -> Outcome {
     let outcome = run_scenario(scenario, settings);
     let shown = &outcome.violations[..outcome.violations.len().min(5)];
@@ -37,7 +38,7 @@
     outcome
 }
 
-/// Plays a scenario in trees of 100 replicas with several seeds, and in one of 1,000.
+/// Checks a scenario in trees of 100 replicas with several seeds, and in one of 1,000.
 fn check_sizes(scenario: Scenario) -> Outcome {
     for seed in 2..=4 {
         check(scenario, Settings { seed, ..Settings::with_replicas(100) });
@@ -45,7 +46,7 @@
     check(scenario, Settings::with_replicas(1_000))
 }
 
-/// Plays a scenario of an hour in trees of 100 replicas with several seeds.
+/// Checks a scenario that lasts an hour in trees of 100 replicas with two seeds.
 fn check_hour(scenario: Scenario, history: usize) -> Outcome {
     let settings = |seed| Settings { history, seed, ..Settings::with_replicas(100) };
     check(scenario, settings(1));
@@ -53,29 +54,32 @@
 }
 
 #[test]
-#[allow(clippy::float_cmp, reason = "the share is exactly 0 where no replica was stale")]
+#[allow(clippy::float_cmp, reason = "the ratio is exactly 0 if no replica was stale")]
 fn changes_reach_every_replica() {
     let outcome = check_sizes(Scenario::Steady);
-    assert_eq!((outcome.repairs, outcome.whole_lists), (0, 0), "nothing is lost: {outcome:?}");
+    assert_eq!((outcome.repairs, outcome.whole_lists), (0, 0), "no change was lost: {outcome:?}");
     assert_eq!(outcome.stale_ratio, 0.0, "{outcome:?}");
     assert!(outcome.lags.p50 < 100.0 && outcome.lags.p99 < 1_000.0, "{outcome:?}");
-    assert!(outcome.traffic.mean_messages < 1.0, "one message in two seconds, and the changes: {outcome:?}");
+    assert!(
+        outcome.traffic.mean_messages < 1.0,
+        "one heartbeat every two seconds, and the changes: {outcome:?}"
+    );
 }
 
 #[test]
-fn a_relay_of_a_zone_dies_in_a_burst() {
+fn a_zone_relay_crashes_during_a_burst_of_changes() {
     check_sizes(Scenario::ZoneRelayCrashes);
 }
 
 #[test]
-fn a_relay_of_a_region_dies_in_a_burst() {
+fn a_region_relay_crashes_during_a_burst_of_changes() {
     check_sizes(Scenario::RegionRelayCrashes);
 }
 
 #[test]
 fn a_relay_is_slow() {
     let outcome = check_sizes(Scenario::SlowRelay);
-    assert!(outcome.lags.max > 3_000.0, "somebody stays with the slow relay: {outcome:?}");
+    assert!(outcome.lags.max > 3_000.0, "some replicas stay below the slow relay: {outcome:?}");
 }
 
 #[test]
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn replicas_return_after_the_history_has_ended() {
+fn replicas_return_after_their_revision_left_the_history() {
     const SHORT_HISTORY: usize = 20;
     let outcome = check_hour(Scenario::ReplicasReturn, SHORT_HISTORY);
     assert!(outcome.whole_lists > 0, "the history does not reach back: {outcome:?}");
@@ -94,8 +98,8 @@
 #[test]
 fn a_lost_revision_is_repaired() {
     let outcome = check_sizes(Scenario::RevisionsLost);
-    assert!(outcome.repairs >= 2, "both are found: {outcome:?}");
-    assert!(outcome.whole_lists >= 1, "the replica asks for its whole list: {outcome:?}");
+    assert!(outcome.repairs >= 2, "both losses are detected: {outcome:?}");
+    assert!(outcome.whole_lists >= 1, "the replica requests a whole list: {outcome:?}");
 }
 
 #[test]
@@ -105,14 +109,17 @@
 }
 
 #[test]
-fn regions_are_apart_for_an_hour() {
+fn regions_are_partitioned_for_an_hour() {
     let outcome = check_hour(Scenario::RegionPartition, Settings::with_replicas(100).history);
-    assert!(outcome.stale_ratio > 0.4, "the other region says so: {outcome:?}");
-    assert!(outcome.stale_ratio <= REMOTE_REGION_RATIO, "the near region goes on: {outcome:?}");
+    assert!(outcome.stale_ratio > 0.4, "replicas in the other region report themselves stale: {outcome:?}");
+    assert!(
+        outcome.stale_ratio <= REMOTE_REGION_RATIO,
+        "replicas in the source's region stay current: {outcome:?}"
+    );
 }
 
 #[test]
-fn regions_part_again_and_again() {
+fn regions_are_partitioned_repeatedly() {
     let settings = Settings { changes_per_second: 5.0, ..Settings::with_replicas(1_000) };
     check(Scenario::RepeatedRegionPartitions, settings);
 }
@@ -120,7 +127,7 @@
 #[test]
 fn a_tenth_of_the_replicas_restarts() {
     let outcome = check_sizes(Scenario::TenthRestarts);
-    assert_eq!(outcome.whole_lists, 100, "only these get whole lists: {outcome:?}");
+    assert_eq!(outcome.whole_lists, 100, "only the restarted replicas get whole lists: {outcome:?}");
 }
 
 #[test]
@@ -131,7 +138,7 @@
     assert!((1.0 / MAX_TRAFFIC_GROWTH..MAX_TRAFFIC_GROWTH).contains(&growth), "{small:?} {large:?}");
 }
 
-/// Plays a scenario in a broken tree.
+/// The violations in a tree with a defect, in the scenario that exposes it.
 fn violations(defect: Defect) -> Vec<Violation> {
     run_scenario(defect.exposing_scenario(), Settings { defect, ..Settings::with_replicas(100) }).violations
 }
--- a/crates/catalog/tests/wire.rs
+++ b/crates/catalog/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The messages as text: what old readers and writers know stays as it is.
+//! The JSON form of messages, which must stay compatible with earlier readers and writers.
 
 use liftrouter_catalog::{Digest, Instance, Lifecycle, Update};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_message_of_discovery_is_decoded() {
+fn a_discovery_message_is_decoded() {
     let text = r#"{"generation":43,"reset":false,"extra":1,"instances":[{"instanceId":"a","hostPort":"10.0.0.1:8080",
         "zone":"z1","machineType":"m","cell":3,"lifecycle":"in_service","weight":1.5,"startedAtMs":1700000000000,"new":{}}]}"#;
     let update: Update = serde_json::from_str(text).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_unknown_lifecycle_is_terminated() {
+fn an_unknown_lifecycle_is_decoded_as_terminated() {
     for (text, expected) in [
         ("in_service", Lifecycle::InService),
         ("terminating", Lifecycle::Terminating),
@@ -76,7 +76,7 @@
     assert!(serde_json::from_str::<Update>(none).is_ok());
 }
 
-/// Replicas of two versions must agree on the digest of the same servers: this value never changes.
+/// Replicas of different versions must compute the same digest of the same servers, so this value must never change.
 #[test]
 fn the_digest_of_a_server_is_the_same_in_every_version() {
     let whole =
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn every_field_counts_in_the_digest() {
+fn every_field_changes_the_digest() {
     let plain = instance("a");
     let others = [
         Instance { instance_id: "b".into(), ..plain.clone() },
@@ -98,7 +98,7 @@
         Instance { lifecycle: Lifecycle::Terminating, ..plain.clone() },
         Instance { weight: Some(0.0), ..plain.clone() },
         Instance { started_at_ms: Some(0.0), ..plain.clone() },
-        // The ends of two fields cannot be told apart but by their lengths.
+        // The same concatenated text as `plain`: only the lengths in the hash show where a field ends.
         Instance { zone: "z1m".into(), machine_type: String::new(), ..plain.clone() },
     ];
     let digests: BTreeSet<String> =
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn only_sixteen_digits_are_a_digest() {
+fn only_sixteen_hex_digits_are_parsed_as_a_digest() {
     assert_eq!("00000000000000ff".parse::<Digest>().unwrap().to_string(), "00000000000000ff");
     for text in ["", "ff", "+0000000000000ff", "000000000000000g", "00000000000000ff0"] {
         assert!(text.parse::<Digest>().is_err(), "{text}");
