--- a/crates/catalog/tests/support/source.rs
+++ b/crates/catalog/tests/support/source.rs
@@ -1,4 +1,4 @@
-//! The root: the servers as they are, in plain maps, and all that ever changed in them.
+//! The root of the tree: the current servers in plain maps, and the digest of each service at every revision.
 
 use super::server::Server;
 use super::{Micros, SECOND};
@@ -9,11 +9,12 @@
 const FIRST_REVISION: u64 = 1_000;
 const STARTED_AT_MS: f64 = 1.7e12;
 
-/// One state of a service.
+/// A revision that changed a service.
 #[derive(Clone, Copy)]
 pub struct Revision {
     pub number: u64,
     pub at: Micros,
+    /// The digest of the service after the change.
     pub digest: Digest,
 }
 
@@ -23,7 +24,7 @@
     lists: BTreeMap<String, BTreeMap<String, Instance>>,
     revisions: HashMap<String, Vec<Revision>>,
     services: usize,
-    servers_made: usize,
+    servers_created: usize,
 }
 
 pub fn service_name(number: usize) -> String {
@@ -38,18 +39,18 @@
             lists: BTreeMap::new(),
             revisions: HashMap::new(),
             services,
-            servers_made: 0,
+            servers_created: 0,
         };
         for number in 0..services {
             for _ in 0..SERVERS_PER_SERVICE {
                 let instance = source.new_instance(service_name(number));
-                source.put(instance);
+                source.insert_instance(instance);
             }
-            source.note_revision(&service_name(number), 0);
+            source.record_revision(&service_name(number), 0);
         }
         let instances = source.lists.values().flat_map(|list| list.values().cloned()).collect();
         let whole = Update { revision: FIRST_REVISION, reset: true, instances, ..Update::default() };
-        source.server.log.apply(whole).expect("a first list is taken");
+        source.server.log.apply(whole).expect("the first list is applied");
         source
     }
 
@@ -58,8 +59,8 @@
     }
 
     fn new_instance(&mut self, service: String) -> Instance {
-        self.servers_made += 1;
-        let number = self.servers_made as u32;
+        self.servers_created += 1;
+        let number = self.servers_created as u32;
         let [_, high, middle, low] = number.to_be_bytes();
         Instance {
             instance_id: format!("i-{number:08x}"),
@@ -74,44 +75,44 @@
         }
     }
 
-    fn put(&mut self, instance: Instance) {
+    fn insert_instance(&mut self, instance: Instance) {
         let list = self.lists.entry(instance.service.clone()).or_default();
         list.insert(instance.instance_id.clone(), instance);
     }
 
-    fn note_revision(&mut self, service: &str, at: Micros) {
+    fn record_revision(&mut self, service: &str, at: Micros) {
         let digest = Digest::of(self.lists.get(service).into_iter().flat_map(BTreeMap::values));
         let revision = Revision { number: self.revision, at, digest };
         self.revisions.entry(service.to_owned()).or_default().push(revision);
     }
 
-    /// Changes something about a random server. Gives the services that this concerns.
+    /// Changes a random server and returns the affected services.
     pub fn change(&mut self, now: Micros, random: &mut fastrand::Rng) -> BTreeSet<String> {
         let service = service_name(random.usize(0..self.services));
         let Some(list) = self.lists.get(&service).filter(|list| !list.is_empty()) else {
             return BTreeSet::new();
         };
-        let chosen = list.values().nth(random.usize(0..list.len())).expect("it is within").clone();
-        let changed = self.changed(chosen, random);
+        let chosen = list.values().nth(random.usize(0..list.len())).expect("the index is in range").clone();
+        let changed = self.random_change(chosen, random);
         self.revision += 1;
         let mut services = BTreeSet::from([service.clone()]);
         for instance in &changed {
-            self.lists.get_mut(&service).expect("it was there").remove(&instance.instance_id);
+            self.lists.get_mut(&service).expect("the service is listed").remove(&instance.instance_id);
             services.insert(instance.service.clone());
             if !instance.is_terminated() {
-                self.put(instance.clone());
+                self.insert_instance(instance.clone());
             }
         }
         for service in &services {
-            self.note_revision(service, now);
+            self.record_revision(service, now);
         }
         let update = Update { revision: self.revision, instances: changed, ..Update::default() };
-        let applied = self.server.log.apply(update).expect("the source is in order");
+        let applied = self.server.log.apply(update).expect("the update fits the log");
         assert_eq!(applied.services, services);
         services
     }
 
-    fn changed(&mut self, chosen: Instance, random: &mut fastrand::Rng) -> Vec<Instance> {
+    fn random_change(&mut self, chosen: Instance, random: &mut fastrand::Rng) -> Vec<Instance> {
         match random.u8(0..20) {
             0..8 => {
                 let weight = Some(chosen.weight.unwrap_or(1.0) + 0.125);
@@ -136,27 +137,27 @@
         }
     }
 
-    /// The servers of one service.
+    /// The current servers of a service.
     pub fn service(&self, service: &str) -> impl Iterator<Item = &Instance> {
         self.lists.get(service).into_iter().flat_map(BTreeMap::values)
     }
 
-    /// The states of a service after a revision.
+    /// The changes of a service after a revision.
     pub fn revisions_after(&self, service: &str, revision: u64) -> &[Revision] {
         let Some(revisions) = self.revisions.get(service) else { return &[] };
-        let first = revisions.partition_point(|state| state.number <= revision);
+        let first = revisions.partition_point(|change| change.number <= revision);
         &revisions[first..]
     }
 
-    /// The digest of a service at a revision.
+    /// The digest of a service as of a revision.
     pub fn digest_at(&self, service: &str, revision: u64) -> Digest {
         let Some(revisions) = self.revisions.get(service) else { return Digest::default() };
-        let after = revisions.partition_point(|state| state.number <= revision);
+        let after = revisions.partition_point(|change| change.number <= revision);
         after.checked_sub(1).map_or(Digest::default(), |last| revisions[last].digest)
     }
 
-    /// The time that a number of changes a second leaves between two.
-    pub fn pause_between_changes(per_second: f64) -> Micros {
+    /// The interval between changes at a rate.
+    pub fn change_interval(per_second: f64) -> Micros {
         (SECOND as f64 / per_second) as Micros
     }
 }
