--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -12,7 +12,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use liftrouter_catalog::Subscription;
 use liftrouter_discovery::Delivery;
-use liftrouter_inventory::Form;
+use liftrouter_inventory::Format;
 use std::error::Error as StdError;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -120,11 +120,11 @@
     Yaml,
 }
 
-impl From<To> for Form {
+impl From<To> for Format {
     fn from(to: To) -> Self {
         match to {
-            To::Csv => Form::Csv,
-            To::Yaml => Form::Yaml,
+            To::Csv => Format::Csv,
+            To::Yaml => Format::Yaml,
         }
     }
 }
--- a/crates/daemon/src/discovery/inventory_command.rs
+++ b/crates/daemon/src/discovery/inventory_command.rs
@@ -1,6 +1,6 @@
 //! The commands `liftrouter inventory check`, `convert` and `diff`.
 
-use liftrouter_inventory::{diff, read, write, Fault, Form, Inventory, MOST_BYTES};
+use liftrouter_inventory::{diff, read, write, Fault, Format, Inventory, MAX_BYTES};
 use std::fs::File;
 use std::io::{self, Read};
 use std::path::Path;
@@ -16,7 +16,7 @@
 pub enum InventoryFileError {
     /// The name does not say which form the file has.
     #[error("{path}: expected a name that ends in .csv, .yaml or .yml")]
-    UnknownForm {
+    UnknownFormat {
         /// The file.
         path: String,
     },
@@ -39,11 +39,11 @@
 /// The file cannot be read.
 fn load(path: &Path) -> Result<Parsed, InventoryFileError> {
     let name = path.display().to_string();
-    let Some(form) = Form::of_name(&name) else {
-        return Err(InventoryFileError::UnknownForm { path: name });
+    let Some(format) = Format::from_file_name(&name) else {
+        return Err(InventoryFileError::UnknownFormat { path: name });
     };
     match read_up_to_limit(path) {
-        Ok(bytes) => Ok(read(&name, form, &bytes)),
+        Ok(bytes) => Ok(read(&name, format, &bytes)),
         Err(source) => Err(InventoryFileError::Unreadable { path: name, source }),
     }
 }
@@ -51,7 +51,7 @@
 /// One byte more than the limit is enough for the file to be refused.
 fn read_up_to_limit(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
@@ -99,7 +99,7 @@
 ///
 /// # Errors
 /// The file cannot be read.
-pub fn convert(path: &Path, to: Form) -> Result<u8, InventoryFileError> {
+pub fn convert(path: &Path, to: Format) -> Result<u8, InventoryFileError> {
     match load(path)? {
         Ok(inventory) => {
             print!("{}", write(&inventory, to));
--- a/crates/daemon/src/discovery/inventory_file.rs
+++ b/crates/daemon/src/discovery/inventory_file.rs
@@ -8,7 +8,7 @@
 use crate::log;
 use liftrouter_decision::{EndpointEntry, EndpointState};
 use liftrouter_inventory::{
-    read, Decision, Fault, Form, Inventory, Node, Policy, Refusal, State, Watch, MOST_BYTES,
+    read, Decision, Fault, Format, Inventory, Node, Policy, Refusal, State, Watch, MAX_BYTES,
 };
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use std::fs::{File, Metadata};
@@ -33,7 +33,7 @@
     /// The file.
     pub path: PathBuf,
     /// The form of the file.
-    pub form: Form,
+    pub format: Format,
     /// Which versions are adopted.
     pub policy: Policy,
     /// How often the file is polled.
@@ -83,17 +83,17 @@
 type Loaded = (Arc<Content>, FileStamp);
 
 /// Reads and parses a file. None if it changed meanwhile, or another took its place.
-fn load(path: &Path, form: Form, last: Option<Arc<Content>>) -> io::Result<Option<Loaded>> {
+fn load(path: &Path, format: Format, last: Option<Arc<Content>>) -> io::Result<Option<Loaded>> {
     let file = File::open(path)?;
     let before = FileStamp::new(&file.metadata()?);
     let mut bytes = Vec::new();
     // One byte more than the limit is enough for the file to be refused.
-    file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes)?;
+    file.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     if FileStamp::new(&std::fs::metadata(path)?) != before {
         return Ok(None);
     }
     let content = last.filter(|last| last.bytes == bytes).unwrap_or_else(|| {
-        let parsed = read(&path.display().to_string(), form, &bytes);
+        let parsed = read(&path.display().to_string(), format, &bytes);
         Arc::new(Content { bytes, parsed })
     });
     Ok(Some((content, before)))
@@ -158,23 +158,25 @@
         if self.settled.is_some() && current.ok() == self.settled {
             return self.source.poll_interval;
         }
-        let (path, form, last) = (self.source.path.clone(), self.source.form, self.last.clone());
-        let loaded = spawn_blocking(move || load(&path, form, last)).await;
+        let (path, format, last) = (self.source.path.clone(), self.source.format, self.last.clone());
+        let loaded = spawn_blocking(move || load(&path, format, last)).await;
         let loaded = loaded.unwrap_or_else(|error| Err(io::Error::other(error)));
         self.settled = None;
         let decision = match loaded {
             Ok(Some(loaded)) => self.decide(loaded),
             // It changed while it was read.
             Ok(None) => return self.source.poll_interval,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => self.watch.failed(Refusal::Missing),
-            Err(error) => self.watch.failed(Refusal::Unreadable(error.to_string())),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => {
+                self.watch.read_failed(Refusal::FileMissing)
+            }
+            Err(error) => self.watch.read_failed(Refusal::Unreadable(error.to_string())),
         };
         self.carry_out(decision)
     }
 
     fn decide(&mut self, (content, stamp): Loaded) -> Decision {
         let elapsed = self.started.elapsed();
-        let decision = self.watch.look(elapsed, &content.bytes, |_| content.parsed.clone());
+        let decision = self.watch.observe(elapsed, &content.bytes, |_| content.parsed.clone());
         self.last = Some(content);
         if !matches!(decision, Decision::Wait(_)) && stamp.is_settled() {
             self.settled = Some(stamp);
--- a/crates/daemon/src/operator/inventory.rs
+++ b/crates/daemon/src/operator/inventory.rs
@@ -3,7 +3,7 @@
 use super::error::{Fault, OperatorError};
 use super::source::{NumberKey, SourceText};
 use crate::discovery::inventory_file::InventorySource;
-use liftrouter_inventory::{Form, Policy};
+use liftrouter_inventory::{Format, Policy};
 use serde::Deserialize;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -30,9 +30,9 @@
     section: Spanned<InventorySection>,
 ) -> Result<InventorySource, OperatorError> {
     let (offset, section) = (section.span().start, section.into_inner());
-    let (path, form) = match (section.csv, section.yaml) {
-        (Some(path), None) => (path, Form::Csv),
-        (None, Some(path)) => (path, Form::Yaml),
+    let (path, format) = match (section.csv, section.yaml) {
+        (Some(path), None) => (path, Format::Csv),
+        (None, Some(path)) => (path, Format::Yaml),
         (Some(_), Some(_)) => return Err(source.error(offset, Fault::TwoInventoryFiles)),
         (None, None) => return Err(source.error(offset, Fault::NoInventoryFile)),
     };
@@ -41,12 +41,13 @@
         number.map(Duration::from_millis)
     };
     let default = Policy::default();
-    let quiet = milliseconds(section.quiet_ms, "quiet_ms", default.quiet.as_millis() as u64, 1)?;
+    let quiet_period =
+        milliseconds(section.quiet_ms, "quiet_ms", default.quiet_period.as_millis() as u64, 1)?;
     let poll_interval = milliseconds(section.poll_ms, "poll_ms", DEFAULT_POLL_MS, 5)?;
-    let most_removed = match section.max_removed {
-        None => default.most_removed,
+    let max_removed_ratio = match section.max_removed {
+        None => default.max_removed_ratio,
         Some(share) if (0.0..=1.0).contains(share.get_ref()) => share.into_inner(),
         Some(share) => return Err(source.error(share.span().start, Fault::NotAShare(*share.get_ref()))),
     };
-    Ok(InventorySource { path, form, policy: Policy { quiet, most_removed }, poll_interval })
+    Ok(InventorySource { path, format, policy: Policy { quiet_period, max_removed_ratio }, poll_interval })
 }
--- a/crates/daemon/src/operator/tests.rs
+++ b/crates/daemon/src/operator/tests.rs
@@ -5,7 +5,7 @@
 use crate::listeners::grpc::Limits;
 use liftrouter_authz::{BreakerPolicy, FrameLimits, Mapping, Rules};
 use liftrouter_catalog::Subscription;
-use liftrouter_inventory::Form;
+use liftrouter_inventory::Format;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 fn the_sample_file_is_valid() {
     let sample = include_str!("../../../../deploy/sample-operator.toml");
     let source = parse("o.toml", sample).expect("good").inventory.expect("a file");
-    assert_eq!((source.form, source.poll_interval), (Form::Csv, Duration::from_millis(50)));
+    assert_eq!((source.format, source.poll_interval), (Format::Csv, Duration::from_millis(50)));
     let grpc = parse("o.toml", sample).expect("good").grpc.expect("a front");
     assert_eq!((grpc.limits.listen.port(), grpc.limits.streams), (9001, 100));
 }
@@ -281,8 +281,11 @@
 fn every_key_of_the_inventory_section_is_read() {
     let text = "[inventory]\nyaml = 'nodes.yaml'\nquiet_ms = 51\nmost_removed = 0.52\npoll_ms = 53\n";
     let source = parse("o.toml", text).expect("good").inventory.expect("a file");
-    assert_eq!((source.path, source.form), (PathBuf::from("nodes.yaml"), Form::Yaml));
-    assert_eq!((source.policy.quiet, source.policy.most_removed), (Duration::from_millis(51), 0.52));
+    assert_eq!((source.path, source.format), (PathBuf::from("nodes.yaml"), Format::Yaml));
+    assert_eq!(
+        (source.policy.quiet_period, source.policy.max_removed_ratio),
+        (Duration::from_millis(51), 0.52)
+    );
     assert_eq!(source.poll_interval, Duration::from_millis(53));
 }
 
--- a/crates/inventory/benches/parse.rs
+++ b/crates/inventory/benches/parse.rs
@@ -1,6 +1,6 @@
 //! What reading costs, by the number of nodes.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use liftrouter_inventory::{read, write, Form, Inventory, Node, State};
+use liftrouter_inventory::{read, write, Format, Inventory, Node, State};
 use std::hint::black_box;
 
 fn inventory(count: usize) -> Inventory {
@@ -22,10 +22,10 @@
     group.sample_size(10);
     for count in [12, 1_000, 100_000] {
         group.throughput(Throughput::Elements(count as u64));
-        for (name, form) in [("csv", Form::Csv), ("yaml", Form::Yaml)] {
-            let text = write(&inventory(count), form);
+        for (name, format) in [("csv", Format::Csv), ("yaml", Format::Yaml)] {
+            let text = write(&inventory(count), format);
             group.bench_function(BenchmarkId::new(name, count), |b| {
-                b.iter(|| read("nodes", form, black_box(text.as_bytes())).expect("good"));
+                b.iter(|| read("nodes", format, black_box(text.as_bytes())).expect("good"));
             });
         }
     }
--- a/crates/inventory/fuzz/fuzz_targets/read.rs
+++ b/crates/inventory/fuzz/fuzz_targets/read.rs
@@ -3,12 +3,12 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use liftrouter_inventory::{read, write, Form};
+use liftrouter_inventory::{read, write, Format};
 
 fuzz_target!(|input: (bool, &[u8])| {
-    let form = if input.0 { Form::Csv } else { Form::Yaml };
-    if let Ok(inventory) = read("fuzz", form, input.1) {
-        let again = read("fuzz", form, write(&inventory, form).as_bytes()).expect("what was written is good");
+    let format = if input.0 { Format::Csv } else { Format::Yaml };
+    if let Ok(inventory) = read("fuzz", format, input.1) {
+        let again = read("fuzz", format, write(&inventory, format).as_bytes()).expect("what was written is good");
         assert_eq!(again.nodes, inventory.nodes);
     }
 });
--- a/crates/inventory/src/adopt.rs
+++ b/crates/inventory/src/adopt.rs
@@ -5,7 +5,7 @@
 //! `count:`, `...`), or else when it has stayed as it is for a while. One that has been adopted closed is
 //! followed by closed ones only: a half-written file lacks its end, however long its writer stands still.
 
-use crate::diff::lost;
+use crate::diff::count_removed;
 use crate::model::{Fault, Inventory};
 use std::fmt;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
     /// A version that does not say where it ends is adopted once it has stayed the same for so long.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
     /// The share of the nodes that served which one version may remove, unless it says that it may.
-    pub most_removed: f64,
+    pub max_removed_ratio: f64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Policy { quiet: Duration::from_millis(100), most_removed: 0.5 }
+        Policy { quiet_period: Duration::from_millis(100), max_removed_ratio: 0.5 }
     }
 }
 
@@ -31,27 +31,27 @@
     /// It has faults.
     Faults(Vec<Fault>),
     /// It does not say where it ends, and the one before did.
-    Open,
+    NotClosed,
     /// Its version number is lower than the adopted one's.
-    Older {
+    VersionTooLow {
         /// Its own.
         found: u64,
         /// The adopted one.
         adopted: u64,
     },
     /// Its version number is that of the adopted one, but not its nodes.
-    Reused(u64),
+    VersionReused(u64),
     /// It has no version number, and the adopted one has.
-    Unnumbered(u64),
+    VersionMissing(u64),
     /// It removes too many of the nodes that serve.
-    Removes {
+    TooManyRemoved {
         /// How many it removes.
-        lost: usize,
+        removed: usize,
         /// Of how many.
-        of: usize,
+        serving: usize,
     },
     /// There is no file.
-    Missing,
+    FileMissing,
     /// The file cannot be read.
     Unreadable(String),
 }
@@ -63,25 +63,25 @@
                 write!(f, "{} faults, the first: ", faults.len())?;
                 faults.first().map_or(Ok(()), |first| write!(f, "{first}"))
             }
-            Refusal::Open => {
+            Refusal::NotClosed => {
                 write!(f, "it does not say where it ends, as the version before did: half written?")
             }
-            Refusal::Older { found, adopted } => {
+            Refusal::VersionTooLow { found, adopted } => {
                 write!(f, "version {found} is older than the adopted {adopted}, expected a higher number")
             }
-            Refusal::Reused(version) => {
+            Refusal::VersionReused(version) => {
                 write!(f, "version {version} is adopted with other nodes, expected a higher number")
             }
-            Refusal::Unnumbered(adopted) => {
+            Refusal::VersionMissing(adopted) => {
                 write!(f, "it has no version, expected one over the adopted {adopted}")
             }
-            Refusal::Removes { lost, of } => {
+            Refusal::TooManyRemoved { removed, serving } => {
                 write!(
                     f,
-                    "it removes {lost} of {of} nodes that serve; to do so it must say `removal: allowed`"
+                    "it removes {removed} of {serving} nodes that serve; to do so it must say `removal: allowed`"
                 )
             }
-            Refusal::Missing => write!(f, "the file is not there"),
+            Refusal::FileMissing => write!(f, "the file is not there"),
             Refusal::Unreadable(why) => write!(f, "the file cannot be read: {why}"),
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// The file could not be read, or is not there.
-    pub fn failed(&mut self, why: Refusal) -> Decision {
+    pub fn read_failed(&mut self, why: Refusal) -> Decision {
         let mark = digest(why.to_string().as_bytes());
         self.seen = None;
         if self.decided.replace(mark) == Some(mark) {
@@ -138,7 +138,7 @@
     }
 
     /// The file holds these bytes at this time, of a clock that goes forward; `read` reads them.
-    pub fn look(
+    pub fn observe(
         &mut self,
         now: Duration,
         bytes: &[u8],
@@ -154,7 +154,7 @@
             return Decision::Keep;
         }
         let steady = now.saturating_sub(since);
-        let wait = self.policy.quiet.saturating_sub(steady);
+        let wait = self.policy.quiet_period.saturating_sub(steady);
         let read = read(bytes);
         // Only what is whole by its own word need not wait: faults may be those of a half.
         if !wait.is_zero() && !read.as_ref().is_ok_and(|inventory| inventory.closed) {
@@ -176,21 +176,21 @@
     fn judge(&self, new: &Inventory) -> Result<(), Refusal> {
         let Some(old) = &self.adopted else { return Ok(()) };
         if old.closed && !new.closed {
-            return Err(Refusal::Open);
+            return Err(Refusal::NotClosed);
         }
         match (old.version, new.version) {
-            (Some(adopted), None) => return Err(Refusal::Unnumbered(adopted)),
+            (Some(adopted), None) => return Err(Refusal::VersionMissing(adopted)),
             (Some(adopted), Some(found)) if found < adopted => {
-                return Err(Refusal::Older { found, adopted });
+                return Err(Refusal::VersionTooLow { found, adopted });
             }
             (Some(adopted), Some(found)) if found == adopted && old.nodes != new.nodes => {
-                return Err(Refusal::Reused(adopted));
+                return Err(Refusal::VersionReused(adopted));
             }
             _ => {}
         }
-        let (lost, of) = lost(old, new);
-        if lost as f64 > self.policy.most_removed * of as f64 && !new.removal_allowed {
-            return Err(Refusal::Removes { lost, of });
+        let (removed, serving) = count_removed(old, new);
+        if removed as f64 > self.policy.max_removed_ratio * serving as f64 && !new.removal_allowed {
+            return Err(Refusal::TooManyRemoved { removed, serving });
         }
         Ok(())
     }
--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -1,6 +1,6 @@
 //! The values of either form held against what a node may be.
 
-use crate::model::{shown, Cell, Faults, Inventory, Node, Place, Raw, Row, State, COLUMNS, MOST_NODES};
+use crate::model::{shown, Cell, Faults, Inventory, Node, Place, Raw, Row, State, COLUMNS, MAX_NODES};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -37,8 +37,8 @@
     if raw.rows.is_empty() && faults.is_empty() && !removal_allowed {
         faults.add((0, 0), None, "the file holds no node; to remove all, it must say `removal: allowed`");
     }
-    if raw.rows.len() > MOST_NODES {
-        let reason = format!("the file holds {} nodes, expected {MOST_NODES} at most", raw.rows.len());
+    if raw.rows.len() > MAX_NODES {
+        let reason = format!("the file holds {} nodes, expected {MAX_NODES} at most", raw.rows.len());
         faults.add((0, 0), None, reason);
         return Inventory::default();
     }
@@ -116,7 +116,7 @@
     let zone = value(2, named, &name);
     let kind = value(3, named, &name);
     let cell = value(4, "a whole number or nothing", &|t| t.is_empty() || t.parse::<i64>().is_ok());
-    let state = value(5, "in_service, terminating or terminated", &|t| State::named(t).is_some());
+    let state = value(5, "in_service, terminating or terminated", &|t| State::from_name(t).is_some());
     let weight = value(6, "a number from 0 to 1e9", &|t| {
         t.parse::<f64>().is_ok_and(|w| (0.0..=HEAVIEST).contains(&w) && w.is_sign_positive())
     });
@@ -129,7 +129,7 @@
         zone: zone?.to_string(),
         kind: kind?.to_string(),
         cell: cell?.parse().ok(),
-        state: State::named(state?)?,
+        state: State::from_name(state?)?,
         weight: weight?.parse().ok()?,
         started_ms: started?.parse().ok().filter(|at| *at > 0),
     })
--- a/crates/inventory/src/csv_form.rs
+++ b/crates/inventory/src/csv_form.rs
@@ -1,7 +1,7 @@
-//! The CSV form: a header in any order, a row for each node. Lines that begin with `#` are comments; some say
+//! The CSV format: a header in any order, a row for each node. Lines that begin with `#` are comments; some say
 //! something of the whole file: `# version: 7`, `# count: 12`, `# removal: allowed`, `# end`.
 
-use crate::model::{shown, Cell, Faults, Place, Raw, Row, COLUMNS, MOST_NODES};
+use crate::model::{shown, Cell, Faults, Place, Raw, Row, COLUMNS, MAX_NODES};
 use std::borrow::Cow;
 
 /// The longest line, in bytes.
@@ -59,7 +59,7 @@
                 row.cells[*column] = Some(Cell { text: Cow::Owned(value.to_string()), at: (number, *at) });
             }
         }
-        if raw.rows.len() <= MOST_NODES {
+        if raw.rows.len() <= MAX_NODES {
             raw.rows.push(row);
         }
     }
--- a/crates/inventory/src/diff.rs
+++ b/crates/inventory/src/diff.rs
@@ -17,20 +17,25 @@
     /// the new address.
     Moved,
     /// An id that has the address of another one now: that one's connections are closed; none is handed over.
-    TookOver {
+    #[serde(rename = "took_over")]
+    AddressTakenOver {
         /// Whose address it was.
         from: String,
     },
     /// A new process: what was learnt of the old one is forgotten; open attempts go on.
     Restarted,
     /// Wants nothing new: open attempts go on, what has not been written yet is taken back.
-    Drains,
+    #[serde(rename = "drains")]
+    Drained,
     /// Takes work again.
-    Serves,
+    #[serde(rename = "serves")]
+    Resumed,
     /// Another weight: holds from the next choice on; nothing open is touched.
-    Weighed,
+    #[serde(rename = "weighed")]
+    WeightChanged,
     /// Another zone, kind or cell: holds from the next choice on.
-    Described,
+    #[serde(rename = "described")]
+    AttributesChanged,
 }
 
 impl fmt::Display for Effect {
@@ -39,12 +44,12 @@
             Effect::Added => "added: it may be sent to",
             Effect::Removed => "removed: its open attempts are ended, its connections closed",
             Effect::Moved => "moved: open attempts go on, new ones go to the new address",
-            Effect::TookOver { from } => return write!(f, "has the address of {from} now"),
+            Effect::AddressTakenOver { from } => return write!(f, "has the address of {from} now"),
             Effect::Restarted => "restarted: what was learnt of its process is forgotten",
-            Effect::Drains => "drains: nothing new, open attempts go on",
-            Effect::Serves => "takes work again",
-            Effect::Weighed => "another weight, from the next choice on",
-            Effect::Described => "another zone, kind or cell, from the next choice on",
+            Effect::Drained => "drains: nothing new, open attempts go on",
+            Effect::Resumed => "takes work again",
+            Effect::WeightChanged => "another weight, from the next choice on",
+            Effect::AttributesChanged => "another zone, kind or cell, from the next choice on",
         })
     }
 }
@@ -59,7 +64,7 @@
 }
 
 /// Whether a node of this inventory gets new work.
-pub fn serves(node: &Node) -> bool {
+pub fn accepts_new_work(node: &Node) -> bool {
     node.state == State::InService && node.weight > 0.0
 }
 
@@ -72,7 +77,7 @@
     for node in listed(new) {
         let mut effects = Vec::new();
         if let Some(from) = holders.get(&node.address).filter(|id| **id != node.id) {
-            effects.push(Effect::TookOver { from: (*from).to_string() });
+            effects.push(Effect::AddressTakenOver { from: (*from).to_string() });
         }
         match before.get(node.id.as_str()) {
             None => effects.insert(0, Effect::Added),
@@ -99,23 +104,23 @@
     if was.started_ms != is.started_ms && is.started_ms.is_some() {
         effects.push(Effect::Restarted);
     }
-    match (serves(was), serves(is)) {
-        (true, false) => effects.push(Effect::Drains),
-        (false, true) => effects.push(Effect::Serves),
+    match (accepts_new_work(was), accepts_new_work(is)) {
+        (true, false) => effects.push(Effect::Drained),
+        (false, true) => effects.push(Effect::Resumed),
         _ => {}
     }
     if was.weight != is.weight {
-        effects.push(Effect::Weighed);
+        effects.push(Effect::WeightChanged);
     }
     if (&was.zone, &was.kind, was.cell) != (&is.zone, &is.kind, is.cell) {
-        effects.push(Effect::Described);
+        effects.push(Effect::AttributesChanged);
     }
 }
 
 /// How many of the nodes that served no longer do, and how many served.
-pub fn lost(old: &Inventory, new: &Inventory) -> (usize, usize) {
+pub fn count_removed(old: &Inventory, new: &Inventory) -> (usize, usize) {
     let after: HashMap<&str, &Node> = new.nodes.iter().map(|n| (n.id.as_str(), n)).collect();
-    let served = old.nodes.iter().filter(|n| serves(n));
+    let served = old.nodes.iter().filter(|n| accepts_new_work(n));
     let gone = |n: &&Node| after.get(n.id.as_str()).is_none_or(|n| n.state == State::Terminated);
     (served.clone().filter(gone).count(), served.count())
 }
--- a/crates/inventory/src/model.rs
+++ b/crates/inventory/src/model.rs
@@ -5,30 +5,30 @@
 use std::net::SocketAddr;
 
 /// The largest text that is read, in bytes.
-pub const MOST_BYTES: usize = 32 << 20;
+pub const MAX_BYTES: usize = 32 << 20;
 /// The most nodes.
-pub const MOST_NODES: usize = 200_000;
+pub const MAX_NODES: usize = 200_000;
 /// The most faults that are listed; one more says how many there are beyond.
-pub const MOST_FAULTS: usize = 1_000;
+pub const MAX_FAULTS: usize = 1_000;
 /// The columns, or keys, of a node.
 pub const COLUMNS: [&str; 8] = ["id", "address", "zone", "kind", "cell", "state", "weight", "started_ms"];
 
 /// How a text is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// Comma-separated values, RFC 4180 without quotes.
     Csv,
     /// YAML 1.2.
     Yaml,
 }
 
-impl Form {
+impl Format {
     /// By the name of a file: `.csv`, `.yaml` or `.yml`.
-    pub fn of_name(name: &str) -> Option<Form> {
+    pub fn from_file_name(name: &str) -> Option<Format> {
         let (_, extension) = name.rsplit_once('.')?;
         match extension.to_ascii_lowercase().as_str() {
-            "csv" => Some(Form::Csv),
-            "yaml" | "yml" => Some(Form::Yaml),
+            "csv" => Some(Format::Csv),
+            "yaml" | "yml" => Some(Format::Yaml),
             _ => None,
         }
     }
@@ -57,7 +57,7 @@
     }
 
     /// By its name.
-    pub fn named(name: &str) -> Option<State> {
+    pub fn from_name(name: &str) -> Option<State> {
         [State::InService, State::Terminating, State::Terminated].into_iter().find(|s| s.name() == name)
     }
 }
@@ -141,7 +141,7 @@
     }
 
     pub fn add(&mut self, (line, column): Place, node: Option<&str>, reason: impl Into<String>) {
-        if self.found.len() >= MOST_FAULTS {
+        if self.found.len() >= MAX_FAULTS {
             self.beyond += 1;
             return;
         }
@@ -175,12 +175,8 @@
 
 /// The text of a file, past a byte order mark.
 pub fn text<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<&'a str> {
-    if bytes.len() > MOST_BYTES {
-        faults.add(
-            (0, 0),
-            None,
-            format!("the file has {} bytes, expected {MOST_BYTES} at most", bytes.len()),
-        );
+    if bytes.len() > MAX_BYTES {
+        faults.add((0, 0), None, format!("the file has {} bytes, expected {MAX_BYTES} at most", bytes.len()));
         return None;
     }
     let (mut rest, mut at) = (bytes, 0);
@@ -195,7 +191,7 @@
         let Some(next) = bytes[bad..].iter().position(|b| *b == b'\n') else { break };
         at = bad + next + 1;
         rest = &bytes[at..];
-        if faults.found.len() >= MOST_FAULTS {
+        if faults.found.len() >= MAX_FAULTS {
             break;
         }
     }
--- a/crates/inventory/src/write.rs
+++ b/crates/inventory/src/write.rs
@@ -1,13 +1,13 @@
-//! Inventories written as text, in either form; read again they are the same.
+//! Inventories written as text, in either format; read again they are the same.
 
-use crate::model::{Form, Inventory, Node, COLUMNS};
+use crate::model::{Format, Inventory, Node, COLUMNS};
 use std::fmt::Write as _;
 
 /// The text of an inventory, closed by its count.
-pub fn write(inventory: &Inventory, form: Form) -> String {
-    match form {
-        Form::Csv => csv(inventory),
-        Form::Yaml => yaml(inventory),
+pub fn write(inventory: &Inventory, format: Format) -> String {
+    match format {
+        Format::Csv => csv(inventory),
+        Format::Yaml => yaml(inventory),
     }
 }
 
--- a/crates/inventory/src/yaml_form.rs
+++ b/crates/inventory/src/yaml_form.rs
@@ -1,11 +1,11 @@
-//! The YAML form: a list of nodes under `nodes:`, each a mapping with the names of the CSV columns as keys, and
+//! The YAML format: a list of nodes under `nodes:`, each a mapping with the names of the CSV columns as keys, and
 //! beside it `version:`, `count:` and `removal:`. Anchors, aliases and merge keys (`<<`) as configuration tools
 //! write them; other keys at the top that begin with `x-` hold what is anchored there and are skipped.
 //!
 //! The parser gives events with places and is not recursive. An alias is the anchored tree itself, shared, so
 //! that no text makes a tree larger than itself; what it would come to is counted, and refused if it is much.
 
-use crate::model::{shown, Cell, Faults, Place, Raw, Row, COLUMNS, MOST_NODES};
+use crate::model::{shown, Cell, Faults, Place, Raw, Row, COLUMNS, MAX_NODES};
 use saphyr_parser::{Event, Parser, ScalarStyle};
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -14,7 +14,7 @@
 /// Levels of lists and mappings within each other.
 const DEEPEST: usize = 16;
 /// Values that a document may come to with all aliases written out.
-const MOST_VALUES: u64 = (MOST_NODES * (COLUMNS.len() + 1) * 2) as u64;
+const MOST_VALUES: u64 = (MAX_NODES * (COLUMNS.len() + 1) * 2) as u64;
 
 /// Aliases that point to nothing are taken out so often at most, and in texts of so many bytes in all: the
 /// parser reads from the beginning each time.
@@ -109,7 +109,7 @@
     };
     match &list.kind {
         Kind::List(items) => {
-            raw.rows = items.iter().take(MOST_NODES + 1).map(|item| row(item, faults)).collect();
+            raw.rows = items.iter().take(MAX_NODES + 1).map(|item| row(item, faults)).collect();
             raw.unreadable = false;
         }
         Kind::Scalar(text) if text.is_empty() => raw.unreadable = false,
--- a/crates/inventory/tests/adopt.rs
+++ b/crates/inventory/tests/adopt.rs
@@ -1,5 +1,5 @@
 //! Adoption: what is whole and valid is taken, once; all else is kept out, and said once.
-use liftrouter_inventory::{diff, read, Change, Decision, Effect, Form, Inventory, Policy, Refusal, Watch};
+use liftrouter_inventory::{diff, read, Change, Decision, Effect, Format, Inventory, Policy, Refusal, Watch};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 fn look(watch: &mut Watch, ms: u64, text: &str) -> Decision {
-    watch.look(Duration::from_millis(ms), text.as_bytes(), |bytes| read("n.csv", Form::Csv, bytes))
+    watch.observe(Duration::from_millis(ms), text.as_bytes(), |bytes| read("n.csv", Format::Csv, bytes))
 }
 
 fn adopted(decision: &Decision) -> Option<usize> {
@@ -80,15 +80,15 @@
     assert_eq!(adopted(&look(&mut watch, 1_000, &end)), Some(8));
     let open = text(Some(3), &ids(7), "");
     look(&mut watch, 2_000, &open);
-    assert_eq!(refused(look(&mut watch, 2_100, &open)), Refusal::Open);
+    assert_eq!(refused(look(&mut watch, 2_100, &open)), Refusal::NotClosed);
 }
 
 #[test]
 fn versions_only_go_up() {
     for (version, nodes, expected) in [
-        (Some(6), 8, Some(Refusal::Older { found: 6, adopted: 7 })),
-        (Some(7), 7, Some(Refusal::Reused(7))),
-        (None, 8, Some(Refusal::Unnumbered(7))),
+        (Some(6), 8, Some(Refusal::VersionTooLow { found: 6, adopted: 7 })),
+        (Some(7), 7, Some(Refusal::VersionReused(7))),
+        (None, 8, Some(Refusal::VersionMissing(7))),
         (Some(8), 7, None),
     ] {
         let mut watch = watch(Some(7), "");
@@ -107,7 +107,7 @@
     let allowed = "# removal: allowed\n";
     for (left, more, expected) in [
         (4, "", None),
-        (3, "", Some(Refusal::Removes { lost: 5, of: 8 })),
+        (3, "", Some(Refusal::TooManyRemoved { removed: 5, serving: 8 })),
         (3, allowed, None),
         (0, allowed, None),
     ] {
@@ -132,8 +132,8 @@
 #[test]
 fn a_missing_file_changes_nothing_and_is_told_once() {
     let mut watch = watch(None, "");
-    assert_eq!(refused(watch.failed(Refusal::Missing)), Refusal::Missing);
-    assert_eq!(watch.failed(Refusal::Missing), Decision::Keep);
+    assert_eq!(refused(watch.read_failed(Refusal::FileMissing)), Refusal::FileMissing);
+    assert_eq!(watch.read_failed(Refusal::FileMissing), Decision::Keep);
     assert_eq!(watch.adopted().map(|i| i.nodes.len()), Some(8));
     // Back as it was, it is what is adopted.
     look(&mut watch, 2_000, &text(None, &ids(8), ""));
@@ -144,7 +144,7 @@
 fn what_adopting_does_to_each_node_is_told() {
     let parse = |rows: &str| -> Inventory {
         let text = format!("id,address,zone,kind,cell,state,weight,started_ms\n{rows}");
-        read("n.csv", Form::Csv, text.as_bytes()).expect("good")
+        read("n.csv", Format::Csv, text.as_bytes()).expect("good")
     };
     let old = parse(
         "s-1,10.0.0.1:1,a,std,1,in_service,1,\ns-2,10.0.0.2:1,a,std,1,in_service,1,\n\
@@ -161,10 +161,10 @@
         diff(&old, &new),
         [
             change("s-1", vec![Effect::Moved, Effect::Restarted]),
-            change("s-2", vec![Effect::Weighed, Effect::Described]),
-            change("s-3", vec![Effect::Drains, Effect::Weighed]),
-            change("s-7", vec![Effect::Added, Effect::TookOver { from: "s-4".into() }]),
-            change("s-5", vec![Effect::Serves]),
+            change("s-2", vec![Effect::WeightChanged, Effect::AttributesChanged]),
+            change("s-3", vec![Effect::Drained, Effect::WeightChanged]),
+            change("s-7", vec![Effect::Added, Effect::AddressTakenOver { from: "s-4".into() }]),
+            change("s-5", vec![Effect::Resumed]),
             change("s-4", vec![Effect::Removed]),
             change("s-6", vec![Effect::Removed]),
         ]
@@ -179,7 +179,7 @@
     fn nothing_but_a_finished_version_is_ever_adopted(
         steps in proptest::collection::vec((1usize..9, 0usize..700, 0u64..400), 1..60),
     ) {
-        let mut watch = Watch::new(Policy { quiet: QUIET, most_removed: 1.0 });
+        let mut watch = Watch::new(Policy { quiet_period: QUIET, max_removed_ratio: 1.0 });
         let mut at = 0;
         for (version, (nodes, cut, pause)) in steps.into_iter().enumerate() {
             let whole = text(Some(version as u64 + 1), &ids(nodes.min(8)), &format!("# count: {}\n", nodes.min(8)));
--- a/crates/inventory/tests/read.rs
+++ b/crates/inventory/tests/read.rs
@@ -1,6 +1,6 @@
 //! Reading: one model in two forms, every fault named with its place, nothing that panics or swells.
 use liftrouter_inventory::{
-    read, write, Fault, Form, Inventory, Node, State, COLUMNS, MOST_BYTES, MOST_FAULTS,
+    read, write, Fault, Format, Inventory, Node, State, COLUMNS, MAX_BYTES, MAX_FAULTS,
 };
 use proptest::prelude::*;
 
@@ -8,11 +8,11 @@
 const YAML: &str = include_str!("twelve.yaml");
 
 fn csv(text: &str) -> Result<Inventory, Vec<Fault>> {
-    read("n.csv", Form::Csv, text.as_bytes())
+    read("n.csv", Format::Csv, text.as_bytes())
 }
 
 fn yaml(text: &str) -> Result<Inventory, Vec<Fault>> {
-    read("n.yaml", Form::Yaml, text.as_bytes())
+    read("n.yaml", Format::Yaml, text.as_bytes())
 }
 
 fn said(read: Result<Inventory, Vec<Fault>>) -> Vec<String> {
@@ -159,9 +159,9 @@
         .nodes
         .is_empty());
     let latin = [good.as_bytes(), b"caf\xe9\n"].concat();
-    assert_eq!(said(read("n.csv", Form::Csv, &latin)), ["n.csv:5:4: byte 0xe9 is not UTF-8"]);
-    let large = vec![b'#'; MOST_BYTES + 1];
-    assert!(said(read("n.csv", Form::Csv, &large))[0].contains("expected 33554432 at most"));
+    assert_eq!(said(read("n.csv", Format::Csv, &latin)), ["n.csv:5:4: byte 0xe9 is not UTF-8"]);
+    let large = vec![b'#'; MAX_BYTES + 1];
+    assert!(said(read("n.csv", Format::Csv, &large))[0].contains("expected 33554432 at most"));
 }
 
 #[test]
@@ -222,12 +222,12 @@
 #[test]
 fn many_faults_are_counted_and_not_all_listed() {
     let mut text = COLUMNS.join(",") + "\n";
-    for n in 0..MOST_FAULTS * 2 {
+    for n in 0..MAX_FAULTS * 2 {
         text.push_str(&format!("s-{n},nowhere,a,std,1,in_service,1,\n"));
     }
     let found = said(csv(&text));
-    assert_eq!(found.len(), MOST_FAULTS + 1);
-    assert!(found[MOST_FAULTS].ends_with("1000 more faults are not listed"), "{}", found[MOST_FAULTS]);
+    assert_eq!(found.len(), MAX_FAULTS + 1);
+    assert!(found[MAX_FAULTS].ends_with("1000 more faults are not listed"), "{}", found[MAX_FAULTS]);
 }
 
 #[test]
@@ -255,7 +255,7 @@
         b": ",
     ];
     for round in 0..6_000 {
-        let (form, text) = if round % 2 == 0 { (Form::Csv, CSV) } else { (Form::Yaml, YAML) };
+        let (format, text) = if round % 2 == 0 { (Format::Csv, CSV) } else { (Format::Yaml, YAML) };
         let mut bytes = text.as_bytes().to_vec();
         for _ in 0..rng.usize(1..8) {
             let at = rng.usize(0..bytes.len().max(1));
@@ -273,10 +273,10 @@
                 }
             }
         }
-        match read("n", form, &bytes) {
+        match read("n", format, &bytes) {
             Ok(inventory) => {
-                let again =
-                    read("n", form, write(&inventory, form).as_bytes()).expect("what was written is good");
+                let again = read("n", format, write(&inventory, format).as_bytes())
+                    .expect("what was written is good");
                 assert_eq!(again.nodes, inventory.nodes);
             }
             Err(faults) => assert!(!faults.is_empty()),
@@ -317,9 +317,9 @@
     #[test]
     fn both_forms_round_trip(nodes in nodes(), version in proptest::option::of(any::<u64>()), removal_allowed: bool) {
         let inventory = Inventory { version, removal_allowed, closed: true, nodes };
-        for form in [Form::Csv, Form::Yaml] {
-            let text = write(&inventory, form);
-            let again = read("n", form, text.as_bytes());
+        for format in [Format::Csv, Format::Yaml] {
+            let text = write(&inventory, format);
+            let again = read("n", format, text.as_bytes());
             prop_assert_eq!(again.map_err(|f| f[0].to_string()), Ok(inventory.clone()), "{}", text);
         }
     }
--- a/crates/inventory/tests/routing.rs
+++ b/crates/inventory/tests/routing.rs
@@ -2,7 +2,7 @@
 use liftrouter_decision::{
     Action, EndpointEntry, EndpointState, Event, Limiter, LoadReport, Outcome, Request, Settings,
 };
-use liftrouter_inventory::{read, Form, Inventory, State};
+use liftrouter_inventory::{read, Format, Inventory, State};
 
 fn settings() -> Settings {
     let class = liftrouter_decision::Class {
@@ -95,8 +95,8 @@
 
 #[test]
 fn the_same_nodes_in_both_forms_route_identically() {
-    let csv = read("twelve.csv", Form::Csv, include_bytes!("twelve.csv")).expect("good");
-    let yaml = read("twelve.yaml", Form::Yaml, include_bytes!("twelve.yaml")).expect("good");
+    let csv = read("twelve.csv", Format::Csv, include_bytes!("twelve.csv")).expect("good");
+    let yaml = read("twelve.yaml", Format::Yaml, include_bytes!("twelve.yaml")).expect("good");
     for seed in 1..5 {
         let (a, b) = (actions(&csv, seed), actions(&yaml, seed));
         let sent = a.iter().filter(|a| matches!(a, Action::Send { .. })).count();
