--- a/crates/daemon/src/discovery/inventory_command.rs
+++ b/crates/daemon/src/discovery/inventory_command.rs
@@ -6,37 +6,37 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Exit code of a command that did its work.
+/// Exit code of a command that succeeded.
 const DONE: u8 = 0;
-/// Exit code where a file has faults.
+/// Exit code if a file has faults.
 const HAS_FAULTS: u8 = 1;
 
-/// Why a file that the command line names cannot be read.
+/// Why a file given on the command line cannot be read.
 #[derive(Debug, Error)]
 pub enum InventoryFileError {
-    /// The name does not say which form the file has.
+    /// The file name has no extension that determines the file format.
     #[error("{path}: expected a name that ends in .csv, .yaml or .yml")]
     UnknownFormat {
         /// The file.
         path: String,
     },
-    /// The system cannot read the file.
+    /// Opening or reading the file failed.
     #[error("{path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The underlying I/O error.
         source: io::Error,
     },
 }
 
-/// An inventory, or its faults.
+/// A valid inventory, or the faults of the file.
 type Parsed = Result<Inventory, Vec<Fault>>;
 
-/// Reads a file named on the command line.
+/// Reads and parses a file given on the command line.
 ///
 /// # Errors
-/// The file cannot be read.
+/// The file cannot be read, or its name does not determine the file format.
 fn load(path: &Path) -> Result<Parsed, InventoryFileError> {
     let name = path.display().to_string();
     let Some(format) = Format::from_file_name(&name) else {
@@ -48,17 +48,18 @@
     }
 }
 
-/// One byte more than the limit is enough for the file to be refused.
+/// Reads a file, but at most one byte more than the limit, which is enough for the parser to refuse it.
 fn read_up_to_limit(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// `liftrouter inventory check`: exit code 0 valid, 1 faults.
+/// `liftrouter inventory check`: prints whether a file is valid, or its faults. Returns the exit code: 0 if the file is
+/// valid, 1 if it has faults.
 ///
 /// # Errors
-/// The file cannot be read.
+/// The file cannot be read, or its name does not determine the file format.
 pub fn check(path: &Path, json: bool) -> Result<u8, InventoryFileError> {
     match load(path)? {
         Ok(inventory) => {
@@ -78,7 +79,7 @@
     }
 }
 
-/// The faults on standard output, as lines or as JSON.
+/// Prints faults to standard output, one per line or as JSON.
 fn print_faults(faults: &[Fault], json: bool) {
     if json {
         println!("{}", serde_json::to_string_pretty(faults).unwrap_or_default());
@@ -95,10 +96,10 @@
     }
 }
 
-/// `liftrouter inventory convert`.
+/// `liftrouter inventory convert`: prints an inventory in another file format. Returns the exit code.
 ///
 /// # Errors
-/// The file cannot be read.
+/// The file cannot be read, or its name does not determine the file format.
 pub fn convert(path: &Path, to: Format) -> Result<u8, InventoryFileError> {
     match load(path)? {
         Ok(inventory) => {
@@ -112,10 +113,11 @@
     }
 }
 
-/// `liftrouter inventory diff`: what adopting the new one over the old one does to each node.
+/// `liftrouter inventory diff`: prints what adopting the new inventory in place of the old one changes for each node.
+/// Returns the exit code.
 ///
 /// # Errors
-/// A file cannot be read.
+/// A file cannot be read, or its name does not determine the file format.
 pub fn compare(old: &Path, new: &Path, json: bool) -> Result<u8, InventoryFileError> {
     let (old, new) = match (load(old)?, load(new)?) {
         (Ok(old), Ok(new)) => (old, new),
--- a/crates/daemon/src/discovery/inventory_file.rs
+++ b/crates/daemon/src/discovery/inventory_file.rs
@@ -1,8 +1,8 @@
-//! The inventory file: polled, read as a whole, and handed to the host as one list.
+//! Follows the inventory file and passes each adopted version to the host as a complete endpoint list.
 //!
-//! What is adopted is decided in `liftrouter_inventory`; here is the file system. A poll costs one system call; where
-//! the system notifies of changes, it comes sooner. Reading and parsing run on a thread beside the runtime's, so that
-//! no request waits for a large file.
+//! `liftrouter_inventory` decides which versions are adopted; this module accesses the file system. Polling an
+//! unchanged file costs one system call, and where the system notifies of changes, the file is read without waiting
+//! for the next poll. Reading and parsing run on a blocking thread, so that no request waits for a large file.
 
 use crate::events::{EventQueue, HostEvent, ListedEndpoint};
 use crate::log;
@@ -22,25 +22,25 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{timeout, Instant};
 
-/// Faults of a version that are logged; `liftrouter inventory check` names them all.
+/// How many faults are logged after the first one; `liftrouter inventory check` lists them all.
 const MAX_LOGGED_FAULTS: usize = 10;
-/// The resolution of a file's time is finer than this on any file system in use.
+/// An upper bound for the resolution of modification times on the file systems in use.
 const FILE_TIME_RESOLUTION: Duration = Duration::from_millis(100);
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// The inventory file, and how it is followed.
+/// The inventory file and the settings for following it.
 pub struct InventorySource {
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The form of the file.
+    /// The file format.
     pub format: Format,
-    /// Which versions are adopted.
+    /// The conditions for adopting a version.
     pub policy: Policy,
     /// How often the file is polled.
     pub poll_interval: Duration,
 }
 
-/// What distinguishes two states of a file without reading it.
+/// File metadata by which a change is detected without reading the file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     device: u64,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether the file was written so long ago that another write must change its time, whose resolution is
-    /// limited.
+    /// Whether the last write is long enough ago that another write changes the modification time, given its limited
+    /// resolution.
     fn is_settled(&self) -> bool {
         let written = Duration::new(
             u64::try_from(self.modified_seconds).unwrap_or(0),
@@ -73,16 +73,17 @@
     }
 }
 
-/// What was read, and what came of parsing it.
+/// The bytes of a file and the result of parsing them.
 struct Content {
     bytes: Vec<u8>,
     parsed: Result<Inventory, Vec<Fault>>,
 }
 
-/// The content of a file, and the stamp that it had then.
+/// The content of a file and the stamp that the file had when it was read.
 type Loaded = (Arc<Content>, FileStamp);
 
-/// Reads and parses a file. None if it changed meanwhile, or another took its place.
+/// Reads and parses a file; content equal to `last` is not parsed again. Returns none if the file was changed or
+/// replaced during the read.
 fn load(path: &Path, format: Format, last: Option<Arc<Content>>) -> io::Result<Option<Loaded>> {
     let file = File::open(path)?;
     let before = FileStamp::new(&file.metadata()?);
@@ -99,10 +100,10 @@
     Ok(Some((content, before)))
 }
 
-/// Wakes at changes in the file's directory, until the watcher is dropped.
+/// Notifies `wake` of changes in the directory of the file until the watcher is dropped.
 fn watch_directory(path: &Path, wake: Arc<Notify>) -> notify::Result<RecommendedWatcher> {
     let mut watcher = notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
-        // Reading is no change: each poll would bring about the next.
+        // Access events are ignored, since otherwise each read of the file would trigger the next one.
         if !event.is_ok_and(|event| event.kind.is_access()) {
             wake.notify_one();
         }
@@ -117,7 +118,10 @@
     pub async fn follow(self, events: Rc<EventQueue>, adopted: Rc<Notify>) {
         let wake: Arc<Notify> = Arc::default();
         let _watcher = watch_directory(&self.path, wake.clone()).map_err(|error| {
-            log("inventory", format_args!("changes are not told, only looked for: {error}"));
+            log(
+                "inventory",
+                format_args!("file change notifications are unavailable, only polling: {error}"),
+            );
         });
         let mut follower = Follower {
             watch: Watch::new(self.policy),
@@ -137,14 +141,14 @@
     }
 }
 
-/// The file as it is followed.
+/// The state of following the file.
 struct Follower {
     source: InventorySource,
     watch: Watch,
     started: Instant,
-    /// What was read last; the same bytes are not parsed again.
+    /// The content that was read last, so that the same bytes are not parsed again.
     last: Option<Arc<Content>>,
-    /// The stamp of a file whose version is decided: while the file has it, it need not be read.
+    /// The stamp of the file whose content was decided on. The file is not read again while it has this stamp.
     settled: Option<FileStamp>,
     adopted_versions: u64,
     adopted: Rc<Notify>,
@@ -164,7 +168,7 @@
         self.settled = None;
         let decision = match loaded {
             Ok(Some(loaded)) => self.decide(loaded),
-            // It changed while it was read.
+            // The file changed during the read.
             Ok(None) => return self.source.poll_interval,
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 self.watch.read_failed(Refusal::FileMissing)
@@ -206,8 +210,11 @@
 
     fn log_refusal(&self, refusal: &Refusal) {
         let path = self.source.path.display();
-        let kept =
-            if self.adopted_versions > 0 { "the version before stays" } else { "no version is adopted yet" };
+        let kept = if self.adopted_versions > 0 {
+            "the previous version stays in use"
+        } else {
+            "no version is adopted yet"
+        };
         log("inventory", format_args!("{path}: not adopted, {kept}: {refusal}"));
         if let Refusal::Faults(faults) = refusal {
             for fault in faults.iter().skip(1).take(MAX_LOGGED_FAULTS) {
@@ -217,7 +224,7 @@
     }
 }
 
-/// A node as the host knows it. One of weight 0 gets no new requests, as one that drains.
+/// Converts a node to an endpoint of the host. A node of weight 0 counts as draining, so that it gets no new requests.
 fn listed_endpoint(node: &Node) -> ListedEndpoint {
     let state = match node.state {
         State::InService if node.weight > 0.0 => EndpointState::InService,
--- a/crates/daemon/tests/inventory.rs
+++ b/crates/daemon/tests/inventory.rs
@@ -1,4 +1,5 @@
-//! The real binary and its inventory file: every way of writing one, and every reason to keep the one before.
+//! Runs the real binary with an inventory file: the ways in which tools replace the file, the reasons for refusing a
+//! version, and the effects of a change on open requests.
 mod common;
 
 use common::*;
@@ -8,7 +9,7 @@
 
 const HEAD: &str = "id,address,zone,kind,cell,state,weight,started_ms\n";
 
-/// A folder of its own, with the operator's file in it.
+/// A temporary directory with an operator's file that refers to the inventory file.
 struct InventoryDirectory {
     folder: PathBuf,
     file: PathBuf,
@@ -25,7 +26,7 @@
     }
 
     fn limiter(&self) -> Limiter {
-        // Nobody listens where discovery would be: it is not asked.
+        // Nothing listens at the discovery address, so the test fails if the limiter depends on discovery.
         Limiter::with_operator(&self.folder.join("operator.toml"), settings(), ([127, 0, 0, 1], 9).into())
     }
 }
@@ -44,31 +45,31 @@
     std::fs::rename(new, file).expect("rename");
 }
 
-/// The body of the server that answers, and the version that the request carried.
+/// Sends a request and returns the response body: the name of the server and the inventory version of the request.
 fn served_by(limiter: &Limiter) -> String {
     let answer = limiter.client().ask(&quote("roomy", 1_500));
     assert_eq!(answer.status(), 200);
     answer.text()
 }
 
-/// A server that answers with its name and the version by which it was chosen.
+/// A server that responds with its name and the `X-Inventory` version of the request.
 fn server(name: &'static str) -> Fake {
     Fake::new(move |m| ok(&format!("{name} {}", m.header("x-inventory").unwrap_or("none"))))
 }
 
 #[test]
-fn it_waits_for_the_first_file_and_then_goes_by_it_alone() {
+fn a_limiter_without_discovery_is_up_only_after_the_first_inventory_is_adopted() {
     let (directory, a) = (InventoryDirectory::new(""), server("a"));
     let limiter = directory.limiter();
-    wait_until("it says that the file is missing", || limiter.errors().contains("the file is not there"));
-    assert!(!limiter.up(), "without a list it takes no clients");
+    wait_until("the missing file is logged", || limiter.errors().contains("the file does not exist"));
+    assert!(!limiter.up(), "a limiter without an endpoint list must not be up");
     rename_over(&directory.file, &csv(5, &[("s-a", a.address, "in_service")]));
     wait_until("it is up", || limiter.up());
     assert_eq!(served_by(&limiter), "a 5");
     assert!(limiter.errors().contains("inventory: version 5 adopted, 1 nodes"), "{}", limiter.errors());
 }
 
-/// Makes a link to the target, and puts it in one step where another may be.
+/// Creates a symbolic link to the target and atomically renames it over an existing link.
 fn swap_link(directory: &InventoryDirectory, target: &Path, link: &Path) {
     let new = directory.folder.join("..new");
     let _ = std::fs::remove_file(&new);
@@ -76,8 +77,8 @@
     std::fs::rename(&new, link).expect("rename");
 }
 
-/// Writes a version of the file, each in another of six ways. Some tools swap whole folders behind a link of the
-/// file into them.
+/// Writes a version of the file in one of six ways, chosen by the version number. In one of them the file is a link
+/// into a directory that is itself replaced by swapping a link, as some configuration tools do.
 fn write_in_turn(directory: &InventoryDirectory, version: u64, text: &str) {
     let spare = directory.folder.join(if version.is_multiple_of(2) { "one" } else { "two" });
     let data = directory.folder.join("..data");
@@ -98,7 +99,7 @@
             swap_link(directory, &spare, &data);
             swap_link(directory, &data.join("nodes.csv"), &directory.file);
         }
-        // A burst of writes of which only the last is complete.
+        // Many partial writes, of which only the last is complete.
         _ => {
             let _ = std::fs::remove_file(&directory.file);
             for cut in 1..20 {
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn every_way_of_writing_the_file_is_noticed() {
+fn every_way_of_replacing_the_file_is_noticed() {
     let (directory, a, b) = (InventoryDirectory::new(""), server("a"), server("b"));
     let to = |version: u64| {
         let node = if version.is_multiple_of(2) {
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn what_is_not_good_changes_nothing_and_is_said_once() {
+fn a_refused_version_changes_nothing_and_is_logged_once() {
     let (directory, a, b) = (InventoryDirectory::new(""), server("a"), server("b"));
     let good = [("s-a", a.address, "in_service"), ("s-b", b.address, "in_service")];
     rename_over(&directory.file, &csv(7, &good));
@@ -149,34 +150,34 @@
     let bad = [
         (csv(8, &good).replacen("in_service", "up", 1), "state is \"up\", expected in_service"),
         (csv(8, &good[..1]).replace("count: 1", "count: 2"), "count is 2, but the file holds 1 nodes"),
-        (csv(6, &good), "version 6 is older than the adopted 7"),
-        (csv(7, &good[..1]), "version 7 is adopted with other nodes"),
+        (csv(6, &good), "version 6 is older than the adopted version 7"),
+        (csv(7, &good[..1]), "version 7 is already adopted with different nodes"),
         (csv(8, &[]), "the file holds no node"),
         (
             csv(8, &[]).replace("# count", "# removal: alowed\n# count"),
             "removal is \"alowed\", expected allowed",
         ),
-        (csv(8, &[("s-c", a.address, "in_service")]), "it removes 2 of 2 nodes that serve"),
-        (csv(8, &good).replace("# count: 2\n", ""), "it does not say where it ends"),
+        (csv(8, &[("s-c", a.address, "in_service")]), "it removes 2 of 2 serving nodes"),
+        (csv(8, &good).replace("# count: 2\n", ""), "it has no count and no end marker"),
         (String::new(), "the file is empty"),
     ];
     for (text, why) in &bad {
         rename_over(&directory.file, text);
         wait_until(why, || limiter.errors().contains(why));
-        assert!(served_by(&limiter).ends_with(" 7"), "the version before stays");
+        assert!(served_by(&limiter).ends_with(" 7"), "the previous version stays in use");
     }
     std::fs::remove_file(&directory.file).expect("remove");
-    wait_until("it says that the file is gone", || limiter.errors().contains("the file is not there"));
+    wait_until("the removed file is logged", || limiter.errors().contains("the file does not exist"));
     assert!(served_by(&limiter).ends_with(" 7"));
     rename_over(&directory.file, &csv(8, &good));
-    wait_until("a good one is adopted", || served_by(&limiter).ends_with(" 8"));
+    wait_until("a valid version is adopted", || served_by(&limiter).ends_with(" 8"));
     for (_, why) in &bad {
         assert_eq!(limiter.errors().matches(why).count(), 1, "{why}: {}", limiter.errors());
     }
 }
 
 #[test]
-fn a_drained_node_a_moved_one_and_one_without_weight_have_their_effects() {
+fn new_requests_avoid_drained_and_weightless_nodes_and_follow_moved_ones() {
     let (directory, a, b) = (InventoryDirectory::new("most_removed = 1.0\n"), server("a"), server("b"));
     let both = |state| [("s-a", a.address, state), ("s-b", b.address, "in_service")];
     rename_over(&directory.file, &csv(1, &both("in_service")));
@@ -186,8 +187,8 @@
     wait_until("the drain is adopted", || served_by(&limiter) == "b 2");
     let before = a.count();
     (0..20).for_each(|_| assert_eq!(served_by(&limiter), "b 2"));
-    assert_eq!(a.count(), before, "nothing new goes to it");
-    // The id of one at the address of the other, which is gone.
+    assert_eq!(a.count(), before, "a draining node gets no new requests");
+    // The id of one node at the address of the other, which is removed.
     rename_over(&directory.file, &csv(3, &[("s-a", b.address, "in_service")]));
     wait_until("the move is adopted", || served_by(&limiter) == "b 3");
     let weightless = csv(4, &both("in_service")).replacen(",1,\n", ",0,\n", 1);
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn what_is_open_at_a_removed_node_is_ended_and_at_a_moved_one_goes_on() {
+fn open_attempts_end_at_a_removed_node_and_continue_at_a_moved_one() {
     let (directory, b) = (InventoryDirectory::new("most_removed = 1.0\n"), server("b"));
     let silent = Fake::new(|_| Reply::Silence);
     let only = |version, at: SocketAddr| csv(version, &[("s-a", at, "in_service")]);
@@ -206,13 +207,13 @@
     wait_until("it is up", || limiter.up());
     let mut client = limiter.client();
     client.send(&quote("roomy", 2_000));
-    wait_until("it is at the silent one", || silent.count() == 1);
-    // The same id elsewhere: what is open goes on where it is, what is new goes there.
+    wait_until("the silent server has the request", || silent.count() == 1);
+    // A moved node: the open attempt continues at the old address, new requests go to the new one.
     rename_over(&directory.file, &only(2, b.address));
     wait_until("the move is adopted", || limiter.errors().contains("version 2 adopted"));
     assert_eq!(served_by(&limiter), "b 2");
     assert!(silent.let_go().is_empty(), "the open attempt is left alone");
-    // Removed: the open attempt is ended at once, and a safe request goes to another node.
+    // A removed node: the open attempt is ended at once, and a request that may be retried goes to another node.
     rename_over(&directory.file, &csv(3, &[("s-b", b.address, "in_service")]));
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "b 3"));
@@ -248,10 +249,14 @@
     let (code, yaml) = run(&["convert", &old, "--to", "yaml"]);
     assert_eq!(code, Some(0));
     std::fs::write(&new, &yaml).expect("write");
-    assert_eq!(run(&["convert", &new, "--to", "csv"]), (Some(0), csv(1, &two)), "round and back");
+    assert_eq!(
+        run(&["convert", &new, "--to", "csv"]),
+        (Some(0), csv(1, &two)),
+        "converting to YAML and back"
+    );
     assert_eq!(run(&["diff", &old, &new]), (Some(0), "no change\n".into()));
     std::fs::write(&new, yaml.replacen("in_service", "terminating", 1)).expect("write");
-    assert_eq!(run(&["diff", &old, &new]).1, "s-1: drains: nothing new, open attempts go on\n");
+    assert_eq!(run(&["diff", &old, &new]).1, "s-1: drains: no new requests, open attempts continue\n");
     std::fs::write(&new, yaml.replacen("weight: 1", "weight: -1", 1)).expect("write");
     let (code, said) = run(&["check", &new]);
     assert!(code == Some(1) && said.contains("new.yaml:10:11: s-1: weight is \"-1\""), "{said}");
--- a/crates/inventory/src/adopt.rs
+++ b/crates/inventory/src/adopt.rs
@@ -1,21 +1,21 @@
-//! When a version of a file is adopted, and when the one before is kept.
+//! Decides whether a version of an inventory file is adopted or the previous one is kept.
 //!
-//! A file that is being written cannot be told from a finished one by its text alone: a part of a CSV file is a
-//! shorter CSV file. So a version is taken for whole once it says itself where it ends (`# count:`, `# end`,
-//! `count:`, `...`), or else when it has stayed as it is for a while. One that has been adopted closed is
-//! followed by closed ones only: a half-written file lacks its end, however long its writer stands still.
+//! The text alone does not show whether a file is still being written: part of a CSV file is a shorter valid CSV
+//! file. A version therefore counts as complete if it is closed, that is, if it states its number of nodes or has an
+//! end marker (`# count:`, `# end`, `count:`, `...`), or else if it has not changed for a while. Once a closed version
+//! is adopted, only closed ones may follow, so that a half-written file is refused even if its writer stalls.
 
 use crate::diff::count_removed;
 use crate::model::{Fault, Inventory};
 use std::fmt;
 use std::time::Duration;
 
-/// How careful to be.
+/// The conditions for adopting a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// A version that does not say where it ends is adopted once it has stayed the same for so long.
+    /// How long a version that is not closed must stay unchanged before it is adopted.
     pub quiet_period: Duration,
-    /// The share of the nodes that served which one version may remove, unless it says that it may.
+    /// The ratio of the serving nodes that a version may remove at most, unless it is marked `removal: allowed`.
     pub max_removed_ratio: f64,
 }
 
@@ -25,32 +25,32 @@
     }
 }
 
-/// Why a version that was read is not adopted.
+/// Why a file is not adopted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
-    /// It has faults.
+    /// The text has faults.
     Faults(Vec<Fault>),
-    /// It does not say where it ends, and the one before did.
+    /// The version is not closed, and the adopted one is.
     NotClosed,
-    /// Its version number is lower than the adopted one's.
+    /// The version number is lower than the adopted one.
     VersionTooLow {
-        /// Its own.
+        /// The version number of the file.
         found: u64,
-        /// The adopted one.
+        /// The adopted version number.
         adopted: u64,
     },
-    /// Its version number is that of the adopted one, but not its nodes.
+    /// The version number equals the adopted one, but the nodes differ.
     VersionReused(u64),
-    /// It has no version number, and the adopted one has.
+    /// The file has no version number, and the adopted version has this one.
     VersionMissing(u64),
-    /// It removes too many of the nodes that serve.
+    /// The version removes more serving nodes than the policy permits.
     TooManyRemoved {
-        /// How many it removes.
+        /// How many serving nodes it removes.
         removed: usize,
-        /// Of how many.
+        /// How many serving nodes the adopted version has.
         serving: usize,
     },
-    /// There is no file.
+    /// The file does not exist.
     FileMissing,
     /// The file cannot be read.
     Unreadable(String),
@@ -64,104 +64,114 @@
                 faults.first().map_or(Ok(()), |first| write!(f, "{first}"))
             }
             Refusal::NotClosed => {
-                write!(f, "it does not say where it ends, as the version before did: half written?")
+                write!(
+                    f,
+                    "it has no count and no end marker, unlike the adopted version: it may be half written"
+                )
             }
             Refusal::VersionTooLow { found, adopted } => {
-                write!(f, "version {found} is older than the adopted {adopted}, expected a higher number")
+                write!(
+                    f,
+                    "version {found} is older than the adopted version {adopted}, expected a higher number"
+                )
             }
             Refusal::VersionReused(version) => {
-                write!(f, "version {version} is adopted with other nodes, expected a higher number")
+                write!(
+                    f,
+                    "version {version} is already adopted with different nodes, expected a higher number"
+                )
             }
             Refusal::VersionMissing(adopted) => {
-                write!(f, "it has no version, expected one over the adopted {adopted}")
+                write!(f, "it has no version number, expected one above the adopted version {adopted}")
             }
             Refusal::TooManyRemoved { removed, serving } => {
                 write!(
                     f,
-                    "it removes {removed} of {serving} nodes that serve; to do so it must say `removal: allowed`"
+                    "it removes {removed} of {serving} serving nodes; to do so it must contain `removal: allowed`"
                 )
             }
-            Refusal::FileMissing => write!(f, "the file is not there"),
+            Refusal::FileMissing => write!(f, "the file does not exist"),
             Refusal::Unreadable(why) => write!(f, "the file cannot be read: {why}"),
         }
     }
 }
 
-/// What to do about what was seen.
+/// What the caller must do after an observation of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Nothing: it is what is adopted, or its refusal has been told.
+    /// Nothing: this content is already adopted, or was already refused.
     Keep,
-    /// Look again after this time: it may still be being written.
+    /// Read the file again after this time, since it may still be in the middle of a write.
     Wait(Duration),
-    /// Keep what is adopted, and say why; told once for each text.
+    /// Keep the adopted version and report why. Returned once for content that stays the same.
     Refuse(Refusal),
-    /// Adopt this one, whole.
+    /// Adopt this version.
     Adopt(Inventory),
 }
 
-/// What has been seen of a file so far.
+/// Follows the content of an inventory file and holds the adopted version.
 #[derive(Debug, Default)]
 pub struct Watch {
     policy: Policy,
-    /// What was seen last, and since when.
-    seen: Option<(u64, Duration)>,
-    /// The text that was last decided on.
+    /// The digest of the content observed last, and when it was first observed.
+    observed: Option<(u64, Duration)>,
+    /// The digest of the content, or of the read error, that was decided on last.
     decided: Option<u64>,
     adopted: Option<Inventory>,
 }
 
-/// FNV-1a: tells one text from another.
+/// FNV-1a hash, by which changed content is recognized.
 fn digest(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3))
 }
 
 impl Watch {
-    /// One that has seen nothing.
+    /// Creates a watch that has observed nothing yet.
     pub fn new(policy: Policy) -> Watch {
         Watch { policy, ..Watch::default() }
     }
 
-    /// What is adopted.
+    /// Returns the adopted version.
     pub fn adopted(&self) -> Option<&Inventory> {
         self.adopted.as_ref()
     }
 
-    /// The file could not be read, or is not there.
+    /// Records that the file could not be read or does not exist.
     pub fn read_failed(&mut self, why: Refusal) -> Decision {
-        let mark = digest(why.to_string().as_bytes());
-        self.seen = None;
-        if self.decided.replace(mark) == Some(mark) {
+        let digest = digest(why.to_string().as_bytes());
+        self.observed = None;
+        if self.decided.replace(digest) == Some(digest) {
             return Decision::Keep;
         }
         Decision::Refuse(why)
     }
 
-    /// The file holds these bytes at this time, of a clock that goes forward; `read` reads them.
+    /// Records that the file holds `bytes` at `now`, a time on a monotonic clock, and decides whether to adopt them.
+    /// `read` parses the bytes; it is not called for content that was already decided on.
     pub fn observe(
         &mut self,
         now: Duration,
         bytes: &[u8],
         read: impl FnOnce(&[u8]) -> Result<Inventory, Vec<Fault>>,
     ) -> Decision {
-        let mark = digest(bytes);
-        let since = match self.seen {
-            Some((seen, since)) if seen == mark => since,
+        let digest = digest(bytes);
+        let since = match self.observed {
+            Some((observed, since)) if observed == digest => since,
             _ => now,
         };
-        self.seen = Some((mark, since));
-        if self.decided == Some(mark) {
+        self.observed = Some((digest, since));
+        if self.decided == Some(digest) {
             return Decision::Keep;
         }
-        let steady = now.saturating_sub(since);
-        let wait = self.policy.quiet_period.saturating_sub(steady);
+        let unchanged_for = now.saturating_sub(since);
+        let wait = self.policy.quiet_period.saturating_sub(unchanged_for);
         let read = read(bytes);
-        // Only what is whole by its own word need not wait: faults may be those of a half.
+        // Only a closed version skips the wait. Faults may come from a half-written file, so they wait too.
         if !wait.is_zero() && !read.as_ref().is_ok_and(|inventory| inventory.closed) {
             return Decision::Wait(wait);
         }
-        self.decided = Some(mark);
-        match read.map_err(Refusal::Faults).and_then(|new| self.judge(&new).map(|()| new)) {
+        self.decided = Some(digest);
+        match read.map_err(Refusal::Faults).and_then(|new| self.check_against_adopted(&new).map(|()| new)) {
             Ok(new) => {
                 if self.adopted.as_ref() == Some(&new) {
                     return Decision::Keep;
@@ -173,7 +183,8 @@
         }
     }
 
-    fn judge(&self, new: &Inventory) -> Result<(), Refusal> {
+    /// Checks a new version against the adopted one.
+    fn check_against_adopted(&self, new: &Inventory) -> Result<(), Refusal> {
         let Some(old) = &self.adopted else { return Ok(()) };
         if old.closed && !new.closed {
             return Err(Refusal::NotClosed);
--- a/crates/inventory/src/diff.rs
+++ b/crates/inventory/src/diff.rs
@@ -1,39 +1,39 @@
-//! What adopting another inventory does to each node.
+//! Computes what adopting another inventory changes for each node.
 
 use crate::model::{Inventory, Node, State};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::fmt;
 
-/// What happens to a node, and with it to what is open there.
+/// What a change does to a node and to its open attempts and connections.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// New: it may be sent to.
+    /// The node is new and receives requests.
     Added,
-    /// No longer listed, or withdrawn: open attempts are ended, connections closed.
+    /// The node is no longer listed, or is terminated: its open attempts are ended, its connections closed.
     Removed,
-    /// The same id elsewhere: idle connections are closed, open attempts go on where they are, new ones go to
-    /// the new address.
+    /// The node has a new address: idle connections are closed, open attempts continue at the old address, new
+    /// ones go to the new address.
     Moved,
-    /// An id that has the address of another one now: that one's connections are closed; none is handed over.
+    /// The node now has the address of another node, whose connections are closed rather than reused.
     #[serde(rename = "took_over")]
     AddressTakenOver {
-        /// Whose address it was.
+        /// The id of the node that had the address.
         from: String,
     },
-    /// A new process: what was learnt of the old one is forgotten; open attempts go on.
+    /// The node's process is new: measurements of the old one are discarded, open attempts continue.
     Restarted,
-    /// Wants nothing new: open attempts go on, what has not been written yet is taken back.
+    /// The node accepts no new requests: open attempts continue, requests not yet written to it are withdrawn.
     #[serde(rename = "drains")]
     Drained,
-    /// Takes work again.
+    /// The node accepts new requests again.
     #[serde(rename = "serves")]
     Resumed,
-    /// Another weight: holds from the next choice on; nothing open is touched.
+    /// The weight changed, which affects the next endpoint selection; open attempts are unaffected.
     #[serde(rename = "weighed")]
     WeightChanged,
-    /// Another zone, kind or cell: holds from the next choice on.
+    /// The zone, kind or cell changed, which affects the next endpoint selection.
     #[serde(rename = "described")]
     AttributesChanged,
 }
@@ -41,86 +41,88 @@
 impl fmt::Display for Effect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Effect::Added => "added: it may be sent to",
+            Effect::Added => "added: it receives requests",
             Effect::Removed => "removed: its open attempts are ended, its connections closed",
-            Effect::Moved => "moved: open attempts go on, new ones go to the new address",
-            Effect::AddressTakenOver { from } => return write!(f, "has the address of {from} now"),
-            Effect::Restarted => "restarted: what was learnt of its process is forgotten",
-            Effect::Drained => "drains: nothing new, open attempts go on",
-            Effect::Resumed => "takes work again",
-            Effect::WeightChanged => "another weight, from the next choice on",
-            Effect::AttributesChanged => "another zone, kind or cell, from the next choice on",
+            Effect::Moved => "moved: open attempts continue, new ones go to the new address",
+            Effect::AddressTakenOver { from } => return write!(f, "now has the address of {from}"),
+            Effect::Restarted => "restarted: measurements of the old process are discarded",
+            Effect::Drained => "drains: no new requests, open attempts continue",
+            Effect::Resumed => "accepts new requests again",
+            Effect::WeightChanged => "weight changed, from the next endpoint selection on",
+            Effect::AttributesChanged => "zone, kind or cell changed, from the next endpoint selection on",
         })
     }
 }
 
-/// A change of one node.
+/// All effects of a new inventory on one node.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
-    /// The node.
+    /// The id of the node.
     pub id: String,
-    /// What it comes to; several where several things changed.
+    /// The effects, one for each kind of difference.
     pub effects: Vec<Effect>,
 }
 
-/// Whether a node of this inventory gets new work.
+/// Whether a node gets new requests.
 pub fn accepts_new_work(node: &Node) -> bool {
     node.state == State::InService && node.weight > 0.0
 }
 
-/// Every node that adopting `new` over `old` changes, in the order of `new` and then what is removed.
+/// Lists every node that changes when `new` replaces `old`: in the order of `new`, then the removed ones.
 pub fn diff(old: &Inventory, new: &Inventory) -> Vec<Change> {
-    let before: HashMap<&str, &Node> = listed(old).map(|n| (n.id.as_str(), n)).collect();
-    let holders: HashMap<_, &str> = listed(old).map(|n| (n.address, n.id.as_str())).collect();
-    let after: HashMap<&str, &Node> = listed(new).map(|n| (n.id.as_str(), n)).collect();
+    let old_nodes: HashMap<&str, &Node> = listed(old).map(|n| (n.id.as_str(), n)).collect();
+    let old_addresses: HashMap<_, &str> = listed(old).map(|n| (n.address, n.id.as_str())).collect();
+    let new_nodes: HashMap<&str, &Node> = listed(new).map(|n| (n.id.as_str(), n)).collect();
     let mut changes = Vec::new();
     for node in listed(new) {
         let mut effects = Vec::new();
-        if let Some(from) = holders.get(&node.address).filter(|id| **id != node.id) {
+        if let Some(from) = old_addresses.get(&node.address).filter(|id| **id != node.id) {
             effects.push(Effect::AddressTakenOver { from: (*from).to_string() });
         }
-        match before.get(node.id.as_str()) {
+        match old_nodes.get(node.id.as_str()) {
             None => effects.insert(0, Effect::Added),
-            Some(was) => compare(was, node, &mut effects),
+            Some(old) => compare(old, node, &mut effects),
         }
         if !effects.is_empty() {
             changes.push(Change { id: node.id.clone(), effects });
         }
     }
-    let gone = listed(old).filter(|n| !after.contains_key(n.id.as_str()));
-    changes.extend(gone.map(|n| Change { id: n.id.clone(), effects: vec![Effect::Removed] }));
+    let removed = listed(old).filter(|n| !new_nodes.contains_key(n.id.as_str()));
+    changes.extend(removed.map(|n| Change { id: n.id.clone(), effects: vec![Effect::Removed] }));
     changes
 }
 
-/// Those that are not withdrawn: to be listed so is to be gone.
+/// The nodes that are not terminated. A terminated node counts as removed.
 fn listed(inventory: &Inventory) -> impl Iterator<Item = &Node> {
     inventory.nodes.iter().filter(|n| n.state != State::Terminated)
 }
 
-fn compare(was: &Node, is: &Node, effects: &mut Vec<Effect>) {
-    if was.address != is.address {
+/// Appends the differences between two versions of a node.
+fn compare(old: &Node, new: &Node, effects: &mut Vec<Effect>) {
+    if old.address != new.address {
         effects.push(Effect::Moved);
     }
-    if was.started_ms != is.started_ms && is.started_ms.is_some() {
+    if old.started_ms != new.started_ms && new.started_ms.is_some() {
         effects.push(Effect::Restarted);
     }
-    match (accepts_new_work(was), accepts_new_work(is)) {
+    match (accepts_new_work(old), accepts_new_work(new)) {
         (true, false) => effects.push(Effect::Drained),
         (false, true) => effects.push(Effect::Resumed),
         _ => {}
     }
-    if was.weight != is.weight {
+    if old.weight != new.weight {
         effects.push(Effect::WeightChanged);
     }
-    if (&was.zone, &was.kind, was.cell) != (&is.zone, &is.kind, is.cell) {
+    if (&old.zone, &old.kind, old.cell) != (&new.zone, &new.kind, new.cell) {
         effects.push(Effect::AttributesChanged);
     }
 }
 
-/// How many of the nodes that served no longer do, and how many served.
+/// Counts the serving nodes of `old` that `new` removes, and the serving nodes of `old`. A node that `new` lists as
+/// terminated is removed; one that drains or has weight 0 is not.
 pub fn count_removed(old: &Inventory, new: &Inventory) -> (usize, usize) {
-    let after: HashMap<&str, &Node> = new.nodes.iter().map(|n| (n.id.as_str(), n)).collect();
-    let served = old.nodes.iter().filter(|n| accepts_new_work(n));
-    let gone = |n: &&Node| after.get(n.id.as_str()).is_none_or(|n| n.state == State::Terminated);
-    (served.clone().filter(gone).count(), served.count())
+    let new_nodes: HashMap<&str, &Node> = new.nodes.iter().map(|n| (n.id.as_str(), n)).collect();
+    let serving = old.nodes.iter().filter(|n| accepts_new_work(n));
+    let removed = |n: &&Node| new_nodes.get(n.id.as_str()).is_none_or(|n| n.state == State::Terminated);
+    (serving.clone().filter(removed).count(), serving.count())
 }
--- a/crates/inventory/src/model.rs
+++ b/crates/inventory/src/model.rs
@@ -1,19 +1,19 @@
-//! What an inventory holds, and what can be wrong with one.
+//! The data model of an inventory, its faults, and its text before validation.
 
 use serde::Serialize;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The largest text that is read, in bytes.
+/// The largest text that is parsed, in bytes.
 pub const MAX_BYTES: usize = 32 << 20;
-/// The most nodes.
+/// The most nodes that an inventory may have.
 pub const MAX_NODES: usize = 200_000;
-/// The most faults that are listed; one more says how many there are beyond.
+/// The most faults that are listed. If there are more, one further entry says how many were left out.
 pub const MAX_FAULTS: usize = 1_000;
-/// The columns, or keys, of a node.
+/// The CSV columns, which are also the YAML keys, of a node.
 pub const COLUMNS: [&str; 8] = ["id", "address", "zone", "kind", "cell", "state", "weight", "started_ms"];
 
-/// How a text is written.
+/// The file format of an inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Comma-separated values, RFC 4180 without quotes.
@@ -23,7 +23,7 @@
 }
 
 impl Format {
-    /// By the name of a file: `.csv`, `.yaml` or `.yml`.
+    /// Determines the format by the file extension: `.csv`, `.yaml` or `.yml`.
     pub fn from_file_name(name: &str) -> Option<Format> {
         let (_, extension) = name.rsplit_once('.')?;
         match extension.to_ascii_lowercase().as_str() {
@@ -34,20 +34,20 @@
     }
 }
 
-/// State of a node, in the protocol's words.
+/// The lifecycle state of a node, named as in the discovery protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Takes work.
+    /// Accepts new requests.
     InService,
-    /// Finishes what it has, and wants nothing new.
+    /// Finishes its open requests and accepts no new ones.
     Terminating,
-    /// Withdrawn.
+    /// Counts as removed.
     Terminated,
 }
 
 impl State {
-    /// As the protocol writes it.
+    /// The name of the state in the discovery protocol.
     pub fn name(self) -> &'static str {
         match self {
             State::InService => "in_service",
@@ -56,58 +56,58 @@
         }
     }
 
-    /// By its name.
+    /// Looks a state up by its name in the discovery protocol.
     pub fn from_name(name: &str) -> Option<State> {
         [State::InService, State::Terminating, State::Terminated].into_iter().find(|s| s.name() == name)
     }
 }
 
-/// A node.
+/// A server that an inventory lists.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Node {
-    /// The same for as long as the machine is.
+    /// Identifies the machine and stays the same for its lifetime.
     pub id: String,
-    /// Where it listens.
+    /// The address that the node listens on.
     pub address: SocketAddr,
-    /// Its zone, or room.
+    /// The zone, such as a room, that the node is in.
     pub zone: String,
-    /// Its kind of machine.
+    /// The machine type.
     pub kind: String,
-    /// Its cell within the zone; none if it is not told.
+    /// The cell within the zone; none if the file does not state it.
     pub cell: Option<i64>,
-    /// Its state.
+    /// The lifecycle state.
     pub state: State,
-    /// Its size against the others. A node of weight 0 gets nothing new.
+    /// The capacity relative to other nodes. A node of weight 0 gets no new requests.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; none for long ago.
+    /// When the process last started, in Unix milliseconds; none if it is not given, or is 0.
     pub started_ms: Option<u64>,
 }
 
-/// All nodes, and what the file says of itself.
+/// The nodes of a file and the marks that apply to the file as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Inventory {
-    /// Its number, if it has one. Versions only go up.
+    /// The version number, if the file has one. A file with a lower number than the adopted one is refused.
     pub version: Option<u64>,
-    /// It says that it may remove as many nodes as it does.
+    /// The file is marked `removal: allowed`: it may remove any number of nodes.
     pub removal_allowed: bool,
-    /// It says how many nodes it holds, or where it ends: a part of it cannot be taken for the whole.
+    /// The file states its number of nodes or has an end marker, so that part of it cannot pass for all of it.
     pub closed: bool,
-    /// The nodes, in the file's order.
+    /// The nodes, in the order of the file.
     pub nodes: Vec<Node>,
 }
 
-/// What is wrong with a text, and where.
+/// An error in the text of an inventory, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// Line and column from 1, in characters; 0 where the whole file is meant.
+    /// Line, counted from 1; 0 if the fault concerns the whole file.
     pub line: usize,
-    /// Column.
+    /// Column in characters, counted from 1; 0 if the fault concerns the whole file.
     pub column: usize,
-    /// The node, where one is known.
+    /// The id of the node, if it is known.
     pub node: Option<String>,
-    /// What was found, and what was expected.
+    /// What was found and what was expected.
     pub reason: String,
 }
 
@@ -121,40 +121,41 @@
     }
 }
 
-/// A place in a text: line and column from 1.
-pub type Place = (usize, usize);
+/// A position in a text: line and column, counted from 1; (0, 0) stands for the whole file.
+pub type Position = (usize, usize);
 
-/// Faults as they are found.
+/// Collects faults while a text is parsed and validated.
 pub struct Faults {
     file: String,
     found: Vec<Fault>,
-    beyond: usize,
+    /// How many faults were found after the list was full.
+    unlisted: usize,
 }
 
 impl Faults {
     pub fn new(file: &str) -> Faults {
-        Faults { file: file.into(), found: Vec::new(), beyond: 0 }
+        Faults { file: file.into(), found: Vec::new(), unlisted: 0 }
     }
 
     pub fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
 
-    pub fn add(&mut self, (line, column): Place, node: Option<&str>, reason: impl Into<String>) {
+    pub fn add(&mut self, (line, column): Position, node: Option<&str>, reason: impl Into<String>) {
         if self.found.len() >= MAX_FAULTS {
-            self.beyond += 1;
+            self.unlisted += 1;
             return;
         }
-        let node = node.filter(|n| !n.is_empty()).map(shown);
+        let node = node.filter(|n| !n.is_empty()).map(excerpt);
         self.found.push(Fault { file: self.file.clone(), line, column, node, reason: reason.into() });
     }
 
-    /// All, by line and column.
-    pub fn all(mut self) -> Vec<Fault> {
+    /// Returns the faults, ordered by line and column.
+    pub fn into_sorted(mut self) -> Vec<Fault> {
         self.found.sort_by_key(|f| (f.line, f.column));
-        if self.beyond > 0 {
+        if self.unlisted > 0 {
             let last = self.found.last().map_or((0, 0), |f| (f.line, f.column));
-            let reason = format!("{} more faults are not listed", self.beyond);
+            let reason = format!("{} more faults are not listed", self.unlisted);
             let (line, column) = last;
             self.found.push(Fault { file: self.file.clone(), line, column, node: None, reason });
         }
@@ -162,19 +163,19 @@
     }
 }
 
-/// A text of a file as a fault may show it: short, and nothing that moves a terminal's cursor.
-pub fn shown(text: &str) -> String {
-    const MOST: usize = 64;
+/// Shortens file content for a fault message and replaces control characters, which could move a terminal's cursor.
+pub fn excerpt(text: &str) -> String {
+    const MAX_CHARS: usize = 64;
     let mut short: String =
-        text.chars().take(MOST).map(|c| if c.is_control() { '\u{fffd}' } else { c }).collect();
-    if text.chars().nth(MOST).is_some() {
+        text.chars().take(MAX_CHARS).map(|c| if c.is_control() { '\u{fffd}' } else { c }).collect();
+    if text.chars().nth(MAX_CHARS).is_some() {
         short.push('…');
     }
     short
 }
 
-/// The text of a file, past a byte order mark.
-pub fn text<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<&'a str> {
+/// Decodes the content of a file as UTF-8, without its byte order mark.
+pub fn decode<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<&'a str> {
     if bytes.len() > MAX_BYTES {
         faults.add((0, 0), None, format!("the file has {} bytes, expected {MAX_BYTES} at most", bytes.len()));
         return None;
@@ -187,7 +188,7 @@
         let start = before.iter().rposition(|b| *b == b'\n').map_or(0, |n| n + 1);
         let column = String::from_utf8_lossy(&before[start..]).chars().count() + 1;
         faults.add((line, column), None, format!("byte 0x{:02x} is not UTF-8", bytes[bad]));
-        // The next line: bytes of another encoding come in heaps, and one a line tells enough.
+        // Continues with the next line: text in another encoding has many such bytes, and one fault per line is enough.
         let Some(next) = bytes[bad..].iter().position(|b| *b == b'\n') else { break };
         at = bad + next + 1;
         rest = &bytes[at..];
@@ -202,28 +203,29 @@
     Some(text.strip_prefix('\u{feff}').unwrap_or(text))
 }
 
-/// A value as it stands in the text.
+/// A value as it appears in the text, with its position.
 #[derive(Clone, Debug)]
 pub struct Cell<'a> {
     pub text: std::borrow::Cow<'a, str>,
-    pub at: Place,
+    pub at: Position,
 }
 
-/// A node as it stands in the text; a value that is missing has been named as a fault.
+/// The values of a node as they appear in the text, in the order of [`COLUMNS`]. For each missing value a fault was
+/// already added.
 #[derive(Debug)]
 pub struct Row<'a> {
     pub cells: [Option<Cell<'a>>; COLUMNS.len()],
 }
 
-/// A text by its values, not looked at yet.
+/// The parsed values of a text, before validation.
 #[derive(Debug, Default)]
-pub struct Raw<'a> {
+pub struct RawInventory<'a> {
     pub rows: Vec<Row<'a>>,
     pub version: Option<Cell<'a>>,
     pub count: Option<Cell<'a>>,
     pub removal: Option<Cell<'a>>,
-    /// It has a line that ends it.
-    pub ended: bool,
-    /// It is of no use to look at its nodes: what they are is not known.
+    /// The text has an end marker.
+    pub has_end_marker: bool,
+    /// The nodes could not be parsed, so that validating them would only add misleading faults.
     pub unreadable: bool,
 }
--- a/crates/inventory/src/write.rs
+++ b/crates/inventory/src/write.rs
@@ -1,9 +1,9 @@
-//! Inventories written as text, in either format; read again they are the same.
+//! Writes inventories as CSV or YAML. Reading the output back yields the same nodes.
 
 use crate::model::{Format, Inventory, Node, COLUMNS};
 use std::fmt::Write as _;
 
-/// The text of an inventory, closed by its count.
+/// Serializes an inventory. The output states the number of nodes, so that it is closed.
 pub fn write(inventory: &Inventory, format: Format) -> String {
     match format {
         Format::Csv => csv(inventory),
@@ -11,6 +11,7 @@
     }
 }
 
+/// The values of a node in the order of [`COLUMNS`].
 fn values(n: &Node) -> [String; COLUMNS.len()] {
     [
         n.id.clone(),
@@ -55,16 +56,16 @@
     }
     text.push_str("nodes:\n");
     for node in &inventory.nodes {
-        let mut lead = "- ";
+        let mut indent = "- ";
         for (name, value) in COLUMNS.iter().zip(values(node)) {
             if value.is_empty() {
                 continue;
             }
-            // Quoted, since a name may look like a number, null or an alias. Names hold no quotes.
+            // Quoted, since a name may look like a number, null or an alias. Names contain no quotes.
             let quoted = matches!(*name, "id" | "address" | "zone" | "kind");
-            let mark = if quoted { "'" } else { "" };
-            let _ = writeln!(text, "{lead}{name}: {mark}{value}{mark}");
-            lead = "  ";
+            let quote = if quoted { "'" } else { "" };
+            let _ = writeln!(text, "{indent}{name}: {quote}{value}{quote}");
+            indent = "  ";
         }
     }
     text
--- a/crates/inventory/tests/read.rs
+++ b/crates/inventory/tests/read.rs
@@ -1,4 +1,5 @@
-//! Reading: one model in two forms, every fault named with its place, nothing that panics or swells.
+//! Parsing: both file formats yield the same inventory, each fault has its position, and no input makes the parser
+//! panic or use memory out of proportion.
 use liftrouter_inventory::{
     read, write, Fault, Format, Inventory, Node, State, COLUMNS, MAX_BYTES, MAX_FAULTS,
 };
@@ -15,11 +16,11 @@
     read("n.yaml", Format::Yaml, text.as_bytes())
 }
 
-fn said(read: Result<Inventory, Vec<Fault>>) -> Vec<String> {
+fn fault_lines(read: Result<Inventory, Vec<Fault>>) -> Vec<String> {
     read.expect_err("it has faults").iter().map(ToString::to_string).collect()
 }
 
-/// A file with this row among good ones.
+/// A CSV file with this row between two valid ones, in line 3.
 fn with_row(row: &str) -> String {
     format!(
         "{}\ns-a,10.0.0.1:1,a,std,1,in_service,1,\n{row}\ns-z,10.0.0.9:1,a,std,1,in_service,1,5\n",
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn the_same_twelve_nodes_are_the_same_in_both_forms() {
+fn the_same_twelve_nodes_are_the_same_in_both_formats() {
     let (a, b) = (csv(CSV).expect("good"), yaml(YAML).expect("good"));
     assert_eq!(a, b);
     assert_eq!((a.nodes.len(), a.version, a.closed), (12, Some(7), true));
@@ -44,20 +45,21 @@
     assert_eq!(csv(&format!("\u{feff}{CSV}")).expect("BOM"), good);
     assert_eq!(yaml(&YAML.replace('\n', "\r\n")).expect("CRLF"), good);
     assert_eq!(yaml(&format!("\u{feff}{YAML}")).expect("BOM"), good);
-    let turned = "state,weight,id,zone,kind,address,started_ms,cell\nin_service,2,s-1,a,std,10.0.0.1:1,,\n";
-    let nodes = csv(turned).expect("good").nodes;
+    let reordered =
+        "state,weight,id,zone,kind,address,started_ms,cell\nin_service,2,s-1,a,std,10.0.0.1:1,,\n";
+    let nodes = csv(reordered).expect("good").nodes;
     assert_eq!((nodes[0].id.as_str(), nodes[0].weight, nodes[0].cell), ("s-1", 2.0, None));
 }
 
 #[test]
-fn every_fault_of_a_row_names_line_column_node_and_what_was_expected() {
+fn every_fault_of_a_row_has_line_column_node_and_expected_value() {
     for (row, expected) in [
         ("s-b,10.0.0.2:1,a,std,1,in_service,1", "n.csv:3:35: s-b: the row has 7 columns, expected 8"),
         ("s-b,10.0.0.2:1,a,std,1,in_service,1,,x", "n.csv:3:38: s-b: the row has 9 columns, expected 8"),
         ("s-a,10.0.0.2:1,a,std,1,in_service,1,", "n.csv:3:1: s-a: id is given twice, first in line 2"),
         (
             "s-b,10.0.0.1:1,a,std,1,in_service,1,",
-            "n.csv:3:5: s-b: address 10.0.0.1:1 is that of s-a in line 2",
+            "n.csv:3:5: s-b: address 10.0.0.1:1 is already used by s-a in line 2",
         ),
         (
             "s-b,10.0.0.2,a,std,1,in_service,1,",
@@ -95,24 +97,24 @@
         ("s-b,10.0.0.2:1,a,std,1,in_service\t,1,", "n.csv:3:34: a tab, expected a comma or nothing"),
         ("s-b,10.0.0.2:1,a,std,1,in_service,1,\r\r", "a carriage return within a line"),
     ] {
-        let found = said(csv(&with_row(row)));
+        let found = fault_lines(csv(&with_row(row)));
         assert!(found.iter().any(|f| f.contains(expected)), "{row:?}: {found:#?} holds no {expected:?}");
-        assert!(found.iter().all(|f| f.starts_with("n.csv:3:")), "the other rows are good: {found:?}");
+        assert!(found.iter().all(|f| f.starts_with("n.csv:3:")), "faults outside the row: {found:?}");
     }
 }
 
 #[test]
-fn a_damaged_copy_has_every_fault_named_at_once() {
+fn all_faults_of_a_damaged_file_are_reported_at_once() {
     let damaged = CSV
         .replacen("s-01,", "s-00,", 1)
         .replacen("10.1.0.12:5000", "10.1.0.10:5000", 1)
         .replacen("1.5", "nan", 1)
         .replacen("s-06,", "\"s-06\",", 1)
         .replacen("# count: 12", "# count: 11", 1);
-    let found = said(csv(&damaged));
+    let found = fault_lines(csv(&damaged));
     for expected in [
         "id is given twice",
-        "address 10.1.0.10:5000 is that of",
+        "address 10.1.0.10:5000 is already used by",
         "weight is \"nan\"",
         "a quote",
         "count is 11, but the file holds 12 nodes",
@@ -124,7 +126,7 @@
         .replacen("*std", "*standard", 1)
         .replacen("state: terminating", "state: draining", 1)
         .replacen("id: s-11", "id: s-10", 1);
-    let found = said(yaml(&damaged));
+    let found = fault_lines(yaml(&damaged));
     for expected in [
         "weight is \".nan\"",
         "alias *standard points to no anchor",
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn faults_of_the_whole_csv_file_are_named() {
+fn faults_of_the_whole_csv_file_are_reported() {
     let good = with_row("s-b,10.0.0.2:1,a,std,1,in_service,1,");
     for (text, expected) in [
         (String::new(), "the file is empty, expected id,address,zone"),
@@ -146,26 +148,26 @@
         (good.replace("id,", "name,"), "n.csv:1:1: the header lacks id"),
         (good.replace(",cell", ",zone"), "n.csv:1:22: column zone is given twice"),
         (good.replace("in_service,1,", "in_service,0,"), "weight is 0 for every node"),
-        (format!("{good}# end\ns-q,10.0.0.7:1,a,std,1,in_service,1,\n"), "a line behind `# end`"),
+        (format!("{good}# end\ns-q,10.0.0.7:1,a,std,1,in_service,1,\n"), "a line after `# end`"),
         (format!("# version: x\n{good}"), "n.csv:1:12: version is \"x\", expected a whole number"),
         (format!("# removal: yes\n{good}"), "removal is \"yes\", expected allowed"),
         (format!("# count: 3\n# count: 3\n{good}"), "count is given twice"),
     ] {
-        let found = said(csv(&text));
+        let found = fault_lines(csv(&text));
         assert!(found.iter().any(|f| f.contains(expected)), "{text:?}: {found:#?} holds no {expected:?}");
     }
     assert!(csv(&format!("# removal: allowed\n{}\n", COLUMNS.join(",")))
-        .expect("all may go")
+        .expect("removal is allowed")
         .nodes
         .is_empty());
     let latin = [good.as_bytes(), b"caf\xe9\n"].concat();
-    assert_eq!(said(read("n.csv", Format::Csv, &latin)), ["n.csv:5:4: byte 0xe9 is not UTF-8"]);
+    assert_eq!(fault_lines(read("n.csv", Format::Csv, &latin)), ["n.csv:5:4: byte 0xe9 is not UTF-8"]);
     let large = vec![b'#'; MAX_BYTES + 1];
-    assert!(said(read("n.csv", Format::Csv, &large))[0].contains("expected 33554432 at most"));
+    assert!(fault_lines(read("n.csv", Format::Csv, &large))[0].contains("expected 33554432 at most"));
 }
 
 #[test]
-fn faults_of_yaml_are_named() {
+fn faults_of_yaml_are_reported() {
     let node = "{id: s-1, address: '10.0.0.1:1', zone: a, kind: std, state: in_service, weight: 1}";
     let good = format!("nodes:\n- {node}\n");
     assert_eq!(yaml(&good).expect("good").nodes.len(), 1);
@@ -185,72 +187,72 @@
         (format!("{good}hosts: []\n"), "unknown key \"hosts\""),
         (format!("{good}---\nnodes: []\n"), "n.yaml:3:1: a second document, expected one"),
         (good.replace("nodes:\n", "nodes:\n\t"), "n.yaml:2:1: a tab, expected spaces"),
-        ("nodes: &a\n- *a\n".into(), "an alias within what it stands for, expected no cycle"),
-        ("nodes: [\n".into(), "this is no YAML"),
+        ("nodes: &a\n- *a\n".into(), "an alias inside the value that it refers to, expected no cycle"),
+        ("nodes: [\n".into(), "invalid YAML"),
         (format!("nodes: {}{}\n", "[".repeat(40), "]".repeat(40)), "over 16 levels deep"),
-        (good.replace("nodes:\n- {", "nodes:\n- {<<: 5, "), "<<: names a value, expected a mapping"),
+        (good.replace("nodes:\n- {", "nodes:\n- {<<: 5, "), "<<: is a value, expected a mapping"),
     ] {
-        let found = said(yaml(&text));
+        let found = fault_lines(yaml(&text));
         assert!(found.iter().any(|f| f.contains(expected)), "{text:?}: {found:#?} holds no {expected:?}");
     }
 }
 
 #[test]
-fn an_expansion_bomb_is_refused_and_takes_no_memory() {
+fn a_yaml_file_whose_aliases_expand_exponentially_is_refused() {
     let mut text = String::from("x-0: &l0 [a, a, a, a, a, a, a, a, a, a]\n");
     for n in 1..15 {
         let aliases = vec![format!("*l{}", n - 1); 10].join(", ");
         text.push_str(&format!("x-{n}: &l{n} [{aliases}]\n"));
     }
     text.push_str("nodes: *l14\n");
-    let found = said(yaml(&text));
-    assert!(found[0].contains("with its aliases the file comes to") && found.len() == 1, "{found:?}");
+    let found = fault_lines(yaml(&text));
+    assert!(found[0].contains("with its aliases expanded the file holds") && found.len() == 1, "{found:?}");
 }
 
 #[test]
-fn merge_keys_and_anchors_are_taken_as_configuration_tools_write_them() {
+fn merge_keys_and_anchors_of_configuration_tools_are_supported() {
     let text = "x-common: &common {zone: a, kind: std, state: in_service, weight: 1}\n\
                 x-cell: &cell {cell: 4, zone: other}\n\
                 nodes:\n\
                 - {id: s-1, address: '10.0.0.1:1', <<: [*common, *cell]}\n\
                 - {<<: *common, weight: 2, id: s-2, address: '10.0.0.2:1'}\n";
     let nodes = yaml(text).expect("good").nodes;
-    assert_eq!((nodes[0].zone.as_str(), nodes[0].cell), ("a", Some(4)), "earlier ones hold");
-    assert_eq!((nodes[1].weight, nodes[1].cell), (2.0, None), "its own hold before merged ones");
+    assert_eq!((nodes[0].zone.as_str(), nodes[0].cell), ("a", Some(4)), "earlier mappings take precedence");
+    assert_eq!((nodes[1].weight, nodes[1].cell), (2.0, None), "own keys take precedence over merged ones");
 }
 
 #[test]
-fn many_faults_are_counted_and_not_all_listed() {
+fn faults_over_the_limit_are_counted_but_not_listed() {
     let mut text = COLUMNS.join(",") + "\n";
     for n in 0..MAX_FAULTS * 2 {
         text.push_str(&format!("s-{n},nowhere,a,std,1,in_service,1,\n"));
     }
-    let found = said(csv(&text));
+    let found = fault_lines(csv(&text));
     assert_eq!(found.len(), MAX_FAULTS + 1);
     assert!(found[MAX_FAULTS].ends_with("1000 more faults are not listed"), "{}", found[MAX_FAULTS]);
 }
 
 #[test]
-fn a_thousand_dangling_aliases_are_read_in_bounded_time() {
+fn a_thousand_undefined_aliases_are_parsed_in_bounded_time() {
     let node = |n: usize| format!("- {{id: s-{n}, address: *nowhere{n}}}\n");
     let text = format!("nodes:\n{}", (0..1_000).map(node).collect::<String>());
-    let found = said(yaml(&text));
+    let found = fault_lines(yaml(&text));
     assert!(found.iter().any(|f| f.contains("over 200 aliases point to no anchor")), "{found:?}");
 }
 
 #[test]
-fn large_files_of_little_sense_are_refused_unsplit() {
+fn overlong_lines_and_too_many_values_are_refused_unparsed() {
     let commas = ",".repeat(8 << 20);
-    assert_eq!(said(csv(&commas)), ["n.csv:1:1: a line of 8388608 bytes, expected 4096 at most"]);
+    assert_eq!(fault_lines(csv(&commas)), ["n.csv:1:1: a line of 8388608 bytes, expected 4096 at most"]);
     let values = format!("nodes: [{}]\n", "a,".repeat(4_000_000));
-    let found = said(yaml(&values));
+    let found = fault_lines(yaml(&values));
     assert!(found.len() == 1 && found[0].contains("over 3600000 values"), "{found:?}");
 }
 
 #[test]
-fn mutated_files_never_panic_and_what_is_accepted_holds_together() {
+fn mutated_files_never_panic_and_accepted_ones_round_trip() {
     let mut rng = fastrand::Rng::with_seed(11);
-    let bits: [&[u8]; 14] = [
+    let fragments: [&[u8]; 14] = [
         b"*a", b"&a ", b"<<: ", b"\t", b"\"", b",", b"\r", b"\n---\n", b"[", b"{", b"- ", b"\xff", b"nan",
         b": ",
     ];
@@ -266,7 +268,7 @@
                 0 => bytes[at] = rng.u8(..),
                 1 => drop(bytes.drain(at..(at + rng.usize(0..60)).min(bytes.len()))),
                 2 => bytes.truncate(at.max(1)),
-                3 => drop(bytes.splice(at..at, rng.choice(bits).unwrap_or(b"").iter().copied())),
+                3 => drop(bytes.splice(at..at, rng.choice(fragments).unwrap_or(b"").iter().copied())),
                 _ => {
                     let copy = bytes[at..(at + rng.usize(0..80)).min(bytes.len())].to_vec();
                     bytes.extend_from_slice(&copy);
@@ -325,8 +327,8 @@
     }
 
     #[test]
-    fn a_part_of_a_closed_file_is_never_taken_for_the_whole(cut in 1usize..900) {
-        // Where the count leads, every shorter text lacks nodes; the last line's end alone may be missing.
+    fn a_truncated_closed_file_is_never_accepted_as_closed(cut in 1usize..900) {
+        // The count precedes the nodes, so every shorter text lacks nodes; only the last newline may be missing.
         let cut = cut.min(CSV.trim_end().len() - 1);
         if let Ok(part) = csv(&CSV[..cut]) {
             prop_assert!(part.nodes.len() == 12 || !part.closed, "{} nodes of a part of {cut} bytes", part.nodes.len());
