--- a/crates/inventory/benches/parse.rs
+++ b/crates/inventory/benches/parse.rs
@@ -1,4 +1,4 @@
-//! What reading costs, by the number of nodes.
+//! Measures the throughput of parsing by the number of nodes.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use liftrouter_inventory::{read, write, Format, Inventory, Node, State};
 use std::hint::black_box;
--- a/crates/inventory/fuzz/fuzz_targets/read.rs
+++ b/crates/inventory/fuzz/fuzz_targets/read.rs
@@ -1,5 +1,5 @@
-//! `cargo fuzz run read` in `crates/inventory`: no bytes may panic, and what is accepted can be written and read
-//! again.
+//! Checks that no input makes the parser panic and that an accepted inventory can be written and read back. Run with
+//! `cargo fuzz run read` in `crates/inventory`.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/crates/inventory/tests/adopt.rs
+++ b/crates/inventory/tests/adopt.rs
@@ -1,4 +1,4 @@
-//! Adoption: what is whole and valid is taken, once; all else is kept out, and said once.
+//! Adoption of inventory versions: a complete and valid version is adopted once, any other is refused once.
 use liftrouter_inventory::{diff, read, Change, Decision, Effect, Format, Inventory, Policy, Refusal, Watch};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     ["s-1", "s-2", "s-3", "s-4", "s-5", "s-6", "s-7", "s-8"][..count].to_vec()
 }
 
-fn look(watch: &mut Watch, ms: u64, text: &str) -> Decision {
+fn observe(watch: &mut Watch, ms: u64, text: &str) -> Decision {
     watch.observe(Duration::from_millis(ms), text.as_bytes(), |bytes| read("n.csv", Format::Csv, bytes))
 }
 
@@ -38,53 +38,53 @@
     }
 }
 
-/// One that has adopted eight nodes.
+/// A watch that has adopted eight nodes.
 fn watch(version: Option<u64>, more: &str) -> Watch {
     let mut watch = Watch::new(Policy::default());
-    look(&mut watch, 0, &text(version, &ids(8), more));
-    look(&mut watch, 100, &text(version, &ids(8), more));
+    observe(&mut watch, 0, &text(version, &ids(8), more));
+    observe(&mut watch, 100, &text(version, &ids(8), more));
     assert_eq!(watch.adopted().map(|i| i.nodes.len()), Some(8));
     watch
 }
 
 #[test]
-fn an_open_file_is_adopted_once_it_has_been_steady() {
+fn a_file_that_is_not_closed_is_adopted_after_the_quiet_period() {
     let mut watch = Watch::new(Policy::default());
     let (part, whole) = (text(None, &ids(3), ""), text(None, &ids(8), ""));
-    assert_eq!(look(&mut watch, 0, &part), Decision::Wait(QUIET));
-    assert_eq!(look(&mut watch, 60, &part), Decision::Wait(Duration::from_millis(40)));
-    // It grows: the time begins anew.
-    assert_eq!(look(&mut watch, 90, &whole), Decision::Wait(QUIET));
-    assert_eq!(adopted(&look(&mut watch, 190, &whole)), Some(8));
-    assert_eq!(look(&mut watch, 500, &whole), Decision::Keep);
+    assert_eq!(observe(&mut watch, 0, &part), Decision::Wait(QUIET));
+    assert_eq!(observe(&mut watch, 60, &part), Decision::Wait(Duration::from_millis(40)));
+    // The file has grown, so the quiet period starts over.
+    assert_eq!(observe(&mut watch, 90, &whole), Decision::Wait(QUIET));
+    assert_eq!(adopted(&observe(&mut watch, 190, &whole)), Some(8));
+    assert_eq!(observe(&mut watch, 500, &whole), Decision::Keep);
 }
 
 #[test]
 fn a_closed_file_is_adopted_at_once_and_half_of_one_never() {
     let mut watch = Watch::new(Policy::default());
     let eight = text(Some(1), &ids(8), "# count: 8\n");
-    assert_eq!(adopted(&look(&mut watch, 0, &eight)), Some(8));
-    // Half written: valid rows, fewer than it says. Its writer stands still for long.
+    assert_eq!(adopted(&observe(&mut watch, 0, &eight)), Some(8));
+    // A half-written file with fewer rows than its count, whose writer stalls for longer than the quiet period.
     let next = text(Some(2), &ids(8), "# count: 8\n").replace("s-8,10.0.0.1:9", "s-8,10.0.0.1:99");
-    let half = &next[..next.find("s-5").expect("it is there")];
-    assert_eq!(look(&mut watch, 1_000, half), Decision::Wait(QUIET));
-    assert!(matches!(refused(look(&mut watch, 5_000, half)), Refusal::Faults(_)));
-    assert_eq!(look(&mut watch, 6_000, half), Decision::Keep, "told once");
-    assert_eq!(adopted(&look(&mut watch, 6_001, &next)), Some(8));
+    let half = &next[..next.find("s-5").expect("the row s-5")];
+    assert_eq!(observe(&mut watch, 1_000, half), Decision::Wait(QUIET));
+    assert!(matches!(refused(observe(&mut watch, 5_000, half)), Refusal::Faults(_)));
+    assert_eq!(observe(&mut watch, 6_000, half), Decision::Keep, "refused only once");
+    assert_eq!(adopted(&observe(&mut watch, 6_001, &next)), Some(8));
 }
 
 #[test]
-fn after_a_closed_version_an_open_one_is_taken_for_a_part() {
+fn a_version_that_is_not_closed_is_refused_after_a_closed_one() {
     let mut watch = watch(Some(1), "");
     let end = text(Some(2), &ids(8), "") + "# end\n";
-    assert_eq!(adopted(&look(&mut watch, 1_000, &end)), Some(8));
+    assert_eq!(adopted(&observe(&mut watch, 1_000, &end)), Some(8));
     let open = text(Some(3), &ids(7), "");
-    look(&mut watch, 2_000, &open);
-    assert_eq!(refused(look(&mut watch, 2_100, &open)), Refusal::NotClosed);
+    observe(&mut watch, 2_000, &open);
+    assert_eq!(refused(observe(&mut watch, 2_100, &open)), Refusal::NotClosed);
 }
 
 #[test]
-fn versions_only_go_up() {
+fn a_lower_reused_or_missing_version_number_is_refused() {
     for (version, nodes, expected) in [
         (Some(6), 8, Some(Refusal::VersionTooLow { found: 6, adopted: 7 })),
         (Some(7), 7, Some(Refusal::VersionReused(7))),
@@ -93,8 +93,8 @@
     ] {
         let mut watch = watch(Some(7), "");
         let new = text(version, &ids(nodes), "");
-        look(&mut watch, 1_000, &new);
-        let decision = look(&mut watch, 1_100, &new);
+        observe(&mut watch, 1_000, &new);
+        let decision = observe(&mut watch, 1_100, &new);
         match expected {
             Some(why) => assert_eq!(refused(decision), why),
             None => assert_eq!(adopted(&decision), Some(nodes)),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn removing_all_or_most_is_refused_unless_the_file_says_so() {
+fn removing_most_nodes_is_refused_unless_the_file_allows_it() {
     let allowed = "# removal: allowed\n";
     for (left, more, expected) in [
         (4, "", None),
@@ -113,35 +113,35 @@
     ] {
         let mut watch = watch(None, "");
         let new = text(None, &ids(left), more);
-        look(&mut watch, 1_000, &new);
-        let decision = look(&mut watch, 1_100, &new);
+        observe(&mut watch, 1_000, &new);
+        let decision = observe(&mut watch, 1_100, &new);
         match expected {
             Some(why) => assert_eq!(refused(decision), why),
             None => assert_eq!(adopted(&decision), Some(left)),
         }
     }
-    // Withdrawn by their state they are removed as well; draining they are not.
+    // Nodes in state terminated count as removed, draining ones do not.
     for (state, refused) in [("terminated", true), ("terminating", false)] {
         let mut watch = watch(None, "");
         let new = text(None, &ids(8), "").replace("in_service", state);
-        look(&mut watch, 1_000, &new);
-        assert_eq!(matches!(look(&mut watch, 1_100, &new), Decision::Refuse(_)), refused, "{state}");
+        observe(&mut watch, 1_000, &new);
+        assert_eq!(matches!(observe(&mut watch, 1_100, &new), Decision::Refuse(_)), refused, "{state}");
     }
 }
 
 #[test]
-fn a_missing_file_changes_nothing_and_is_told_once() {
+fn a_missing_file_changes_nothing_and_is_refused_once() {
     let mut watch = watch(None, "");
     assert_eq!(refused(watch.read_failed(Refusal::FileMissing)), Refusal::FileMissing);
     assert_eq!(watch.read_failed(Refusal::FileMissing), Decision::Keep);
     assert_eq!(watch.adopted().map(|i| i.nodes.len()), Some(8));
-    // Back as it was, it is what is adopted.
-    look(&mut watch, 2_000, &text(None, &ids(8), ""));
-    assert_eq!(look(&mut watch, 2_200, &text(None, &ids(8), "")), Decision::Keep);
+    // The file reappears with the adopted content.
+    observe(&mut watch, 2_000, &text(None, &ids(8), ""));
+    assert_eq!(observe(&mut watch, 2_200, &text(None, &ids(8), "")), Decision::Keep);
 }
 
 #[test]
-fn what_adopting_does_to_each_node_is_told() {
+fn diff_lists_the_effects_on_each_node() {
     let parse = |rows: &str| -> Inventory {
         let text = format!("id,address,zone,kind,cell,state,weight,started_ms\n{rows}");
         read("n.csv", Format::Csv, text.as_bytes()).expect("good")
@@ -173,10 +173,10 @@
 }
 
 proptest! {
-    /// Whatever is written and whenever it is looked at, what is adopted is a whole version that was meant: here
-    /// one of the finished files, each of which numbers its nodes and ends itself.
+    /// Whatever part of a file is observed and whenever, only a complete version is adopted: here one of the complete
+    /// files, each of which states its number of nodes.
     #[test]
-    fn nothing_but_a_finished_version_is_ever_adopted(
+    fn only_complete_versions_are_adopted(
         steps in proptest::collection::vec((1usize..9, 0usize..700, 0u64..400), 1..60),
     ) {
         let mut watch = Watch::new(Policy { quiet_period: QUIET, max_removed_ratio: 1.0 });
@@ -185,10 +185,10 @@
             let whole = text(Some(version as u64 + 1), &ids(nodes.min(8)), &format!("# count: {}\n", nodes.min(8)));
             let seen = &whole[..cut.min(whole.len())];
             at += pause;
-            if let Decision::Adopt(inventory) = look(&mut watch, at, seen) {
+            if let Decision::Adopt(inventory) = observe(&mut watch, at, seen) {
                 prop_assert_eq!(inventory.version, Some(version as u64 + 1));
                 prop_assert_eq!(inventory.nodes.len(), nodes.min(8));
-                // The line end of the last row may be missing; a figure cut short may not.
+                // The newline after the last row may be missing, but no part of a value.
                 prop_assert!(seen.len() + 1 >= whole.len(), "{} of {}", seen.len(), whole.len());
             }
         }
--- a/crates/inventory/tests/routing.rs
+++ b/crates/inventory/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The same twelve nodes in both forms give the same decisions.
+//! The same twelve nodes read from CSV and from YAML produce the same routing decisions.
 use liftrouter_decision::{
     Action, EndpointEntry, EndpointState, Event, Limiter, LoadReport, Outcome, Request, Settings,
 };
@@ -49,7 +49,7 @@
     inventory.nodes.iter().map(entry).collect()
 }
 
-/// Everything that the module does over some thousands of events from one seed.
+/// Runs a limiter over several thousand events drawn from one seed and returns all its actions.
 fn actions(inventory: &Inventory, seed: u64) -> Vec<Action> {
     let start = 1_764_500_004.0;
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -72,16 +72,16 @@
         let mut attempt = 0;
         while out.iter().any(|a| matches!(a, Action::Send { .. })) {
             all.append(&mut out);
-            // Now and then the first attempt breaks, and another server gets it.
-            let breaks = attempt == 0 && rng.f64() < 0.05;
-            let outcome = if breaks { Outcome::Reset } else { Outcome::Ok };
-            let (took, report) = (0.01 + 0.1 * rng.f64(), LoadReport::default());
+            // Some first attempts fail with a reset, so that another server gets the request.
+            let reset = attempt == 0 && rng.f64() < 0.05;
+            let outcome = if reset { Outcome::Reset } else { Outcome::Ok };
+            let (elapsed_s, report) = (0.01 + 0.1 * rng.f64(), LoadReport::default());
             let ended = Event::AttemptEnded {
                 id,
                 attempt,
-                request_finished: !breaks,
+                request_finished: !reset,
                 outcome,
-                elapsed_s: took,
+                elapsed_s,
                 units: None,
                 report,
             };
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_same_nodes_in_both_forms_route_identically() {
+fn the_same_nodes_in_both_formats_route_identically() {
     let csv = read("twelve.csv", Format::Csv, include_bytes!("twelve.csv")).expect("good");
     let yaml = read("twelve.yaml", Format::Yaml, include_bytes!("twelve.yaml")).expect("good");
     for seed in 1..5 {
@@ -103,7 +103,7 @@
         assert!(sent > 2_000, "{sent} requests were sent on");
         assert_eq!(a, b);
     }
-    // And it matters what is in the file.
+    // A changed weight changes the actions, so the comparison above is not vacuous.
     let mut other = csv.clone();
     other.nodes[0].weight = 3.0;
     assert_ne!(actions(&csv, 1), actions(&other, 1));
