--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -12,7 +12,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use liftrouter_catalog::Subscription;
 use liftrouter_discovery::Delivery;
-use liftrouter_inventory::Form;
+use liftrouter_inventory::Format;
 use std::error::Error as StdError;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -124,11 +124,11 @@
     Yaml,
 }
 
-impl From<InventoryFormat> for Form {
+impl From<InventoryFormat> for Format {
     fn from(format: InventoryFormat) -> Self {
         match format {
-            InventoryFormat::Csv => Form::Csv,
-            InventoryFormat::Yaml => Form::Yaml,
+            InventoryFormat::Csv => Format::Csv,
+            InventoryFormat::Yaml => Format::Yaml,
         }
     }
 }
