--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -17,26 +17,26 @@
 use std::time::{Duration, Instant};
 
 /// A call whose answer would take longer than this is refused at once.
-const OVERBOOK_BOUND: Duration = Duration::from_secs(2);
-/// The generation of the first list, in which every server is in service.
-const FIRST_GENERATION: u64 = 10;
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(2);
+/// The revision of the first list, in which every server is in service.
+const FIRST_REVISION: u64 = 10;
 
 /// What answering a call takes of the service.
 #[derive(Clone, Copy)]
 pub struct Cost {
     pub per_call: Duration,
-    pub per_line: Duration,
+    pub per_instance: Duration,
 }
 
 impl Cost {
-    pub fn of_call(per_call_ms: u64) -> Cost {
-        Cost { per_call: Duration::from_millis(per_call_ms), per_line: Duration::from_millis(1) }
+    pub fn from_call_ms(per_call_ms: u64) -> Cost {
+        Cost { per_call: Duration::from_millis(per_call_ms), per_instance: Duration::from_millis(1) }
     }
 }
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Conduct {
+pub enum Behavior {
     /// It waits its turn and is answered.
     Serve,
     /// It is taken and never answered.
@@ -54,7 +54,7 @@
     /// It is answered with the first list, older than any change.
     OlderList,
     /// It is answered with a whole list that names no draining server.
-    LeaveOutDraining,
+    OmitDraining,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -74,10 +74,10 @@
 pub struct Call {
     pub limiter: usize,
     /// The address that it came to.
-    pub front: SocketAddr,
+    pub discovery_address: SocketAddr,
     pub at: Instant,
     /// When it was no longer out: its head was written, or its connection closed.
-    pub done: Option<Instant>,
+    pub completed_at: Option<Instant>,
     pub outcome: Outcome,
     pub target: String,
 }
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     pub limiter: usize,
-    pub front: SocketAddr,
+    pub discovery_address: SocketAddr,
     pub at: Instant,
 }
 
@@ -100,21 +100,21 @@
 struct Listed {
     address: SocketAddr,
     lifecycle: &'static str,
-    changed: u64,
+    last_changed: u64,
 }
 
 /// A fault that befalls the next so many calls to an address.
 struct Fault {
-    conduct: Conduct,
+    behavior: Behavior,
     calls_left: usize,
 }
 
 struct State {
     cost: Cost,
     /// A call to which nothing is new is answered with a message of no servers; else with its head alone.
-    says_unchanged: bool,
+    sends_empty_updates: bool,
     servers: Vec<Listed>,
-    generation: u64,
+    revision: u64,
     faults: HashMap<SocketAddr, Fault>,
     busy_until: Instant,
     calls: Vec<Call>,
@@ -130,57 +130,57 @@
 }
 
 /// A message that can be written, and the draining servers that it announces.
-struct Text {
+struct EncodedUpdate {
     line: String,
-    lines: u32,
-    generation: u64,
+    instance_count: u32,
+    revision: u64,
     drained: Vec<usize>,
 }
 
 impl State {
-    fn message(&self, after: Option<u64>, conduct: Conduct) -> Option<Text> {
-        let older = conduct == Conduct::OlderList;
-        let leaves_out = conduct == Conduct::LeaveOutDraining;
-        let since = after.filter(|after| !older && !leaves_out && *after <= self.generation);
+    fn message(&self, after: Option<u64>, behavior: Behavior) -> Option<EncodedUpdate> {
+        let older = behavior == Behavior::OlderList;
+        let omits_draining = behavior == Behavior::OmitDraining;
+        let since = after.filter(|after| !older && !omits_draining && *after <= self.revision);
         let (mut named, mut drained) = (Vec::<Value>::new(), Vec::new());
         for (n, server) in self.servers.iter().enumerate() {
             let draining = server.lifecycle != "in_service" && !older;
-            if since.is_some_and(|since| server.changed <= since) {
+            if since.is_some_and(|since| server.last_changed <= since) {
                 continue;
             }
             if draining {
                 drained.push(n);
             }
-            if draining && leaves_out {
+            if draining && omits_draining {
                 continue;
             }
             let lifecycle = if older { "in_service" } else { server.lifecycle };
             named.push(instance(&format!("s-{n}"), server.address, lifecycle));
         }
-        if since.is_some() && named.is_empty() && !self.says_unchanged {
+        if since.is_some() && named.is_empty() && !self.sends_empty_updates {
             return None;
         }
-        let generation = if older { FIRST_GENERATION } else { self.generation };
-        let line = update(generation, since.is_none(), &named);
-        Some(Text { line, lines: named.len() as u32, generation, drained })
+        let revision = if older { FIRST_REVISION } else { self.revision };
+        let line = update(revision, since.is_none(), &named);
+        Some(EncodedUpdate { line, instance_count: named.len() as u32, revision, drained })
     }
 
     /// What befalls a call to this address; counts it.
-    fn conduct(&mut self, front: SocketAddr) -> Conduct {
-        match self.faults.get_mut(&front) {
+    fn next_behavior(&mut self, discovery_address: SocketAddr) -> Behavior {
+        match self.faults.get_mut(&discovery_address) {
             Some(fault) if fault.calls_left > 0 => {
                 fault.calls_left -= 1;
-                fault.conduct
+                fault.behavior
             }
-            _ => Conduct::Serve,
+            _ => Behavior::Serve,
         }
     }
 
     /// Takes a place in the queue: when the answer is ready, or none where that would take too long.
-    fn book(&mut self, lines: u32) -> Option<Instant> {
+    fn enqueue(&mut self, instances: u32) -> Option<Instant> {
         let now = Instant::now();
-        let ready = self.busy_until.max(now) + self.cost.per_call + self.cost.per_line * lines;
-        if ready - now > OVERBOOK_BOUND {
+        let ready = self.busy_until.max(now) + self.cost.per_call + self.cost.per_instance * instances;
+        if ready - now > MAX_QUEUE_DELAY {
             return None;
         }
         self.busy_until = ready;
@@ -190,7 +190,7 @@
     fn finish(&mut self, call: usize, outcome: Outcome) {
         let call = &mut self.calls[call];
         call.outcome = outcome;
-        call.done.get_or_insert_with(Instant::now);
+        call.completed_at.get_or_insert_with(Instant::now);
     }
 }
 
@@ -204,13 +204,13 @@
         let listed = |address: &SocketAddr| Listed {
             address: *address,
             lifecycle: "in_service",
-            changed: FIRST_GENERATION,
+            last_changed: FIRST_REVISION,
         };
         OnRequestDiscovery(Arc::new(Mutex::new(State {
             cost,
-            says_unchanged: false,
+            sends_empty_updates: false,
             servers: servers.iter().map(listed).collect(),
-            generation: FIRST_GENERATION,
+            revision: FIRST_REVISION,
             faults: HashMap::new(),
             busy_until: Instant::now(),
             calls: Vec::new(),
@@ -228,30 +228,30 @@
     }
 
     /// A new address at which this limiter may call.
-    pub fn front(&self, limiter: usize) -> SocketAddr {
+    pub fn add_listener(&self, limiter: usize) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let front = listener.local_addr().expect("address");
+        let discovery_address = listener.local_addr().expect("address");
         let service = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let service = service.clone();
                 thread::spawn(move || {
-                    service.connection(&stream, limiter, front);
+                    service.connection(&stream, limiter, discovery_address);
                     let _ = stream.shutdown(Shutdown::Both);
                 });
             }
         });
-        front
+        discovery_address
     }
 
     /// From now on every call to this address goes so.
-    pub fn conduct(&self, front: SocketAddr, conduct: Conduct) {
-        self.fail_next(front, conduct, usize::MAX);
+    pub fn set_behavior(&self, discovery_address: SocketAddr, behavior: Behavior) {
+        self.fail_next(discovery_address, behavior, usize::MAX);
     }
 
     /// The next so many calls to this address go so, later ones are served.
-    pub fn fail_next(&self, front: SocketAddr, conduct: Conduct, calls: usize) {
-        self.state().faults.insert(front, Fault { conduct, calls_left: calls });
+    pub fn fail_next(&self, discovery_address: SocketAddr, behavior: Behavior, calls: usize) {
+        self.state().faults.insert(discovery_address, Fault { behavior, calls_left: calls });
     }
 
     pub fn set_cost(&self, cost: Cost) {
@@ -259,27 +259,27 @@
     }
 
     /// From now on a call to which nothing is new gets a message at once.
-    pub fn say_unchanged(&self) {
-        self.state().says_unchanged = true;
+    pub fn send_empty_updates(&self) {
+        self.state().sends_empty_updates = true;
     }
 
     /// A server begins to drain.
     pub fn drain(&self, server: usize) {
         let mut state = self.state();
-        state.generation += 1;
-        let generation = state.generation;
+        state.revision += 1;
+        let revision = state.revision;
         state.servers[server].lifecycle = "terminating";
-        state.servers[server].changed = generation;
+        state.servers[server].last_changed = revision;
         state.drains.push(Drain { server, since: Instant::now() });
     }
 
     /// A server that drained is in service again.
     pub fn restore(&self, server: usize) {
         let mut state = self.state();
-        state.generation += 1;
-        let generation = state.generation;
+        state.revision += 1;
+        let revision = state.revision;
         state.servers[server].lifecycle = "in_service";
-        state.servers[server].changed = generation;
+        state.servers[server].last_changed = revision;
         state.drains.retain(|drain| drain.server != server);
     }
 
@@ -312,29 +312,36 @@
         self.state().notified.get(&(limiter, server)).copied()
     }
 
-    fn connection(&self, stream: &TcpStream, limiter: usize, front: SocketAddr) {
+    fn connection(&self, stream: &TcpStream, limiter: usize, discovery_address: SocketAddr) {
         let _ = stream.set_nodelay(true);
         let Ok(copy) = stream.try_clone() else { return };
         let Some(request) = Message::read(&mut BufReader::new(copy)) else { return };
         let _ = stream.set_nonblocking(true);
         let target = request.first.split(' ').nth(1).unwrap_or("").to_string();
         let after = target.split("after=").nth(1).and_then(|a| a.split('&').next()?.parse().ok());
-        let (call, conduct) = {
+        let (call, behavior) = {
             let mut state = self.state();
             let at = Instant::now();
-            state.calls.push(Call { limiter, front, at, done: None, outcome: Outcome::Pending, target });
-            (state.calls.len() - 1, state.conduct(front))
+            state.calls.push(Call {
+                limiter,
+                discovery_address,
+                at,
+                completed_at: None,
+                outcome: Outcome::Pending,
+                target,
+            });
+            (state.calls.len() - 1, state.next_behavior(discovery_address))
         };
-        let connection = Connection { service: self, stream, limiter, front, call };
-        connection.answer(after, conduct);
+        let connection = Connection { service: self, stream, limiter, discovery_address, call };
+        connection.answer(after, behavior);
     }
 }
 
 /// Starts a limiter with a list that it had before and a seed of its own, and does not wait until it is ready.
-pub fn start_limiter(seed: u64, known: &str, settings: &Value, front: SocketAddr) -> Limiter {
+pub fn start_limiter(seed: u64, known: &str, settings: &Value, discovery_address: SocketAddr) -> Limiter {
     let known: Value = serde_json::from_str(known).expect("a list");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
-        "discovery": front.to_string(), "known": known, "settings": settings});
+        "discovery": discovery_address.to_string(), "known": known, "settings": settings});
     let file = scratch(&config.to_string());
-    Limiter::spawn(command(), file, config, front)
+    Limiter::spawn(command(), file, config, discovery_address)
 }
--- a/crates/daemon/tests/common/asked/connection.rs
+++ b/crates/daemon/tests/common/asked/connection.rs
@@ -1,6 +1,6 @@
 //! A connection of a limiter to the discovery service: its call, and the watch that it becomes.
 
-use super::{Conduct, Heartbeat, OnRequestDiscovery, Outcome, Text};
+use super::{Behavior, EncodedUpdate, Heartbeat, OnRequestDiscovery, Outcome};
 use crate::common::{chunk, raw, WATCH_HEAD};
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,47 +8,47 @@
 use std::time::{Duration, Instant};
 
 /// An empty line is written after so long without a message.
-const EMPTY_LINE_PERIOD: Duration = Duration::from_secs(2);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(2);
 /// How often a waiting connection looks at the state.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A connection on which a call has come.
 pub(super) struct Connection<'a> {
     pub service: &'a OnRequestDiscovery,
     pub stream: &'a TcpStream,
     pub limiter: usize,
-    pub front: SocketAddr,
+    pub discovery_address: SocketAddr,
     pub call: usize,
 }
 
 impl Connection<'_> {
-    pub fn answer(&self, after: Option<u64>, conduct: Conduct) {
-        match conduct {
-            Conduct::Hang => {
+    pub fn answer(&self, after: Option<u64>, behavior: Behavior) {
+        match behavior {
+            Behavior::Hang => {
                 self.wait_until(None);
             }
-            Conduct::Close => self.finish(Outcome::Cut),
-            Conduct::Refuse(advice) => self.refuse(advice),
-            Conduct::CutInHead => {
+            Behavior::Close => self.finish(Outcome::Cut),
+            Behavior::Refuse(advice) => self.refuse(advice),
+            Behavior::CutInHead => {
                 let (begun, _) = WATCH_HEAD.split_at(WATCH_HEAD.len() / 2);
                 self.finish(Outcome::Cut);
                 self.write(begun);
             }
-            Conduct::CutInMessage => {
+            Behavior::CutInMessage => {
                 let whole = {
                     let state = self.service.state();
-                    chunk(&state.message(None, conduct).expect("a whole list").line)
+                    chunk(&state.message(None, behavior).expect("a whole list").line)
                 };
                 self.finish(Outcome::Cut);
                 self.write(WATCH_HEAD);
                 self.write(&whole[..whole.len() / 2]);
             }
-            Conduct::AnswerAfter(pause) => {
+            Behavior::AnswerAfter(pause) => {
                 if self.wait_until(Some(Instant::now() + pause)) {
-                    self.serve(after, Conduct::Serve);
+                    self.serve(after, Behavior::Serve);
                 }
             }
-            Conduct::Serve | Conduct::OlderList | Conduct::LeaveOutDraining => self.serve(after, conduct),
+            Behavior::Serve | Behavior::OlderList | Behavior::OmitDraining => self.serve(after, behavior),
         }
     }
 
@@ -59,13 +59,13 @@
     }
 
     /// Answers in turn, and follows the list from there on.
-    fn serve(&self, after: Option<u64>, conduct: Conduct) {
-        let booked = {
+    fn serve(&self, after: Option<u64>, behavior: Behavior) {
+        let queued = {
             let mut state = self.service.state();
-            let lines = state.message(after, conduct).map_or(0, |text| text.lines);
-            state.book(lines)
+            let instances = state.message(after, behavior).map_or(0, |text| text.instance_count);
+            state.enqueue(instances)
         };
-        let Some(ready) = booked else { return self.refuse(None) };
+        let Some(ready) = queued else { return self.refuse(None) };
         // The work is done whether or not the caller waits for it.
         if !self.wait_until(Some(ready)) {
             return;
@@ -74,22 +74,22 @@
             let mut state = self.service.state();
             let number = state.next_watch;
             state.next_watch += 1;
-            let first = state.message(after, conduct);
-            let generation = state.generation;
-            (number, generation, first)
+            let first = state.message(after, behavior);
+            let revision = state.revision;
+            (number, revision, first)
         };
         self.finish(Outcome::Answered);
         self.write(WATCH_HEAD);
         if let Some(text) = first {
-            sent = sent.max(text.generation);
+            sent = sent.max(text.revision);
             self.send(&text);
         }
         let mut spoke = Instant::now();
-        while !self.has_left() {
+        while !self.is_disconnected() {
             let (ends, silent, next) = {
                 let state = self.service.state();
                 let next =
-                    if state.generation > sent { state.message(Some(sent), Conduct::Serve) } else { None };
+                    if state.revision > sent { state.message(Some(sent), Behavior::Serve) } else { None };
                 (number < state.ended_below, number < state.silent_below, next)
             };
             if ends {
@@ -97,32 +97,36 @@
             }
             if !silent {
                 if let Some(text) = next {
-                    sent = text.generation;
+                    sent = text.revision;
                     self.send(&text);
                     spoke = Instant::now();
-                } else if spoke.elapsed() >= EMPTY_LINE_PERIOD {
+                } else if spoke.elapsed() >= HEARTBEAT_PERIOD {
                     self.record_heartbeat(&[]);
                     self.write("1\r\n\n\r\n");
                     spoke = Instant::now();
                 }
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn send(&self, text: &Text) {
+    fn send(&self, text: &EncodedUpdate) {
         self.record_heartbeat(&text.drained);
         self.write(&chunk(&text.line));
     }
 
     /// Records a heartbeat, and the drains that it announces, just before it is written.
     fn record_heartbeat(&self, drained: &[usize]) {
-        if self.has_left() {
+        if self.is_disconnected() {
             return;
         }
         let mut state = self.service.state();
         let at = Instant::now();
-        state.heartbeats.push(Heartbeat { limiter: self.limiter, front: self.front, at });
+        state.heartbeats.push(Heartbeat {
+            limiter: self.limiter,
+            discovery_address: self.discovery_address,
+            at,
+        });
         for server in drained {
             state.notified.entry((self.limiter, *server)).or_insert(at);
         }
@@ -137,7 +141,7 @@
         let _ = (&mut &*self.stream).write_all(text.as_bytes());
     }
 
-    fn has_left(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(read) => read == 0,
             Err(e) => e.kind() != ErrorKind::WouldBlock,
@@ -147,11 +151,11 @@
     /// Waits until then, or for ever; false if the limiter left before.
     fn wait_until(&self, end: Option<Instant>) -> bool {
         while end.is_none_or(|end| Instant::now() < end) {
-            if self.has_left() {
+            if self.is_disconnected() {
                 self.finish(Outcome::Abandoned);
                 return false;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         true
     }
--- a/crates/daemon/tests/common/relays.rs
+++ b/crates/daemon/tests/common/relays.rs
@@ -15,10 +15,10 @@
 
 /// How often discovery writes an empty line where nothing changes.
 pub const HEARTBEAT: Duration = Duration::from_secs(2);
-/// The generation of the first list.
-pub const FIRST_GENERATION: u64 = 10;
+/// The revision of the first list.
+pub const FIRST_REVISION: u64 = 10;
 /// How often a waiting thread looks again.
-const POLL: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The pause between two requests of a load.
 const LOAD_PAUSE: Duration = Duration::from_millis(10);
 
--- a/crates/daemon/tests/common/relays/limiter.rs
+++ b/crates/daemon/tests/common/relays/limiter.rs
@@ -89,14 +89,14 @@
 }
 
 impl Load {
-    pub fn on(limiter: &FollowingLimiter) -> Load {
+    pub fn start(limiter: &FollowingLimiter) -> Load {
         let address = limiter.limiter.address;
         let (stop, statuses): (Arc<AtomicBool>, Arc<Mutex<Vec<u16>>>) = Default::default();
-        let (stopped, noted) = (stop.clone(), statuses.clone());
+        let (stopped, recorded) = (stop.clone(), statuses.clone());
         let thread = thread::spawn(move || {
             while !stopped.load(Ordering::SeqCst) {
                 let status = Client::to(address).ask(&quote("roomy", 9_000)).status();
-                lock(&noted).push(status);
+                lock(&recorded).push(status);
                 thread::sleep(LOAD_PAUSE);
             }
         });
--- a/crates/daemon/tests/common/relays/proxy.rs
+++ b/crates/daemon/tests/common/relays/proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy between a relay and its upstream, which can withhold messages.
 
 use super::lock;
-use super::service_discovery::target_of;
+use super::service_discovery::request_target;
 use super::watch::open_watch;
 use crate::common::{chunk, raw, Message, WATCH_HEAD};
 use liftrouter_catalog::Update;
@@ -11,12 +11,12 @@
 use std::thread;
 
 /// What a proxy lets pass.
-type Passes = dyn Fn(Option<&Update>) -> bool + Send + Sync;
+type MessageFilter = dyn Fn(Option<&Update>) -> bool + Send + Sync;
 
 #[derive(Default)]
 struct ProxyLog {
     targets: Vec<String>,
-    last_generation: Option<u64>,
+    last_revision: Option<u64>,
 }
 
 /// A proxy of watches, which notes the calls and may withhold messages.
@@ -27,23 +27,23 @@
 
 impl WatchProxy {
     pub fn new(upstream: SocketAddr) -> WatchProxy {
-        WatchProxy::filtered(upstream, |_| true)
+        WatchProxy::with_filter(upstream, |_| true)
     }
 
     /// One that only lets some messages pass; an empty line is none.
-    pub fn filtered(
+    pub fn with_filter(
         upstream: SocketAddr,
         passes: impl Fn(Option<&Update>) -> bool + Send + Sync + 'static,
     ) -> WatchProxy {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let log: Arc<Mutex<ProxyLog>> = Arc::default();
-        let (noted, passes): (_, Arc<Passes>) = (log.clone(), Arc::new(passes));
+        let (recorded, passes): (_, Arc<MessageFilter>) = (log.clone(), Arc::new(passes));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (noted, passes) = (noted.clone(), passes.clone());
+                let (recorded, passes) = (recorded.clone(), passes.clone());
                 thread::spawn(move || {
-                    forward(&stream, upstream, &noted, &*passes);
+                    forward(&stream, upstream, &recorded, &*passes);
                     let _ = stream.shutdown(Shutdown::Both);
                 });
             }
@@ -56,9 +56,9 @@
         lock(&self.log).targets.clone()
     }
 
-    /// The generation of the last message that it passed on.
-    pub fn last_generation(&self) -> Option<u64> {
-        lock(&self.log).last_generation
+    /// The revision of the last message that it passed on.
+    pub fn last_revision(&self) -> Option<u64> {
+        lock(&self.log).last_revision
     }
 }
 
@@ -66,11 +66,11 @@
     mut subscriber: &TcpStream,
     upstream: SocketAddr,
     log: &Mutex<ProxyLog>,
-    passes: &Passes,
+    passes: &MessageFilter,
 ) -> Option<()> {
     subscriber.set_nodelay(true).ok()?;
     let request = Message::read(&mut BufReader::new(subscriber.try_clone().ok()?))?;
-    let target = target_of(&request.first);
+    let target = request_target(&request.first);
     lock(log).targets.push(target.clone());
     let mut watch = open_watch(upstream, &target)?;
     if watch.head.status() != 200 {
@@ -85,7 +85,7 @@
             continue;
         }
         if let Some(update) = update {
-            lock(log).last_generation = Some(update.revision);
+            lock(log).last_revision = Some(update.revision);
         }
         subscriber.write_all(chunk(&line).as_bytes()).ok()?;
     }
--- a/crates/daemon/tests/common/relays/relay.rs
+++ b/crates/daemon/tests/common/relays/relay.rs
@@ -69,7 +69,7 @@
         self.signal("-STOP");
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
--- a/crates/daemon/tests/common/relays/service_discovery.rs
+++ b/crates/daemon/tests/common/relays/service_discovery.rs
@@ -1,6 +1,6 @@
 //! A stand-in of discovery that serves the complete list to the root of a tree of relays.
 
-use super::{lock, FIRST_GENERATION, HEARTBEAT, POLL};
+use super::{lock, FIRST_REVISION, HEARTBEAT, POLL_INTERVAL};
 use crate::common::{chunk, Message, WATCH_HEAD};
 use liftrouter_catalog::{Instance, Update};
 use std::collections::BTreeMap;
@@ -12,14 +12,14 @@
 
 struct Listed {
     instance: Instance,
-    changed: u64,
+    last_changed: u64,
 }
 
 struct DiscoveryState {
-    generation: u64,
+    revision: u64,
     servers: BTreeMap<String, Listed>,
     heartbeat_period: Duration,
-    heartbeats: bool,
+    heartbeats_enabled: bool,
     reachable: bool,
     last_heartbeat: Instant,
     targets: Vec<String>,
@@ -27,9 +27,10 @@
 
 impl DiscoveryState {
     fn message(&self, after: Option<u64>) -> Update {
-        let changed = self.servers.values().filter(|listed| after.is_none_or(|after| listed.changed > after));
+        let changed =
+            self.servers.values().filter(|listed| after.is_none_or(|after| listed.last_changed > after));
         let instances = changed.map(|listed| listed.instance.clone()).collect();
-        Update { revision: self.generation, reset: after.is_none(), instances, ..Update::default() }
+        Update { revision: self.revision, reset: after.is_none(), instances, ..Update::default() }
     }
 }
 
@@ -49,13 +50,13 @@
     pub fn with_heartbeat(heartbeat_period: Duration, servers: &[Instance]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let listed = |server: &Instance| {
-            (server.instance_id.clone(), Listed { instance: server.clone(), changed: FIRST_GENERATION })
+            (server.instance_id.clone(), Listed { instance: server.clone(), last_changed: FIRST_REVISION })
         };
         let state = DiscoveryState {
-            generation: FIRST_GENERATION,
+            revision: FIRST_REVISION,
             servers: servers.iter().map(listed).collect(),
             heartbeat_period,
-            heartbeats: true,
+            heartbeats_enabled: true,
             reachable: true,
             last_heartbeat: Instant::now(),
             targets: Vec::new(),
@@ -75,29 +76,29 @@
         discovery
     }
 
-    /// Changes one server; returns the new generation.
+    /// Changes one server; returns the new revision.
     pub fn put(&self, instance: Instance) -> u64 {
         self.put_all([instance])
     }
 
-    /// Changes servers in one generation.
+    /// Changes servers in one revision.
     pub fn put_all(&self, instances: impl IntoIterator<Item = Instance>) -> u64 {
         let mut state = lock(&self.state);
-        state.generation += 1;
-        let changed = state.generation;
+        state.revision += 1;
+        let revision = state.revision;
         for instance in instances {
-            state.servers.insert(instance.instance_id.clone(), Listed { instance, changed });
+            state.servers.insert(instance.instance_id.clone(), Listed { instance, last_changed: revision });
         }
-        changed
+        revision
     }
 
-    pub fn generation(&self) -> u64 {
-        lock(&self.state).generation
+    pub fn revision(&self) -> u64 {
+        lock(&self.state).revision
     }
 
     /// From now on no heartbeats come; changes do.
     pub fn stop_heartbeats(&self) {
-        lock(&self.state).heartbeats = false;
+        lock(&self.state).heartbeats_enabled = false;
     }
 
     /// From now on open watches are silent and calls are closed without an answer.
@@ -122,42 +123,43 @@
     fn serve(&self, stream: &TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let Some(request) = Message::read(&mut BufReader::new(stream.try_clone()?)) else { return Ok(()) };
-        let mut after = after_of(&request.first);
+        let mut after = after_param(&request.first);
         {
             let mut state = lock(&self.state);
-            state.targets.push(target_of(&request.first));
+            state.targets.push(request_target(&request.first));
             if !state.reachable {
                 return Ok(());
             }
-            after = after.filter(|after| *after <= state.generation);
+            after = after.filter(|after| *after <= state.revision);
         }
         write_text(stream, WATCH_HEAD)?;
         loop {
             match self.next_line(after) {
-                Some((generation, line)) => {
-                    after = Some(generation);
+                Some((revision, line)) => {
+                    after = Some(revision);
                     write_text(stream, &chunk(&line))?;
                 }
                 None if self.heartbeat_is_due() => write_text(stream, "1\r\n\n\r\n")?,
-                None => thread::sleep(POLL),
+                None => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
     fn next_line(&self, after: Option<u64>) -> Option<(u64, String)> {
         let mut state = lock(&self.state);
-        if !state.reachable || after == Some(state.generation) {
+        if !state.reachable || after == Some(state.revision) {
             return None;
         }
         state.last_heartbeat = Instant::now();
-        Some((state.generation, serde_json::to_string(&state.message(after)).expect("JSON")))
+        Some((state.revision, serde_json::to_string(&state.message(after)).expect("JSON")))
     }
 
     /// One relay follows it, so there is one clock of heartbeats.
     fn heartbeat_is_due(&self) -> bool {
         let mut state = lock(&self.state);
-        let due =
-            state.reachable && state.heartbeats && state.last_heartbeat.elapsed() >= state.heartbeat_period;
+        let due = state.reachable
+            && state.heartbeats_enabled
+            && state.last_heartbeat.elapsed() >= state.heartbeat_period;
         if due {
             state.last_heartbeat = Instant::now();
         }
@@ -170,12 +172,12 @@
 }
 
 /// The target of a request.
-pub(super) fn target_of(first_line: &str) -> String {
+pub(super) fn request_target(first_line: &str) -> String {
     first_line.split(' ').nth(1).unwrap_or("").to_string()
 }
 
-/// The generation after which a call asks for changes.
-pub fn after_of(target: &str) -> Option<u64> {
+/// The revision after which a call asks for changes.
+pub fn after_param(target: &str) -> Option<u64> {
     let value = target.split("after=").nth(1)?;
     value.split(['&', ' ']).next()?.parse().ok()
 }
--- a/crates/daemon/tests/common/relays/subscriber.rs
+++ b/crates/daemon/tests/common/relays/subscriber.rs
@@ -34,14 +34,14 @@
 struct HeldList {
     received: Vec<Received>,
     instances: BTreeMap<String, Instance>,
-    generation: u64,
+    revision: u64,
     /// Digests that differed from what was held.
-    digest_faults: Vec<u64>,
+    digest_mismatches: Vec<u64>,
     ended: bool,
 }
 
 impl HeldList {
-    fn take(&mut self, line: &str) {
+    fn apply(&mut self, line: &str) {
         let update: Option<Update> =
             (!line.is_empty()).then(|| serde_json::from_str(line).expect("an update"));
         if let Some(update) = &update {
@@ -52,9 +52,9 @@
                 self.instances.insert(instance.instance_id.clone(), instance.clone());
             }
             self.instances.retain(|_, instance| instance.lifecycle != Lifecycle::Terminated);
-            self.generation = update.revision;
+            self.revision = update.revision;
             if update.digest.is_some_and(|digest| digest != Digest::of(self.instances.values())) {
-                self.digest_faults.push(update.revision);
+                self.digest_mismatches.push(update.revision);
             }
         }
         self.received.push(Received { at: Instant::now(), update });
@@ -70,26 +70,31 @@
 
 impl RawSubscriber {
     pub fn open(relay: SocketAddr, after: Option<u64>, services: &[&str]) -> RawSubscriber {
-        RawSubscriber::open_with(relay, after, services, HeldList::default())
+        RawSubscriber::open_with_list(relay, after, services, HeldList::default())
     }
 
     /// Goes on elsewhere from what this one holds.
     pub fn resume(&self, relay: SocketAddr, services: &[&str]) -> RawSubscriber {
         let held = lock(&self.list).clone();
         let list = HeldList { received: Vec::new(), ended: false, ..held.clone() };
-        RawSubscriber::open_with(relay, Some(held.generation), services, list)
+        RawSubscriber::open_with_list(relay, Some(held.revision), services, list)
     }
 
-    fn open_with(relay: SocketAddr, after: Option<u64>, services: &[&str], list: HeldList) -> RawSubscriber {
+    fn open_with_list(
+        relay: SocketAddr,
+        after: Option<u64>,
+        services: &[&str],
+        list: HeldList,
+    ) -> RawSubscriber {
         let watch = open_watch(relay, &watch_target(after, services)).expect("an answer of the relay");
         let OpenWatch { head, stream, mut lines } = watch;
         let list = Arc::new(Mutex::new(list));
-        let (taken, ok) = (list.clone(), head.status() == 200);
+        let (held, ok) = (list.clone(), head.status() == 200);
         thread::spawn(move || {
             while let Some(line) = ok.then(|| lines.next_line()).flatten() {
-                lock(&taken).take(&line);
+                lock(&held).apply(&line);
             }
-            lock(&taken).ended = true;
+            lock(&held).ended = true;
         });
         RawSubscriber { head, stream, list }
     }
@@ -115,20 +120,20 @@
         lock(&self.list).instances.keys().cloned().collect()
     }
 
-    pub fn generation(&self) -> u64 {
-        lock(&self.list).generation
+    pub fn revision(&self) -> u64 {
+        lock(&self.list).revision
     }
 
-    pub fn digest_faults(&self) -> Vec<u64> {
-        lock(&self.list).digest_faults.clone()
+    pub fn digest_mismatches(&self) -> Vec<u64> {
+        lock(&self.list).digest_mismatches.clone()
     }
 
     pub fn has_ended(&self) -> bool {
         lock(&self.list).ended
     }
 
-    pub fn wait_for(&self, generation: u64) {
-        wait_until("the subscriber holds the generation", || self.generation() >= generation);
+    pub fn wait_for_revision(&self, revision: u64) {
+        wait_until("the subscriber holds the generation", || self.revision() >= revision);
     }
 }
 
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 /// What discovery has counts as notified after this time, and after this time from a move.
-const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
+const NOTIFICATION_DEADLINE_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-fn list(generation: u64, servers: &[(&Fake, &str)]) -> String {
+fn list(revision: u64, servers: &[(&Fake, &str)]) -> String {
     let named = servers.iter().enumerate();
     let named: Vec<Value> =
         named.map(|(n, (s, state))| instance(&format!("s-{n}"), s.address, state)).collect();
-    update(generation, true, &named)
+    update(revision, true, &named)
 }
 
 fn two_servers() -> (Fake, Fake) {
@@ -24,19 +24,19 @@
 }
 
 /// Two lists: at first one of two servers serves, and then the other, which answers `second`.
-fn swapped() -> (String, String) {
+fn swapped_lists() -> (String, String) {
     let (first, second) = two_servers();
     let before = list(10, &[(&first, "in_service"), (&second, "terminating")]);
     (before, list(11, &[(&first, "terminating"), (&second, "in_service")]))
 }
 
-/// A discovery whose watches each get what the rule makes of their number, from 0.
-fn watches(rule: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Fake {
+/// A discovery service that answers each watch by its number, counted from 0.
+fn discovery_by_watch(rule: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Fake {
     let next = AtomicUsize::new(0);
     Fake::new(move |_| rule(next.fetch_add(1, Ordering::SeqCst)))
 }
 
-fn whole(line: &str) -> Reply {
+fn list_reply(line: &str) -> Reply {
     Reply::Raw(format!("{WATCH_HEAD}{}", chunk(line)))
 }
 
@@ -48,7 +48,7 @@
         serde_json::to_string_pretty(&value).expect("JSON")
     };
     let indented = pretty(&list(10, &[(&first, "in_service"), (&second, "terminating")]));
-    let discovery = watches(move |_| whole(&indented));
+    let discovery = discovery_by_watch(move |_| list_reply(&indented));
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "first");
     // A change, byte by byte, between empty lines.
@@ -62,15 +62,15 @@
 
 #[test]
 fn neither_spaces_nor_a_partial_message_keep_a_dead_watch_alive() {
-    let begun = "{\"generation\": 11, \"instances\": [ {\"instanceId\": \"s-0\", ";
-    let never_whole = [String::new(), begun.to_string(), begun.replace(' ', "\n\n")];
-    let cases: Vec<_> = never_whole
+    let partial = "{\"generation\": 11, \"instances\": [ {\"instanceId\": \"s-0\", ";
+    let never_complete = [String::new(), partial.to_string(), partial.replace(' ', "\n\n")];
+    let cases: Vec<_> = never_complete
         .into_iter()
         .map(|start| {
             thread::spawn(move || {
                 let server = Fake::new(|_| ok("served"));
                 let line = list(10, &[(&server, "in_service")]);
-                let discovery = watches(move |n| match n {
+                let discovery = discovery_by_watch(move |n| match n {
                     0 => {
                         let head = format!("{WATCH_HEAD}{}", chunk(&line));
                         let mut pieces = vec![(Duration::ZERO, head)];
@@ -81,12 +81,12 @@
                         pieces.extend(std::iter::repeat_n(trickle, 120));
                         Reply::Pieces(pieces)
                     }
-                    _ => whole(&line),
+                    _ => list_reply(&line),
                 });
                 let _limiter = Limiter::start(settings(), &discovery, counter().address);
                 let began = Instant::now();
                 wait_until("another watch is open", || discovery.count() > 1);
-                assert!(began.elapsed() < NOTIFIED_AFTER, "{:?}", began.elapsed());
+                assert!(began.elapsed() < NOTIFICATION_DEADLINE, "{:?}", began.elapsed());
             })
         })
         .collect();
@@ -97,85 +97,93 @@
 
 /// How an opening may come to nothing.
 #[derive(Clone, Copy, Debug)]
-enum Fault {
-    Hangs,
-    HeadAlone,
+enum OpenFault {
+    Hang,
+    HeadOnly,
     Status,
     Cut,
 }
 
-impl Fault {
+impl OpenFault {
     fn reply(self) -> Reply {
         match self {
-            Fault::Hangs => Reply::Silence,
-            Fault::HeadAlone => Reply::Raw(WATCH_HEAD.into()),
-            Fault::Status => Reply::Raw(raw("503 Service Unavailable", "", "")),
-            Fault::Cut => Reply::Last(String::new()),
+            OpenFault::Hang => Reply::Silence,
+            OpenFault::HeadOnly => Reply::Raw(WATCH_HEAD.into()),
+            OpenFault::Status => Reply::Raw(raw("503 Service Unavailable", "", "")),
+            OpenFault::Cut => Reply::Last(String::new()),
         }
     }
 }
 
 /// As many as have to fit with room to spare: once, and several times in a row.
-const ROWS: [(Fault, usize); 6] = [
-    (Fault::Hangs, 1),
-    (Fault::Hangs, 6),
-    (Fault::HeadAlone, 1),
-    (Fault::HeadAlone, 4),
-    (Fault::Status, 6),
-    (Fault::Cut, 6),
+const FAULT_CASES: [(OpenFault, usize); 6] = [
+    (OpenFault::Hang, 1),
+    (OpenFault::Hang, 6),
+    (OpenFault::HeadOnly, 1),
+    (OpenFault::HeadOnly, 4),
+    (OpenFault::Status, 6),
+    (OpenFault::Cut, 6),
 ];
 
 #[test]
 fn a_silent_watch_is_replaced_in_time_whatever_becomes_of_the_calls() {
-    let rows = ROWS.map(|(fault, times)| {
+    let cases = FAULT_CASES.map(|(fault, times)| {
         thread::spawn(move || {
-            let (before, after) = swapped();
-            let discovery = watches(move |n| match n {
-                0 => whole(&before),
+            let (before, after) = swapped_lists();
+            let discovery = discovery_by_watch(move |n| match n {
+                0 => list_reply(&before),
                 n if n <= times => fault.reply(),
-                _ => whole(&after),
+                _ => list_reply(&after),
             });
             let limiter = Limiter::start(settings(), &discovery, counter().address);
             // Not before the last sign of life.
             let began = Instant::now();
             wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
-            assert!(began.elapsed() < NOTIFIED_AFTER, "{fault:?} {times} times: {:?}", began.elapsed());
+            assert!(
+                began.elapsed() < NOTIFICATION_DEADLINE,
+                "{fault:?} {times} times: {:?}",
+                began.elapsed()
+            );
         })
     });
-    for row in rows {
-        row.join().expect("a row");
+    for case in cases {
+        case.join().expect("a case");
     }
 }
 
 #[test]
 fn a_moved_discovery_is_followed_in_time_whatever_becomes_of_the_calls() {
-    let rows = ROWS.map(|(fault, times)| {
+    let cases = FAULT_CASES.map(|(fault, times)| {
         thread::spawn(move || {
-            let (before, after) = swapped();
-            let (old, count) = (watches(move |_| whole(&before)), counter());
-            let new = watches(move |n| if n < times { fault.reply() } else { whole(&after) });
+            let (before, after) = swapped_lists();
+            let (old, count) = (discovery_by_watch(move |_| list_reply(&before)), counter());
+            let new = discovery_by_watch(move |n| if n < times { fault.reply() } else { list_reply(&after) });
             let limiter = Limiter::start(settings(), &old, count.address);
             let began = Instant::now();
             limiter.move_to(new.address, count.address);
             wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
-            assert!(began.elapsed() < NOTIFIED_AFTER_MOVE, "{fault:?} {times} times: {:?}", began.elapsed());
+            assert!(
+                began.elapsed() < NOTIFICATION_DEADLINE_AFTER_MOVE,
+                "{fault:?} {times} times: {:?}",
+                began.elapsed()
+            );
         })
     });
-    for row in rows {
-        row.join().expect("a row");
+    for case in cases {
+        case.join().expect("a case");
     }
 }
 
 #[test]
 fn a_discovery_that_refuses_connections_is_followed_soon_after_its_return() {
-    let (before, after) = swapped();
-    let (old, count) = (watches(move |_| whole(&before)), counter());
+    let (before, after) = swapped_lists();
+    let (old, count) = (discovery_by_watch(move |_| list_reply(&before)), counter());
     let limiter = Limiter::start(settings(), &old, count.address);
     let (socket, address) = nobody();
     limiter.move_to(address, count.address);
     wait_until("openings are refused", || limiter.errors().contains("no connection"));
     socket.listen(16).expect("listen");
-    let (new, began) = (Fake::at(socket.into(), move |_| whole(&after)), Instant::now());
+    let (new, began) = (Fake::at(socket.into(), move |_| list_reply(&after)), Instant::now());
     wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
     // Not after pauses that grew: one of a fifth of a second at most, on a busy machine.
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
@@ -187,26 +195,26 @@
 fn while_discovery_is_down_a_call_is_always_in_flight() {
     let server = Fake::new(|_| ok("served"));
     let line = list(10, &[(&server, "in_service")]);
-    let discovery = watches(move |n| if n == 0 { whole(&line) } else { Reply::Silence });
+    let discovery = discovery_by_watch(move |n| if n == 0 { list_reply(&line) } else { Reply::Silence });
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
     wait_until("the first opening hangs", || discovery.count() > 1);
-    let (mut alone, end) = (0, Instant::now() + Duration::from_secs(3));
+    let (mut polls_without_call, end) = (0, Instant::now() + Duration::from_secs(3));
     while Instant::now() < end {
         // The silent watch and whatever hangs.
         let waiting = discovery.accepted() - discovery.ended();
-        alone = if waiting < 2 { alone + 1 } else { 0 };
-        assert!(alone < 5, "only the silent watch is left");
+        polls_without_call = if waiting < 2 { polls_without_call + 1 } else { 0 };
+        assert!(polls_without_call < 5, "only the silent watch is left");
         thread::sleep(Duration::from_millis(10));
     }
-    let most = discovery.accepted() - discovery.ended();
-    assert!(most <= 11, "{most} descriptors at once");
+    let open = discovery.accepted() - discovery.ended();
+    assert!(open <= 11, "{open} descriptors at once");
 }
 
 #[test]
 fn a_watch_with_a_heartbeat_after_silence_is_kept() {
     let (first, second) = two_servers();
     let before = list(10, &[(&first, "in_service"), (&second, "terminating")]);
-    let discovery = watches(move |n| if n == 0 { whole(&before) } else { Reply::Silence });
+    let discovery = discovery_by_watch(move |n| if n == 0 { list_reply(&before) } else { Reply::Silence });
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     wait_until("openings hang", || discovery.count() > 3);
     // Those that hang take what is pushed for no answer.
@@ -224,7 +232,10 @@
     let now = list(10, &[(&first, "terminating"), (&second, "in_service")]);
     let silent = Arc::new(AtomicBool::new(true));
     let gate = silent.clone();
-    let discovery = watches(move |_| if gate.load(Ordering::SeqCst) { Reply::Silence } else { whole(&now) });
+    let discovery =
+        discovery_by_watch(
+            move |_| if gate.load(Ordering::SeqCst) { Reply::Silence } else { list_reply(&now) },
+        );
     let limiter = Limiter::with_known(&known, settings(), discovery.address);
     // Longer than a list takes to come, asked over and over. What comes before it is ready is refused at once.
     let end = Instant::now() + Duration::from_secs(2);
@@ -242,7 +253,7 @@
 #[test]
 fn a_new_process_without_discovery_goes_by_the_list_at_hand_before_ten_seconds() {
     let server = Fake::new(|_| ok("served"));
-    let discovery = watches(|_| Reply::Silence);
+    let discovery = discovery_by_watch(|_| Reply::Silence);
     let began = Instant::now();
     let limiter = Limiter::with_known(&list(9, &[(&server, "in_service")]), settings(), discovery.address);
     wait_until("the limiter is up", || limiter.up());
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -7,10 +7,10 @@
 use common::relays::limiter::{arrivals_after, FollowingLimiter, Load};
 use common::relays::proxy::WatchProxy;
 use common::relays::relay::Relay;
-use common::relays::service_discovery::{after_of, ServiceDiscovery};
+use common::relays::service_discovery::{after_param, ServiceDiscovery};
 use common::relays::subscriber::{RawSubscriber, Received};
 use common::relays::watch::watch_target;
-use common::relays::{draining, server, unreachable_server, weighted, FIRST_GENERATION, HEARTBEAT};
+use common::relays::{draining, server, unreachable_server, weighted, FIRST_REVISION, HEARTBEAT};
 use common::*;
 use liftrouter_catalog::{Instance, Update};
 use liftrouter_discovery::HEARTBEAT_TIMEOUT_RELAYED;
@@ -22,24 +22,24 @@
 use std::time::{Duration, Instant};
 
 /// A change is in force everywhere within this time.
-const IN_FORCE: Duration = Duration::from_secs(8);
+const CHANGE_DEADLINE: Duration = Duration::from_secs(8);
 /// A request may come to a server so long after its drain counts as notified.
 const GRACE: Duration = Duration::from_millis(250);
 /// A limiter without a list waits so long for one before it goes by its configuration.
-const FIRST_LIST: Duration = Duration::from_millis(8_500);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(8_500);
 /// Longer than a list from relays is good for.
 const OUTAGE: Duration = Duration::from_secs(9);
 /// How long a limiter is watched that does not call its list stale.
-const LONGEST_UNTIL_STALE: Duration = Duration::from_secs(40);
+const MAX_WAIT_UNTIL_STALE: Duration = Duration::from_secs(40);
 /// Heartbeats of a discovery that the test need not wait long for.
 const FAST_HEARTBEAT: Duration = Duration::from_millis(100);
 /// Each so many heartbeats one carries a digest.
-const DIGEST_EVERY: usize = 5;
+const HEARTBEATS_PER_DIGEST: usize = 5;
 /// Revisions that come one after the other while a relay is lost.
-const BURST: u64 = 100;
+const BURST_REVISIONS: u64 = 100;
 /// The revision of the burst at which a server begins to drain, and the one at which the relay is killed.
-const DRAIN_AT: u64 = 30;
-const KILL_AT: u64 = 50;
+const DRAIN_AT_REVISION: u64 = 30;
+const KILL_AT_REVISION: u64 = 50;
 /// Changes of a service that a subscriber does not follow.
 const FOREIGN_CHANGES: u32 = 100;
 /// The pause between two revisions of a burst.
@@ -61,17 +61,17 @@
         Tree { discovery, root, zones, proxies }
     }
 
-    fn of(servers: &[Instance]) -> Tree {
+    fn with_servers(servers: &[Instance]) -> Tree {
         Tree::new(ServiceDiscovery::new(servers))
     }
 
     /// Where limiters call.
-    fn fronts(&self) -> [SocketAddr; 2] {
+    fn proxy_addresses(&self) -> [SocketAddr; 2] {
         [self.proxies[0].address, self.proxies[1].address]
     }
 
     fn limiter(&self, services: &[&str]) -> FollowingLimiter {
-        FollowingLimiter::start(&self.fronts(), services)
+        FollowingLimiter::start(&self.proxy_addresses(), services)
     }
 
     /// The one zone that limiters have called; the other one has not been.
@@ -90,14 +90,15 @@
 fn a_limiter_sends_to_the_servers_of_its_services_alone() {
     let (own, foreign) = (TimedServer::new("own"), TimedServer::new("foreign"));
     let foreign_instance = server("s-foreign", "service-2", foreign.fake.address);
-    let tree = Tree::of(&[server("s-own", "service-1", own.fake.address), foreign_instance.clone()]);
+    let tree =
+        Tree::with_servers(&[server("s-own", "service-1", own.fake.address), foreign_instance.clone()]);
     let limiter = tree.limiter(&["service-1"]);
     let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let other_subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-2"]);
-    let load = Load::on(&limiter);
+    let load = Load::start(&limiter);
     for step in 1..=20 {
-        let generation = tree.discovery.put(weighted(&foreign_instance, 1.0 + f64::from(step)));
-        other_subscriber.wait_for(generation);
+        let revision = tree.discovery.put(weighted(&foreign_instance, 1.0 + f64::from(step)));
+        other_subscriber.wait_for_revision(revision);
     }
     wait_until("requests were served", || load.statuses().len() >= 100);
     drop(load);
@@ -133,15 +134,15 @@
 fn a_change_of_another_service_costs_a_subscriber_no_message() {
     let own = unreachable_server("s-own", "service-1");
     let foreign = unreachable_server("s-foreign", "service-2");
-    let tree = Tree::of(&[own.clone(), foreign.clone()]);
+    let tree = Tree::with_servers(&[own.clone(), foreign.clone()]);
     let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let other_subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-2"]);
     // What is under way comes before this change.
-    subscriber.wait_for(tree.discovery.put(weighted(&own, 2.0)));
+    subscriber.wait_for_revision(tree.discovery.put(weighted(&own, 2.0)));
     let (before, began) = (subscriber.received().len(), Instant::now());
     for step in 1..=FOREIGN_CHANGES {
-        let generation = tree.discovery.put(weighted(&foreign, 1.0 + f64::from(step)));
-        other_subscriber.wait_for(generation);
+        let revision = tree.discovery.put(weighted(&foreign, 1.0 + f64::from(step)));
+        other_subscriber.wait_for_revision(revision);
     }
     let heartbeats_due = 1 + (began.elapsed().as_secs_f64() / HEARTBEAT.as_secs_f64()) as usize;
     let later: Vec<Received> = subscriber.received().split_off(before);
@@ -157,7 +158,7 @@
 #[test]
 fn a_subscriber_of_unchanged_services_gets_heartbeats_while_others_change() {
     let foreign = unreachable_server("s-foreign", "service-2");
-    let tree = Tree::of(&[unreachable_server("s-own", "service-1"), foreign.clone()]);
+    let tree = Tree::with_servers(&[unreachable_server("s-own", "service-1"), foreign.clone()]);
     let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let began = Instant::now();
     let mut step = 1.0;
@@ -177,13 +178,13 @@
 fn a_subscriber_gets_what_it_lacks() {
     let own = unreachable_server("s-1", "service-1");
     let still = unreachable_server("s-2", "service-1");
-    let tree = Tree::of(&[own.clone(), still, unreachable_server("s-3", "service-2")]);
+    let tree = Tree::with_servers(&[own.clone(), still, unreachable_server("s-3", "service-2")]);
     let zone = tree.zones[0].address;
     let follower = RawSubscriber::follow(zone, None, &["service-1"]);
     let first_change = tree.discovery.put(weighted(&own, 2.0));
-    follower.wait_for(first_change);
+    follower.wait_for_revision(first_change);
     let second_change = tree.discovery.put(weighted(&own, 3.0));
-    follower.wait_for(second_change);
+    follower.wait_for_revision(second_change);
 
     let delta = RawSubscriber::follow(zone, Some(first_change), &["service-1"]).first();
     assert_eq!((delta.reset, delta.revision, ids(&delta)), (false, second_change, vec!["s-1"]));
@@ -198,7 +199,7 @@
     let elsewhere = follower.resume(tree.zones[1].address, &["service-1"]);
     wait_until("the other relay answers", || !elsewhere.received().is_empty());
     assert!(!elsewhere.first().reset, "a revision holds at the other relay too");
-    assert_eq!(elsewhere.digest_faults(), Vec::<u64>::new());
+    assert_eq!(elsewhere.digest_mismatches(), Vec::<u64>::new());
 }
 
 #[test]
@@ -212,7 +213,7 @@
     });
     discovery.stop_heartbeats();
     let last = discovery.put(weighted(&own, 2.0));
-    subscriber.wait_for(last);
+    subscriber.wait_for_revision(last);
     let change = subscriber
         .received()
         .iter()
@@ -246,11 +247,11 @@
         [own.clone(), unreachable_server("s-2", "service-2"), unreachable_server("s-3", "service-3")];
     let root = Relay::root(&ServiceDiscovery::with_heartbeat(FAST_HEARTBEAT, &servers));
     let idle = RawSubscriber::follow(root.address, None, &["service-1", "service-3"]);
-    wait_until("heartbeats come", || idle.received().len() >= 6 * DIGEST_EVERY);
-    for run in idle.received().windows(DIGEST_EVERY) {
+    wait_until("heartbeats come", || idle.received().len() >= 6 * HEARTBEATS_PER_DIGEST);
+    for run in idle.received().windows(HEARTBEATS_PER_DIGEST) {
         assert!(run.iter().any(|received| received.digest().is_some()), "no digest in {run:?}");
     }
-    assert_eq!(idle.digest_faults(), Vec::<u64>::new());
+    assert_eq!(idle.digest_mismatches(), Vec::<u64>::new());
 }
 
 #[test]
@@ -260,17 +261,17 @@
     let root = Relay::root(&discovery);
     let subscriber = RawSubscriber::follow(root.address, None, &["service-1"]);
     for step in 1..=20 {
-        let generation = discovery.put_all([
+        let revision = discovery.put_all([
             weighted(&own, 1.0 + f64::from(step)),
             unreachable_server(&format!("s-new-{step}"), "service-1"),
             unreachable_server(&format!("s-other-{step}"), "service-2"),
         ]);
-        subscriber.wait_for(generation);
+        subscriber.wait_for_revision(revision);
     }
     let seen = subscriber.received().len();
     let has_digest = || subscriber.received()[seen..].iter().any(|received| received.digest().is_some());
     wait_until("a digest comes", has_digest);
-    assert_eq!(subscriber.digest_faults(), Vec::<u64>::new());
+    assert_eq!(subscriber.digest_mismatches(), Vec::<u64>::new());
     assert_eq!(subscriber.ids().len(), 21);
 }
 
@@ -281,24 +282,24 @@
     let drained_instance = server("s-drained", "service-1", drained.fake.address);
     let late_instance = server("s-late", "service-1", late.fake.address);
     let servers = [steady_instance.clone(), drained_instance.clone(), draining(&late_instance)];
-    let mut tree = Tree::of(&servers);
+    let mut tree = Tree::with_servers(&servers);
     let limiter = tree.limiter(&["service-1"]);
-    let load = Load::on(&limiter);
+    let load = Load::start(&limiter);
     wait_until("both servers get work", || !steady.arrivals().is_empty() && !drained.arrivals().is_empty());
     let zone = tree.zone_in_use();
     let mut drained_at = Instant::now();
-    let mut last = FIRST_GENERATION;
-    for step in 1..=BURST {
+    let mut last = FIRST_REVISION;
+    for step in 1..=BURST_REVISIONS {
         let change = match step {
-            DRAIN_AT => draining(&drained_instance),
-            BURST => late_instance.clone(),
+            DRAIN_AT_REVISION => draining(&drained_instance),
+            BURST_REVISIONS => late_instance.clone(),
             _ => weighted(&steady_instance, 1.0 + step as f64 / 1_000.0),
         };
-        if step == DRAIN_AT {
+        if step == DRAIN_AT_REVISION {
             drained_at = Instant::now();
         }
         last = tree.discovery.put(change);
-        if step == KILL_AT {
+        if step == KILL_AT_REVISION {
             tree.zones[zone].kill();
         }
         thread::sleep(BURST_PAUSE);
@@ -306,14 +307,14 @@
     let changed_at = Instant::now();
     wait_until("the server of the last revision gets work", || !late.arrivals().is_empty());
     let first = late.arrivals()[0].at;
-    assert!(first <= changed_at + IN_FORCE, "the last revision came {:?} late", first - changed_at);
+    assert!(first <= changed_at + CHANGE_DEADLINE, "the last revision came {:?} late", first - changed_at);
     let other = &tree.proxies[1 - zone];
-    assert_eq!(other.last_generation(), Some(last));
-    let resumed = other.targets().first().and_then(|target| after_of(target));
-    assert_eq!(resumed, tree.proxies[zone].last_generation(), "it goes on from its revision");
-    assert!(resumed.is_some_and(|after| after > FIRST_GENERATION && after < last), "{resumed:?}");
-    wait_until("the drain is in force", || drained_at.elapsed() > IN_FORCE + GRACE + GRACE);
-    assert_eq!(arrivals_after(&drained, drained_at + IN_FORCE + GRACE), 0);
+    assert_eq!(other.last_revision(), Some(last));
+    let resumed = other.targets().first().and_then(|target| after_param(target));
+    assert_eq!(resumed, tree.proxies[zone].last_revision(), "it goes on from its revision");
+    assert!(resumed.is_some_and(|after| after > FIRST_REVISION && after < last), "{resumed:?}");
+    wait_until("the drain is in force", || drained_at.elapsed() > CHANGE_DEADLINE + GRACE + GRACE);
+    assert_eq!(arrivals_after(&drained, drained_at + CHANGE_DEADLINE + GRACE), 0);
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
 
@@ -321,20 +322,21 @@
 fn a_limiter_leaves_a_suspended_relay() {
     let [steady, drained] = ["steady", "drained"].map(TimedServer::new);
     let drained_instance = server("s-drained", "service-1", drained.fake.address);
-    let tree = Tree::of(&[server("s-steady", "service-1", steady.fake.address), drained_instance.clone()]);
+    let tree =
+        Tree::with_servers(&[server("s-steady", "service-1", steady.fake.address), drained_instance.clone()]);
     let limiter = tree.limiter(&["service-1"]);
-    let load = Load::on(&limiter);
+    let load = Load::start(&limiter);
     wait_until("the server gets work", || !drained.arrivals().is_empty());
     let zone = tree.zone_in_use();
     tree.zones[zone].pause();
     let drained_at = Instant::now();
     let last = tree.discovery.put(draining(&drained_instance));
     let other = &tree.proxies[1 - zone];
-    wait_until("the limiter follows the other relay", || other.last_generation() == Some(last));
-    assert_eq!(other.targets().first().and_then(|target| after_of(target)), Some(FIRST_GENERATION));
-    tree.zones[zone].go_on();
-    wait_until("the drain is in force", || drained_at.elapsed() > IN_FORCE + GRACE + GRACE);
-    assert_eq!(arrivals_after(&drained, drained_at + IN_FORCE + GRACE), 0);
+    wait_until("the limiter follows the other relay", || other.last_revision() == Some(last));
+    assert_eq!(other.targets().first().and_then(|target| after_param(target)), Some(FIRST_REVISION));
+    tree.zones[zone].resume();
+    wait_until("the drain is in force", || drained_at.elapsed() > CHANGE_DEADLINE + GRACE + GRACE);
+    assert_eq!(arrivals_after(&drained, drained_at + CHANGE_DEADLINE + GRACE), 0);
     wait_until("the reason is in the log", || limiter.log().contains("the watch gave no sign of life for"));
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
@@ -352,26 +354,26 @@
     let root = Relay::root(&discovery);
     let (held_back, passing) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
     let passes = passing.clone();
-    let slow_upstream = WatchProxy::filtered(root.address, move |update| {
-        passes.load(Ordering::SeqCst) || update.is_none_or(|update| update.revision <= FIRST_GENERATION)
+    let slow_upstream = WatchProxy::with_filter(root.address, move |update| {
+        passes.load(Ordering::SeqCst) || update.is_none_or(|update| update.revision <= FIRST_REVISION)
     });
     let slow = Relay::zone(&[slow_upstream.address], 1);
     let mut current = Relay::zone(&[root.address], 2);
     // The slow one is not there for the limiter until the current one has announced the drain to it.
     let closed = held_back.clone();
-    let slow_front = WatchProxy::filtered(slow.address, move |_| !closed.load(Ordering::SeqCst));
-    let current_front = WatchProxy::new(current.address);
-    let limiter = FollowingLimiter::start(&[current_front.address, slow_front.address], &["service-1"]);
-    let load = Load::on(&limiter);
+    let slow_proxy = WatchProxy::with_filter(slow.address, move |_| !closed.load(Ordering::SeqCst));
+    let current_proxy = WatchProxy::new(current.address);
+    let limiter = FollowingLimiter::start(&[current_proxy.address, slow_proxy.address], &["service-1"]);
+    let load = Load::start(&limiter);
     let drain = discovery.put(draining(&drained_instance));
-    wait_until("the limiter is notified", || current_front.last_generation() >= Some(drain));
+    wait_until("the limiter is notified", || current_proxy.last_revision() >= Some(drain));
     let notified_at = Instant::now();
     held_back.store(false, Ordering::SeqCst);
-    let calls_before = slow_front.targets().len();
+    let calls_before = slow_proxy.targets().len();
     current.kill();
     let refusals = || limiter.log().contains("the update is older than the list");
-    wait_until("the older list is refused", || slow_front.targets().len() > calls_before && refusals());
-    assert_eq!(slow_front.targets().last().and_then(|target| after_of(target)), Some(drain));
+    wait_until("the older list is refused", || slow_proxy.targets().len() > calls_before && refusals());
+    assert_eq!(slow_proxy.targets().last().and_then(|target| after_param(target)), Some(drain));
     passing.store(true, Ordering::SeqCst);
     discovery.put(late_instance);
     wait_until("the slow relay has caught up", || !late.arrivals().is_empty());
@@ -383,27 +385,27 @@
 fn one_revision_notifies_each_subscriber_of_its_own_services() {
     let services = ["service-1", "service-2", "service-3"];
     let servers = services.map(|service| unreachable_server(&format!("s-of-{service}"), service));
-    let tree = Tree::of(&servers);
+    let tree = Tree::with_servers(&servers);
     let zone = tree.zones[0].address;
     let subscribers = services.map(|service| RawSubscriber::follow(zone, None, &[service]));
     let both = RawSubscriber::follow(zone, None, &services[..2]);
     let last = tree.discovery.put_all(servers.iter().map(|server| weighted(server, 2.0)));
     for (subscriber, server) in subscribers.iter().zip(&servers) {
-        subscriber.wait_for(last);
+        subscriber.wait_for_revision(last);
         let delta = subscriber.received().into_iter().filter_map(|r| r.update).find(|update| !update.reset);
         assert_eq!(ids(&delta.expect("a delta")), [server.instance_id.as_str()]);
     }
-    both.wait_for(last);
+    both.wait_for_revision(last);
     assert_eq!(both.ids(), ["s-of-service-1", "s-of-service-2"]);
 }
 
 #[test]
 fn a_subscriber_that_was_away_for_long_gets_a_complete_list_of_its_services() {
     let own = unreachable_server("s-1", "service-1");
-    let tree = Tree::of(&[own.clone(), unreachable_server("s-2", "service-2")]);
+    let tree = Tree::with_servers(&[own.clone(), unreachable_server("s-2", "service-2")]);
     let follower = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let last = tree.discovery.put(weighted(&own, 2.0));
-    follower.wait_for(last);
+    follower.wait_for_revision(last);
     let back = RawSubscriber::follow(tree.zones[0].address, Some(1), &["service-1"]).first();
     assert_eq!((back.reset, back.revision, ids(&back)), (true, last, vec!["s-1"]));
 }
@@ -419,25 +421,25 @@
     let root = Relay::root(&discovery);
     let zone = Relay::zone(&[root.address], 1);
     let (lost, to_lose) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(u64::MAX)));
-    let (dropped, generation) = (lost.clone(), to_lose.clone());
-    let front = WatchProxy::filtered(zone.address, move |update| {
+    let (dropped, revision) = (lost.clone(), to_lose.clone());
+    let proxy = WatchProxy::with_filter(zone.address, move |update| {
         let is_change = update.is_some_and(|update| {
-            update.revision == generation.load(Ordering::SeqCst) && !update.instances.is_empty()
+            update.revision == revision.load(Ordering::SeqCst) && !update.instances.is_empty()
         });
         !is_change || dropped.swap(true, Ordering::SeqCst)
     });
-    let limiter = FollowingLimiter::start(&[front.address], &["service-1"]);
-    let load = Load::on(&limiter);
+    let limiter = FollowingLimiter::start(&[proxy.address], &["service-1"]);
+    let load = Load::start(&limiter);
     wait_until("the server gets work", || !drained.arrivals().is_empty());
-    assert_eq!(front.targets().len(), 1);
-    to_lose.store(discovery.generation() + 1, Ordering::SeqCst);
+    assert_eq!(proxy.targets().len(), 1);
+    to_lose.store(discovery.revision() + 1, Ordering::SeqCst);
     discovery.put(draining(&drained_instance));
     wait_until("the message is lost", || lost.load(Ordering::SeqCst));
     wait_until("the limiter asks for the whole list", || {
-        front.targets().len() == 2 && front.last_generation() == Some(discovery.generation())
+        proxy.targets().len() == 2 && proxy.last_revision() == Some(discovery.revision())
     });
     let repaired_at = Instant::now();
-    assert_eq!(after_of(&front.targets()[1]), None);
+    assert_eq!(after_param(&proxy.targets()[1]), None);
     wait_until("the reason is in the log", || limiter.log().contains("differs from the list's"));
     wait_until("requests are served by the true list", || arrivals_after(&steady, repaired_at + GRACE) >= 50);
     assert_eq!(arrivals_after(&drained, repaired_at + GRACE), 0);
@@ -466,7 +468,7 @@
         start.wait();
         let subscriber = RawSubscriber::follow(root.address, None, &followed);
         assert_eq!(subscriber.ids(), expected);
-        assert_eq!(subscriber.digest_faults(), Vec::<u64>::new());
+        assert_eq!(subscriber.digest_mismatches(), Vec::<u64>::new());
     });
 }
 
@@ -474,7 +476,7 @@
 fn a_subscriber_that_never_reads_is_disconnected_and_costs_the_others_nothing() {
     /// Enough for the buffers of the sockets and the queue of the subscriber to be full.
     const SERVERS: usize = 400;
-    const MOST_REVISIONS: u32 = 400;
+    const MAX_REVISIONS: u32 = 400;
     let bulk: Vec<_> = (0..SERVERS).map(|n| unreachable_server(&format!("s-{n}"), "bulk")).collect();
     let small = unreachable_server("s-small", "small");
     let discovery = ServiceDiscovery::new(&[bulk.clone(), vec![small.clone()]].concat());
@@ -485,21 +487,21 @@
     let reader = RawSubscriber::follow(root.address, None, &["bulk"]);
     let bystander = RawSubscriber::follow(root.address, None, &["small"]);
     let cut_off = || root.log().contains("reads too slowly");
-    for step in 1..=MOST_REVISIONS {
+    for step in 1..=MAX_REVISIONS {
         if cut_off() {
             break;
         }
         let weight = 1.0 + f64::from(step);
-        let generation = discovery.put_all(bulk.iter().map(|server| weighted(server, weight)));
-        reader.wait_for(generation);
+        let revision = discovery.put_all(bulk.iter().map(|server| weighted(server, weight)));
+        reader.wait_for_revision(revision);
     }
     wait_until("it is cut off", cut_off);
     assert_eq!(root.log().matches("reads too slowly").count(), 1, "{}", root.log());
     let last = discovery.put_all([weighted(&small, 2.0), weighted(&bulk[0], 0.5)]);
-    reader.wait_for(last);
-    bystander.wait_for(last);
+    reader.wait_for_revision(last);
+    bystander.wait_for_revision(last);
     assert!(!reader.has_ended() && !bystander.has_ended());
-    assert_eq!((reader.digest_faults(), bystander.digest_faults()), (vec![], vec![]));
+    assert_eq!((reader.digest_mismatches(), bystander.digest_mismatches()), (vec![], vec![]));
 }
 
 #[test]
@@ -507,9 +509,9 @@
     let [first, second] = ["first", "second"].map(TimedServer::new);
     let first_instance = server("s-first", "service-1", first.fake.address);
     let second_instance = server("s-second", "service-1", second.fake.address);
-    let tree = Tree::of(&[first_instance.clone(), draining(&second_instance)]);
+    let tree = Tree::with_servers(&[first_instance.clone(), draining(&second_instance)]);
     let limiter = tree.limiter(&["service-1"]);
-    let load = Load::on(&limiter);
+    let load = Load::start(&limiter);
     tree.discovery.cut_off();
     let cut_at = Instant::now();
     wait_until("the outage is long", || cut_at.elapsed() > OUTAGE);
@@ -526,9 +528,9 @@
     let restored_at = Instant::now();
     wait_until("the new revision is in force", || !second.arrivals().is_empty());
     let served = second.arrivals()[0].at;
-    assert!(served <= restored_at + IN_FORCE, "the new revision came {:?} late", served - restored_at);
+    assert!(served <= restored_at + CHANGE_DEADLINE, "the new revision came {:?} late", served - restored_at);
     wait_until("the list is confirmed", || limiter.log().contains("confirmed again"));
-    assert!(tree.proxies.iter().any(|proxy| proxy.last_generation() == Some(last)));
+    assert!(tree.proxies.iter().any(|proxy| proxy.last_revision() == Some(last)));
     let confirmed_at = Instant::now();
     wait_until("more is served", || arrivals_after(&second, confirmed_at + GRACE) >= 20);
     assert_eq!(arrivals_after(&first, confirmed_at + GRACE), 0);
@@ -540,18 +542,18 @@
 #[test]
 fn a_limiter_is_stale_a_fixed_time_after_the_last_heartbeat_of_discovery() {
     let only = TimedServer::new("only");
-    let tree = Tree::of(&[server("s-only", "service-1", only.fake.address)]);
+    let tree = Tree::with_servers(&[server("s-only", "service-1", only.fake.address)]);
     let limiter = tree.limiter(&["service-1"]);
     tree.discovery.cut_off();
     let last_heartbeat = tree.discovery.last_heartbeat();
     let is_stale = || limiter.log().contains("stale: going on by a list");
     // Waits on behind the bound, so that a failure tells how late it was.
-    while !is_stale() && last_heartbeat.elapsed() < LONGEST_UNTIL_STALE {
+    while !is_stale() && last_heartbeat.elapsed() < MAX_WAIT_UNTIL_STALE {
         thread::sleep(BURST_PAUSE);
     }
     let (stale, took) = (is_stale(), last_heartbeat.elapsed());
     assert!(
-        stale && took <= IN_FORCE + GRACE,
+        stale && took <= CHANGE_DEADLINE + GRACE,
         "stale: {stale}, {took:?} after the last heartbeat of discovery; calls: {:?} and {:?}",
         tree.proxies[0].targets(),
         tree.proxies[1].targets()
@@ -562,14 +564,14 @@
 fn a_limiter_started_while_all_is_stale_goes_by_its_configured_list() {
     let only = TimedServer::new("only");
     let instance = server("s-only", "service-1", only.fake.address);
-    let tree = Tree::of(std::slice::from_ref(&instance));
+    let tree = Tree::with_servers(std::slice::from_ref(&instance));
     tree.discovery.cut_off();
     wait_until("the relays are stale", || tree.zones.iter().all(|zone| zone.up() == 503));
-    let known = json!({"generation": FIRST_GENERATION, "reset": true, "instances": [instance]});
+    let known = json!({"generation": FIRST_REVISION, "reset": true, "instances": [instance]});
     let started = Instant::now();
-    let limiter = FollowingLimiter::spawn(&tree.fronts(), &["service-1"], Some(known));
+    let limiter = FollowingLimiter::spawn(&tree.proxy_addresses(), &["service-1"], Some(known));
     wait_until("the limiter is up", || limiter.limiter.up());
-    assert!(started.elapsed() >= FIRST_LIST, "it was ready without any list");
+    assert!(started.elapsed() >= FIRST_LIST_TIMEOUT, "it was ready without any list");
     assert_eq!(limiter.ask().text(), "only");
     wait_until("it logs so", || {
         limiter.log().contains("no list came: going by the one in the configuration")
--- a/crates/daemon/tests/relays/regions.rs
+++ b/crates/daemon/tests/relays/regions.rs
@@ -5,46 +5,46 @@
 use crate::common::relays::limiter::{arrivals_after, FollowingLimiter, Load};
 use crate::common::relays::proxy::WatchProxy;
 use crate::common::relays::relay::Relay;
-use crate::common::relays::service_discovery::{after_of, ServiceDiscovery};
+use crate::common::relays::service_discovery::{after_param, ServiceDiscovery};
 use crate::common::relays::watch::watch_target;
-use crate::common::relays::{draining, server, FIRST_GENERATION};
+use crate::common::relays::{draining, server, FIRST_REVISION};
 use crate::common::*;
 use liftrouter_catalog::Instance;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 /// A change is in force everywhere within this time.
-const IN_FORCE: Duration = Duration::from_secs(8);
+const CHANGE_DEADLINE: Duration = Duration::from_secs(8);
 /// A request may come to a server so long after its drain was announced.
 const GRACE: Duration = Duration::from_millis(250);
 /// A limiter waits so long for the first list of each region.
-const FIRST_LIST: Duration = Duration::from_millis(8_500);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(8_500);
 /// Requests that show that a server is in use.
-const SOME: usize = 20;
+const MIN_REQUESTS: usize = 20;
 
-/// One region: discovery, a relay, and the front at which limiters call.
+/// One region: discovery, a relay, and the proxy at which limiters call.
 struct Region {
     name: &'static str,
     discovery: ServiceDiscovery,
     _relay: Relay,
-    front: WatchProxy,
+    proxy: WatchProxy,
 }
 
 impl Region {
     fn new(name: &'static str, servers: &[Instance]) -> Region {
         let discovery = ServiceDiscovery::new(servers);
         let relay = Relay::root(&discovery);
-        let front = WatchProxy::new(relay.address);
-        Region { name, discovery, _relay: relay, front }
+        let proxy = WatchProxy::new(relay.address);
+        Region { name, discovery, _relay: relay, proxy }
     }
 }
 
 /// A limiter that follows all of these.
 fn follow(regions: [&Region; 2], known: Option<serde_json::Value>) -> FollowingLimiter {
-    FollowingLimiter::of_regions(&regions.map(|region| (region.name, region.front.address)), known)
+    FollowingLimiter::of_regions(&regions.map(|region| (region.name, region.proxy.address)), known)
 }
 
-fn instance_of(timed: &TimedServer, id: &str) -> Instance {
+fn server_instance(timed: &TimedServer, id: &str) -> Instance {
     server(id, "", timed.fake.address)
 }
 
@@ -53,18 +53,18 @@
     let [west_old, west_new, east_old, east_new] =
         ["west-old", "west-new", "east-old", "east-new"].map(TimedServer::new);
     let instances = [
-        instance_of(&west_old, "s-1"),
-        instance_of(&west_new, "s-2"),
-        instance_of(&east_old, "s-3"),
-        instance_of(&east_new, "s-4"),
+        server_instance(&west_old, "s-1"),
+        server_instance(&west_new, "s-2"),
+        server_instance(&east_old, "s-3"),
+        server_instance(&east_new, "s-4"),
     ];
     let west = Region::new("west", &[instances[0].clone(), draining(&instances[1])]);
     let east = Region::new("east", &[instances[2].clone(), draining(&instances[3])]);
     let limiter = follow([&west, &east], None);
     wait_until("the limiter is up", || limiter.limiter.up());
-    let load = Load::on(&limiter);
+    let load = Load::start(&limiter);
     wait_until("servers of both regions are in use", || {
-        west_old.arrivals().len() >= SOME && east_old.arrivals().len() >= SOME
+        west_old.arrivals().len() >= MIN_REQUESTS && east_old.arrivals().len() >= MIN_REQUESTS
     });
 
     east.discovery.cut_off();
@@ -75,11 +75,11 @@
     west.discovery.put_all([draining(&instances[0]), instances[1].clone()]);
     let changed_at = Instant::now();
     let last_east = east.discovery.put_all([draining(&instances[2]), instances[3].clone()]);
-    wait_until("the change of the near region is in force", || west_new.arrivals().len() >= SOME);
-    assert!(west_new.arrivals()[0].at <= changed_at + IN_FORCE);
+    wait_until("the change of the near region is in force", || west_new.arrivals().len() >= MIN_REQUESTS);
+    assert!(west_new.arrivals()[0].at <= changed_at + CHANGE_DEADLINE);
     let arrived_at = west_new.arrivals()[0].at;
     wait_until("the far region's last list is in use", || {
-        arrivals_after(&east_old, arrived_at + GRACE) >= SOME
+        arrivals_after(&east_old, arrived_at + GRACE) >= MIN_REQUESTS
     });
     assert_eq!(arrivals_after(&west_old, arrived_at + GRACE), 0);
     assert_eq!(east_new.arrivals().len(), 0);
@@ -87,40 +87,40 @@
 
     east.discovery.restore();
     let restored_at = Instant::now();
-    wait_until("the changes of the far region are in force", || east_new.arrivals().len() >= SOME);
+    wait_until("the changes of the far region are in force", || east_new.arrivals().len() >= MIN_REQUESTS);
     let arrived_at = east_new.arrivals()[0].at;
-    assert!(arrived_at <= restored_at + IN_FORCE, "they came {:?} late", arrived_at - restored_at);
-    wait_until("more is served", || arrivals_after(&east_new, arrived_at + GRACE) >= SOME);
+    assert!(arrived_at <= restored_at + CHANGE_DEADLINE, "they came {:?} late", arrived_at - restored_at);
+    wait_until("more is served", || arrivals_after(&east_new, arrived_at + GRACE) >= MIN_REQUESTS);
     assert_eq!(arrivals_after(&east_old, arrived_at + GRACE), 0);
     assert_eq!(arrivals_after(&west_old, arrived_at + GRACE), 0);
     wait_until("it says so", || {
         limiter.log().contains("region east: the list of servers is confirmed again")
     });
-    assert_eq!(east.front.last_generation(), Some(last_east));
-    let first_calls = [&west, &east].map(|region| after_of(&region.front.targets()[0]));
+    assert_eq!(east.proxy.last_revision(), Some(last_east));
+    let first_calls = [&west, &east].map(|region| after_param(&region.proxy.targets()[0]));
     assert_eq!(first_calls, [None, None]);
-    let later = east.front.targets().split_off(1);
-    assert!(!later.is_empty() && later.iter().all(|call| after_of(call).is_some()), "deltas: {later:?}");
+    let later = east.proxy.targets().split_off(1);
+    assert!(!later.is_empty() && later.iter().all(|call| after_param(call).is_some()), "deltas: {later:?}");
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
 
 #[test]
 fn a_limiter_that_starts_while_a_region_is_cut_off_goes_on_without_it() {
     let [near, far, former] = ["near", "far", "former"].map(TimedServer::new);
-    let west = Region::new("west", &[instance_of(&near, "s-1")]);
-    let east = Region::new("east", &[instance_of(&far, "s-2")]);
+    let west = Region::new("west", &[server_instance(&near, "s-1")]);
+    let east = Region::new("east", &[server_instance(&far, "s-2")]);
     east.discovery.cut_off();
-    let known = json!({"generation": FIRST_GENERATION, "reset": true,
-        "instances": [instance_of(&former, "s-3")]});
-    let relay = east.front.address;
+    let known = json!({"generation": FIRST_REVISION, "reset": true,
+        "instances": [server_instance(&former, "s-3")]});
+    let relay = east.proxy.address;
     wait_until("the relay of the far region is stale", || {
         Client::to(relay).ask(&format!("GET {} HTTP/1.1\r\n\r\n", watch_target(None, &[]))).status() == 503
     });
     let started = Instant::now();
     let limiter = follow([&west, &east], Some(known));
     wait_until("the limiter is up", || limiter.limiter.up());
-    assert!(started.elapsed() >= FIRST_LIST, "it was ready without the list of a region");
-    for _ in 0..SOME {
+    assert!(started.elapsed() >= FIRST_LIST_TIMEOUT, "it was ready without the list of a region");
+    for _ in 0..MIN_REQUESTS {
         assert_eq!(limiter.ask().text(), "near");
     }
     wait_until("it says so", || limiter.log().contains("region east: no list came: going on without it"));
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -10,7 +10,7 @@
 
 const INSTANCES: u32 = 8;
 /// The time that the settings name, and what may come in it to a cold server of which nobody knows more.
-const SLOW_START_TIME: Duration = Duration::from_secs(2);
+const SLOW_START_WINDOW: Duration = Duration::from_secs(2);
 const SLOW_START_BUDGET: f64 = 4.0;
 
 fn instance_settings(index: u32) -> serde_json::Value {
@@ -22,10 +22,10 @@
 
 #[test]
 fn all_instances_together_keep_the_slow_start_budget_of_a_server_through_restarts() {
-    let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let noted = came.clone();
+    let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let recorded = arrivals.clone();
     let server = Fake::new(move |_| {
-        noted.lock().expect("lock").push(Instant::now());
+        recorded.lock().expect("lock").push(Instant::now());
         ok("served")
     });
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
@@ -53,10 +53,10 @@
     for limiter in limiters {
         limiter.join().expect("a limiter");
     }
-    let came = came.lock().expect("lock");
+    let arrivals = arrivals.lock().expect("lock");
     let within =
-        |from: &Instant| came.iter().filter(|t| **t >= *from && **t - *from <= SLOW_START_TIME).count();
-    let most = came.iter().map(within).max().unwrap_or(0) as f64;
+        |from: &Instant| arrivals.iter().filter(|t| **t >= *from && **t - *from <= SLOW_START_WINDOW).count();
+    let most = arrivals.iter().map(within).max().unwrap_or(0) as f64;
     assert!(most > 0.0, "it never warms by work");
     assert!(most <= SLOW_START_BUDGET + 2.0 * SLOW_START_BUDGET.sqrt() + 2.0, "{most} in one window");
 }
@@ -65,9 +65,9 @@
 fn nine_of_ten_instances_started_together_are_ready_in_time_though_discovery_is_silent_at_first() {
     let server = Fake::new(|_| ok("served"));
     let line = update(10, true, &[instance("s-0", server.address, "in_service")]);
-    let (began, asked) = (Instant::now(), AtomicUsize::new(0));
+    let (began, watches) = (Instant::now(), AtomicUsize::new(0));
     let discovery = Fake::new(move |_| {
-        asked.fetch_add(1, Ordering::SeqCst);
+        watches.fetch_add(1, Ordering::SeqCst);
         if began.elapsed() < Duration::from_secs(4) {
             Reply::Silence
         } else {
