--- a/crates/daemon/tests/asked.rs
+++ b/crates/daemon/tests/asked.rs
@@ -1,4 +1,4 @@
-//! The real binary and a discovery that is asked over the network: of limited capacity, and out of order.
+//! The real binary against an on-request discovery service that has limited capacity and injected faults.
 mod common;
 
 use common::asked::timed_server::{senders, tagged_quote, Arrival, TimedServer};
@@ -11,27 +11,32 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as notified after this time, and after this time from a move.
+/// How long after a change a limiter counts as notified of it.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
+/// How long after its move to another discovery address a limiter counts as notified of earlier changes.
 const NOTIFICATION_DEADLINE_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A request may come to a server so long after its drain counts as notified.
+/// How long after the notification of its drain a server may still receive requests.
 const GRACE: Duration = Duration::from_millis(250);
 /// How long before its list expires a limiter may make a second call beside one in flight.
 const SECOND_CALL_MARGIN: Duration = Duration::from_millis(2_500);
-/// Calls count as out at once only if they are for longer than a busy machine takes to notice that one ended.
+/// Calls that overlap for less than this do not count as concurrent: a busy machine notices the end of a
+/// call late.
 const MIN_OVERLAP: Duration = Duration::from_millis(100);
+/// How many calls to one address a limiter may have in flight.
 const MAX_CALLS_IN_FLIGHT: usize = 2;
-/// The retry budget: so many calls in any window, and in the long run one a second.
+/// The call budget of a limiter: this many calls in any [`CALL_BUDGET_WINDOW`], and one per second in
+/// the long run.
 const CALL_BUDGET: usize = 8;
 const CALL_BUDGET_WINDOW: Duration = Duration::from_secs(5);
-/// Nine in ten that start together are ready within this time.
+/// Within this time, 90 % of the limiters that start together must be ready.
 const READY_DEADLINE: Duration = Duration::from_secs(10);
-/// Longer than a list stays in date.
+/// Longer than the validity of a list.
 const OUTAGE: Duration = Duration::from_secs(9);
-/// A refusal is given at once: within this time on a busy machine.
+/// The longest delay of a response that needs no waiting, on a busy machine.
 const MAX_PROMPT_DELAY: Duration = Duration::from_secs(1);
-/// Jitter spreads pauses at least so far, in seconds.
+/// The least difference that jitter must make between the pauses of several limiters.
 const MIN_JITTER_SPREAD_S: f64 = 0.02;
+/// The most requests that a [`SteadyClient`] sends.
 const MAX_REQUESTS: usize = 4_000;
 
 fn on_request_settings() -> Value {
@@ -42,16 +47,17 @@
     settings
 }
 
-/// An answer that a client got.
+/// A response that a client received.
 #[derive(Clone, Debug)]
 struct ClientResponse {
+    /// When it was complete.
     at: Instant,
     took: Duration,
     status: u16,
     text: String,
 }
 
-/// A client that keeps asking one limiter.
+/// A client that sends requests to one limiter until it is stopped.
 struct SteadyClient {
     answers: Arc<Mutex<Vec<ClientResponse>>>,
     stop: Arc<AtomicBool>,
@@ -82,10 +88,12 @@
         self.answers.lock().expect("lock").clone()
     }
 
+    /// The first response with status 200 to a request sent since then.
     fn served_since(&self, since: Instant) -> Option<ClientResponse> {
         self.answers().into_iter().find(|answer| answer.status == 200 && answer.at >= since + answer.took)
     }
 
+    /// The responses with status 429 since then.
     fn refused_since(&self, since: Instant) -> Vec<ClientResponse> {
         self.answers().into_iter().filter(|answer| answer.status == 429 && answer.at >= since).collect()
     }
@@ -107,19 +115,19 @@
     }
 }
 
-/// A limiter, where it calls discovery, and who asks it.
+/// A limiter, the discovery address that it was started with, and its client.
 struct Member {
     number: usize,
     discovery_address: SocketAddr,
-    /// Before the limiter, so that it stops asking before the limiter ends.
+    /// Declared before `limiter`, so that it is dropped first and sends nothing to a limiter that has ended.
     client: SteadyClient,
     limiter: Limiter,
     began: Instant,
-    /// When it was moved to another address, and to which.
+    /// When its configuration last changed to another discovery address, and that address.
     moved: Option<(Instant, SocketAddr)>,
 }
 
-/// Limiters, two servers and the discovery service between them.
+/// Limiters, two servers, and the discovery service that lists the servers.
 struct Rig {
     discovery: OnRequestDiscovery,
     servers: [TimedServer; 2],
@@ -128,12 +136,12 @@
     seeds: Seeds,
 }
 
-/// The seeds that limiters are given.
+/// How the seeds of the limiters are chosen.
 #[derive(Clone, Copy)]
 enum Seeds {
-    /// The same, so that jitter drawn from them does not part the limiters: the harder case for the queue.
+    /// All limiters get one seed, so that jitter does not spread their calls: the harder case for the queue.
     Same,
-    /// One to each.
+    /// Each limiter gets another seed.
     Distinct,
 }
 
@@ -153,7 +161,7 @@
         Rig { discovery, servers, members: Vec::new(), pause, seeds: Seeds::Same }
     }
 
-    /// With one limiter that serves.
+    /// A rig with one limiter that serves.
     fn serving() -> Rig {
         let mut rig = Rig::new(Cost::from_call_ms(250), Duration::from_millis(20));
         rig.start_members(1);
@@ -161,7 +169,7 @@
         rig
     }
 
-    /// Starts so many limiters together; does not wait until they are ready.
+    /// Starts `count` limiters together; does not wait until they are ready.
     fn start_members(&mut self, count: usize) {
         let numbers = self.members.len()..self.members.len() + count;
         let discovery_addresses: Vec<_> =
@@ -184,7 +192,7 @@
         }
     }
 
-    /// Drains the server that is sent most: a limiter with little to do may never send to the other.
+    /// Drains the server with the most requests: at low load a limiter may never use the other one.
     fn drain_busiest(&self) -> usize {
         let most = (0..self.servers.len()).max_by_key(|server| self.servers[*server].arrivals().len());
         let most = most.expect("a server");
@@ -193,7 +201,7 @@
         most
     }
 
-    /// From now on every call to these addresses goes so.
+    /// Sets the behavior of all later calls to these addresses.
     fn set_behavior_of_all(&self, discovery_addresses: &[SocketAddr], behavior: Behavior) {
         for discovery_address in discovery_addresses {
             self.discovery.set_behavior(*discovery_address, behavior);
@@ -204,7 +212,8 @@
         self.members[0].discovery_address
     }
 
-    /// Ends the askers, and compares all that was seen with the rules.
+    /// Stops the clients and checks what was recorded against the rules for calls, drains, freshness and
+    /// refusals.
     fn check(&mut self, case: &str) {
         self.members.iter_mut().for_each(|member| member.client.stop());
         for member in &self.members {
@@ -215,7 +224,8 @@
         }
     }
 
-    /// Requests that this limiter may have sent. What tells of no sender may be from any.
+    /// Requests to a server that this limiter may have sent. Untagged requests are attributed to
+    /// it only where it is the only limiter.
     fn arrivals(&self, server: usize, member: &Member) -> Vec<Arrival> {
         let alone = self.members.len() == 1;
         let theirs = |a: &Arrival| {
@@ -224,7 +234,7 @@
         self.servers[server].arrivals().into_iter().filter(theirs).collect()
     }
 
-    /// Nothing comes to a server long after its drain counts as notified.
+    /// No request reaches a server after the notification of its drain, apart from [`GRACE`].
     fn check_drains(&self, member: &Member, case: &str) {
         for drain in self.discovery.drains() {
             let mut notified = drain.since + NOTIFICATION_DEADLINE;
@@ -245,7 +255,7 @@
         }
     }
 
-    /// Nothing is sent by a list that is out of date.
+    /// No request is sent after the list has expired.
     fn check_freshness(&self, member: &Member, case: &str) {
         let heartbeats = self.discovery.heartbeats(member.number);
         for arrival in (0..self.servers.len()).flat_map(|server| self.arrivals(server, member)) {
@@ -256,7 +266,8 @@
         }
     }
 
-    /// The calls of a limiter keep to one at a time and to the budget.
+    /// A limiter makes one call at a time, a second one only shortly before its list expires, and keeps
+    /// to its budget.
     fn check_calls(&self, member: &Member, case: &str) {
         let (calls, heartbeats) =
             (self.discovery.calls(member.number), self.discovery.heartbeats(member.number));
@@ -290,6 +301,7 @@
         assert!(calls.len() <= long_run, "{case}: limiter {number} made {} calls of {long_run}", calls.len());
     }
 
+    /// The outcomes of a limiter's calls, each with the time since the first call.
     fn outcomes(&self, number: usize) -> Vec<(Duration, Outcome)> {
         let calls = self.discovery.calls(number);
         calls.iter().map(|call| (call.at - calls[0].at, call.outcome)).collect()
@@ -316,7 +328,7 @@
     }
 }
 
-/// Until when the list that a limiter holds at this time may be gone by; none where it has none.
+/// When the list that a limiter holds at this time expires; `None` if it holds no valid list.
 fn valid_until(member: &Member, heartbeats: &[Heartbeat], at: Instant) -> Option<Instant> {
     let moved = member.moved.filter(|(moved, _)| *moved <= at);
     let until = |heartbeat: &Heartbeat| match moved {
@@ -329,7 +341,7 @@
     heartbeats.iter().filter(|heartbeat| heartbeat.at <= at).filter_map(until).max()
 }
 
-/// Refusals come at once and say why.
+/// Refusals come without delay, and no response has a status other than 200 and 429.
 fn check_refusals(member: &Member, case: &str) {
     let answers = member.client.answers();
     for answer in answers.iter().filter(|answer| answer.status == 429) {
@@ -339,7 +351,7 @@
     assert!(odd.is_none(), "{case}: {odd:?}");
 }
 
-/// A fault of discovery that lasts so long that the list goes out of date, while a server begins to drain.
+/// Injects a fault of discovery that outlasts the validity of the list, while a server begins to drain.
 fn outage(case: &str, fault: impl Fn(&Rig)) {
     let mut rig = Rig::serving();
     fault(&rig);
@@ -356,7 +368,7 @@
     });
     let served = member.client.served_since(returned).expect("it serves");
     let after = served.at.saturating_duration_since(heartbeat.at);
-    assert!(after < MAX_PROMPT_DELAY, "{case}: it went on {after:?} after the heartbeat");
+    assert!(after < MAX_PROMPT_DELAY, "{case}: it served again only {after:?} after the heartbeat");
     let refused = member.client.refused_since(began);
     assert!(!refused.is_empty(), "{case}: nothing was refused while the list was out of date");
     for answer in &refused {
@@ -367,7 +379,7 @@
     rig.check(case);
 }
 
-/// A fault of all calls, as long as an outage.
+/// Runs an outage in which all calls behave like this.
 fn fault_during_outage(behavior: Behavior) {
     outage(&format!("{behavior:?}"), |rig| {
         rig.discovery.set_behavior(rig.discovery_address(), behavior);
@@ -376,7 +388,7 @@
 }
 
 #[test]
-fn an_unconfirmed_list_is_not_used_whatever_becomes_of_the_calls() {
+fn an_expired_list_is_not_used_however_the_calls_fail() {
     let faults = [
         Behavior::Hang,
         Behavior::Close,
@@ -389,7 +401,7 @@
 }
 
 #[test]
-fn silence_of_the_open_watch_and_refusals_of_new_ones_are_an_outage_too() {
+fn a_silent_watch_and_refused_calls_let_the_list_expire() {
     outage("silence and refusals", |rig| {
         rig.discovery.set_behavior(rig.discovery_address(), Behavior::Refuse(None));
         rig.discovery.silence_watches();
@@ -401,7 +413,7 @@
     at_once([("2", 2.0), ("1.5", 1.5), ("0.4", 0.4)], |(text, seconds)| {
         let behavior = Behavior::Refuse(Some(text));
         fault_during_outage(behavior);
-        // Once more with a look at the pauses: no call comes before its time.
+        // A second run checks the pauses: no call comes before the time in `Retry-After`.
         let mut rig = Rig::serving();
         rig.discovery.set_behavior(rig.discovery_address(), behavior);
         rig.discovery.end_watches();
@@ -449,7 +461,7 @@
 }
 
 #[test]
-fn one_call_that_fails_interrupts_nothing() {
+fn one_failed_call_interrupts_no_service() {
     let faults = [
         Behavior::Hang,
         Behavior::Close,
@@ -477,9 +489,10 @@
     });
 }
 
-/// With nothing changed since the list held, the answer to a call is its head alone, and an empty line 2 s later.
+/// Without changes since the limiter's revision, discovery answers a call with the response head alone
+/// and sends the first heartbeat 2 s later.
 #[test]
-fn a_watch_that_ends_with_nothing_new_interrupts_nothing() {
+fn a_watch_that_ends_without_changes_interrupts_no_service() {
     at_once([Behavior::Serve, Behavior::Close, Behavior::Refuse(None)], |behavior| {
         let case = format!("{behavior:?} and nothing new");
         let mut rig = Rig::serving();
@@ -494,7 +507,7 @@
 }
 
 #[test]
-fn a_whole_list_without_a_draining_server_takes_it_out() {
+fn a_whole_list_that_omits_a_draining_server_removes_it() {
     let mut rig = Rig::serving();
     rig.discovery.set_behavior(rig.discovery_address(), Behavior::OmitDraining);
     rig.discovery.end_watches();
@@ -512,9 +525,9 @@
     rig.check("left out");
 }
 
-/// Both servers drain, so that a limiter with little to do has none that it would rather send to.
+/// Both servers drain: if only one did, a limiter at low load might prefer the other one and hide the fault.
 #[test]
-fn an_older_list_brings_no_draining_server_back() {
+fn an_older_list_returns_no_draining_server_to_use() {
     let mut rig = Rig::serving();
     for server in 0..rig.servers.len() {
         rig.discovery.drain(server);
@@ -527,7 +540,7 @@
     wait_until("the older list was asked for", || rig.discovery.calls(0).len() > calls);
     thread::sleep(Duration::from_secs(4));
     rig.check("older list");
-    // A newer one is taken again.
+    // A newer list is accepted again.
     rig.discovery.set_behavior(rig.discovery_address(), Behavior::Serve);
     rig.discovery.end_watches();
     rig.discovery.restore(1);
@@ -535,9 +548,9 @@
     wait_until("the newer list holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
 }
 
-/// What was sent before the list went out of date is finished; nothing is sent after.
+/// A request sent before the list expires gets its response; nothing is sent afterwards.
 #[test]
-fn a_request_in_flight_is_answered_after_the_list_expired() {
+fn a_request_in_flight_completes_after_the_list_expired() {
     let work = Duration::from_millis(1_600);
     let mut rig = Rig::serving();
     rig.members[0].client.stop();
@@ -550,12 +563,12 @@
     thread::sleep(shortly_before.saturating_duration_since(Instant::now()));
     let mut client = rig.members[0].limiter.client();
     let answer = client.ask(&tagged_quote(0, MAX_REQUESTS));
-    assert!(Instant::now() > out_of_date + GRACE, "it was answered too early to tell");
+    assert!(Instant::now() > out_of_date + GRACE, "the response came before the list expired");
     assert_eq!(answer.status(), 200, "{}", answer.text());
     let refused = client.ask(&tagged_quote(0, MAX_REQUESTS + 1));
     assert_eq!(refused.status(), 429, "{}", refused.text());
     assert!(refused.text().contains("out of date"), "{}", refused.text());
-    rig.check("a request that is out");
+    rig.check("a request in flight");
 }
 
 #[test]
@@ -564,7 +577,7 @@
         let case = format!("a move to {behavior:?}");
         let mut rig = Rig::serving();
         let (other, counter) = (rig.discovery.add_listener(0), counter());
-        // It names a time longer than the whole case: it must not hold for the other address.
+        // A `Retry-After` longer than the whole case, which must not apply to the other address.
         rig.discovery.set_behavior(rig.discovery_address(), Behavior::Refuse(Some("30")));
         rig.discovery.set_behavior(other, behavior);
         rig.discovery.end_watches();
@@ -591,7 +604,7 @@
     });
 }
 
-/// Each answer is good, and each watch ends soon after it: success must not lift the budget.
+/// Each call succeeds and its watch ends soon after: successful calls must count against the budget too.
 #[test]
 fn watches_that_keep_ending_are_replaced_within_the_budget() {
     let mut rig = Rig::serving();
@@ -608,9 +621,9 @@
     rig.check("watches that keep ending");
 }
 
-/// The budget is one limiter's, whatever address it calls.
+/// The call budget belongs to the limiter, not to the address that it calls.
 #[test]
-fn moves_in_a_row_do_not_lift_the_budget() {
+fn repeated_moves_do_not_reset_the_budget() {
     let mut rig = Rig::serving();
     let counter = counter();
     let discovery_addresses = [rig.discovery_address(), rig.discovery.add_listener(0)];
@@ -624,36 +637,37 @@
     thread::sleep(NOTIFICATION_DEADLINE);
     rig.set_behavior_of_all(&discovery_addresses, Behavior::Serve);
     rig.wait_until_all_serve(Instant::now());
-    rig.check("moves in a row");
+    rig.check("repeated moves");
 }
 
 #[test]
 fn a_new_process_sends_nothing_while_discovery_refuses() {
     let mut rig = Rig::new(Cost::from_call_ms(20), Duration::from_millis(20));
     rig.discovery.drain(0);
-    // It drains for longer than it takes to count as notified.
+    // The drain is older than the notification deadline before the limiter starts.
     thread::sleep(NOTIFICATION_DEADLINE);
     let discovery_address = rig.discovery.add_listener(0);
     rig.discovery.set_behavior(discovery_address, Behavior::Refuse(None));
     let known = [instance("s-0", rig.servers[0].fake.address, "in_service")];
     rig.members.push(Member::start(0, rig.seeds.for_limiter(0), discovery_address, rig.pause, &known));
-    // Longer than a first list is waited for.
+    // Longer than a limiter waits for its first list.
     thread::sleep(Duration::from_secs(11));
     let early: usize = rig.servers.iter().map(|server| server.arrivals().len()).sum();
-    assert_eq!(early, 0, "sent by the list at hand: {:?}", rig.servers[0].arrivals().first());
+    assert_eq!(early, 0, "sent by the configured list: {:?}", rig.servers[0].arrivals().first());
     let returned = Instant::now();
     rig.discovery.set_behavior(discovery_address, Behavior::Serve);
     rig.wait_until_all_serve(returned);
-    assert!(rig.members[0].limiter.up(), "it serves and is not up");
+    assert!(rig.members[0].limiter.up(), "it serves, but `/up` does not say so");
     rig.check("a new process");
-    assert!(senders(&rig.servers[0].arrivals()).is_empty(), "a server that drains got something");
+    assert!(senders(&rig.servers[0].arrivals()).is_empty(), "a draining server received requests");
 }
 
 // ----- several limiters and one queue -----
 
-/// The stand-in itself: a call that would wait too long is refused, calls wait in turn, and who leaves is worked for.
+/// Checks the stand-in: calls are answered in order, a call that would wait too long is refused, and an
+/// abandoned call still occupies the queue.
 #[test]
-fn a_queue_of_calls_is_served_in_turn_up_to_its_bound() {
+fn the_stand_in_queues_calls_in_order_up_to_its_bound() {
     let server = TimedServer::new("first");
     let discovery = OnRequestDiscovery::new(Cost::from_call_ms(1_500), &[server.fake.address]);
     let discovery_address = discovery.add_listener(0);
@@ -662,15 +676,15 @@
         let mut client = Client::to(discovery_address);
         client.send("GET /discovery/hosts?watch=1 HTTP/1.1\r\nHost: a\r\n\r\n");
         let becomes = || discovery.calls(0).get(number).is_some_and(|call| call.outcome == outcome);
-        wait_until("the call becomes what it should", becomes);
+        wait_until("the call has the expected outcome", becomes);
         client
     };
     let began = Instant::now();
     let first = call(Outcome::Pending);
     call(Outcome::Refused).close();
     first.close();
-    wait_until("the first has left", || discovery.calls(0)[0].outcome == Outcome::Abandoned);
-    // The work for it goes on.
+    wait_until("the first call is abandoned", || discovery.calls(0)[0].outcome == Outcome::Abandoned);
+    // The abandoned call still occupies the queue.
     call(Outcome::Refused).close();
     wait_until("the work is done", || began.elapsed() > Duration::from_millis(1_600));
     discovery.set_cost(Cost::from_call_ms(500));
@@ -681,7 +695,7 @@
 }
 
 #[test]
-fn six_limiters_whose_watches_end_at_once_take_their_turns() {
+fn six_limiters_whose_watches_end_together_are_answered_in_time() {
     let mut rig = Rig::new(Cost::from_call_ms(200), Duration::from_millis(30));
     rig.start_members(6);
     rig.wait_until_all_serve(Instant::now());
@@ -707,7 +721,7 @@
 }
 
 #[test]
-fn six_limiters_recover_after_an_outage_at_the_rate_of_discovery() {
+fn six_limiters_recover_after_an_outage_within_the_capacity_of_discovery() {
     at_once([Behavior::Hang, Behavior::Close], |behavior| {
         let case = format!("six after {behavior:?}");
         let mut rig = Rig::new(Cost::from_call_ms(10), Duration::from_millis(30));
@@ -740,7 +754,7 @@
 }
 
 #[test]
-fn thirty_limiters_start_together_and_take_their_turns() {
+fn thirty_limiters_that_start_together_are_answered_in_time() {
     const COUNT: usize = 30;
     let mut rig = Rig::new(Cost::from_call_ms(100), Duration::from_millis(200));
     rig.start_members(COUNT);
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -1,7 +1,7 @@
-//! A discovery service that limiters call over the network: one queue of limited capacity, and faults on demand.
+//! A stand-in of the on-request discovery service: one queue of limited capacity, and injected faults.
 //!
-//! Each limiter has a listening address of its own, so that calls, refusals and heartbeats are counted per
-//! limiter; all addresses share the queue and the list.
+//! Each limiter calls a separate listener, so that calls and heartbeats are recorded per limiter; all
+//! listeners share the queue and the list.
 
 mod connection;
 pub mod timed_server;
@@ -21,7 +21,7 @@
 /// The revision of the first list, in which every server is in service.
 const FIRST_REVISION: u64 = 10;
 
-/// What answering a call takes of the service.
+/// How long the service works on a call.
 #[derive(Clone, Copy)]
 pub struct Cost {
     pub per_call: Duration,
@@ -29,54 +29,56 @@
 }
 
 impl Cost {
+    /// A cost per call in milliseconds, and 1 ms per listed instance.
     pub fn from_call_ms(per_call_ms: u64) -> Cost {
         Cost { per_call: Duration::from_millis(per_call_ms), per_instance: Duration::from_millis(1) }
     }
 }
 
-/// What becomes of a call.
+/// How the service treats a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
-    /// It waits its turn and is answered.
+    /// Answered after its time in the queue.
     Serve,
-    /// It is taken and never answered.
+    /// Accepted and never answered.
     Hang,
-    /// Its connection is closed without a byte.
+    /// Closed without a byte of response.
     Close,
-    /// It is answered 503, with this `Retry-After` if any.
+    /// Answered with 503 and this `Retry-After`, if any.
     Refuse(Option<&'static str>),
-    /// The connection ends within the head of the answer.
+    /// Closed within the response head.
     CutInHead,
-    /// The connection ends within the first message.
+    /// Closed within the first message.
     CutInMessage,
-    /// It is answered so much later.
+    /// Queued only after this delay.
     AnswerAfter(Duration),
-    /// It is answered with the first list, older than any change.
+    /// Answered with the first list, older than any change.
     OlderList,
-    /// It is answered with a whole list that names no draining server.
+    /// Answered with a whole list that omits draining servers.
     OmitDraining,
 }
 
+/// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Not answered yet, or never.
+    /// In the queue or left without an answer.
     Pending,
     Answered,
     Refused,
-    /// The service closed it unanswered or half answered.
+    /// Closed by the service before its response was complete.
     Cut,
-    /// The limiter closed it before its answer.
+    /// Closed by the limiter before its response.
     Abandoned,
 }
 
-/// A call as the service saw it.
+/// A call as the service recorded it.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub limiter: usize,
-    /// The address that it came to.
+    /// The listener that accepted it.
     pub discovery_address: SocketAddr,
     pub at: Instant,
-    /// When it was no longer out: its head was written, or its connection closed.
+    /// When it was no longer in flight: its response head was written, or its connection was closed.
     pub completed_at: Option<Instant>,
     pub outcome: Outcome,
     pub target: String,
@@ -90,20 +92,23 @@
     pub at: Instant,
 }
 
-/// A server that drains since a moment.
+/// A drain of a server.
 #[derive(Clone, Debug)]
 pub struct Drain {
+    /// The server's index.
     pub server: usize,
     pub since: Instant,
 }
 
+/// A server in the list.
 struct Listed {
     address: SocketAddr,
     lifecycle: &'static str,
+    /// The revision of its last change.
     last_changed: u64,
 }
 
-/// A fault that befalls the next so many calls to an address.
+/// The behavior of the next `calls_left` calls to an address.
 struct Fault {
     behavior: Behavior,
     calls_left: usize,
@@ -111,25 +116,26 @@
 
 struct State {
     cost: Cost,
-    /// A call to which nothing is new is answered with a message of no servers; else with its head alone.
+    /// Whether a call without changes to report gets an update without instances at once, or the head alone.
     sends_empty_updates: bool,
     servers: Vec<Listed>,
     revision: u64,
     faults: HashMap<SocketAddr, Fault>,
+    /// When all queued calls will have been answered.
     busy_until: Instant,
     calls: Vec<Call>,
     heartbeats: Vec<Heartbeat>,
     drains: Vec<Drain>,
-    /// When a limiter was first written that a server drains.
+    /// When a limiter was first notified that a server drains, by limiter and server.
     notified: HashMap<(usize, usize), Instant>,
     next_watch: u64,
     /// Watches with smaller numbers end.
     ended_below: u64,
-    /// Watches with smaller numbers say nothing.
+    /// Watches with smaller numbers write nothing more.
     silent_below: u64,
 }
 
-/// A message that can be written, and the draining servers that it announces.
+/// An update as it is written, and the draining servers that it announces.
 struct EncodedUpdate {
     line: String,
     instance_count: u32,
@@ -138,6 +144,7 @@
 }
 
 impl State {
+    /// The update for a call with this `after`; `None` if there is nothing to report.
     fn message(&self, after: Option<u64>, behavior: Behavior) -> Option<EncodedUpdate> {
         let older = behavior == Behavior::OlderList;
         let omits_draining = behavior == Behavior::OmitDraining;
@@ -165,7 +172,7 @@
         Some(EncodedUpdate { line, instance_count: named.len() as u32, revision, drained })
     }
 
-    /// What befalls a call to this address; counts it.
+    /// The behavior of the next call to this address; counts the call.
     fn next_behavior(&mut self, discovery_address: SocketAddr) -> Behavior {
         match self.faults.get_mut(&discovery_address) {
             Some(fault) if fault.calls_left > 0 => {
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Takes a place in the queue: when the answer is ready, or none where that would take too long.
+    /// Enqueues a call and returns when its answer is ready; `None` if that would exceed [`MAX_QUEUE_DELAY`].
     fn enqueue(&mut self, instances: u32) -> Option<Instant> {
         let now = Instant::now();
         let ready = self.busy_until.max(now) + self.cost.per_call + self.cost.per_instance * instances;
@@ -194,12 +201,12 @@
     }
 }
 
-/// The service.
+/// The stand-in of the discovery service.
 #[derive(Clone)]
 pub struct OnRequestDiscovery(Arc<Mutex<State>>);
 
 impl OnRequestDiscovery {
-    /// One that lists these servers as `s-0`, `s-1` and so on, all in service.
+    /// A service that lists these servers as `s-0`, `s-1` and so on, all in service.
     pub fn new(cost: Cost, servers: &[SocketAddr]) -> OnRequestDiscovery {
         let listed = |address: &SocketAddr| Listed {
             address: *address,
@@ -227,7 +234,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A new address at which this limiter may call.
+    /// Starts a listener for the calls of this limiter and returns its address.
     pub fn add_listener(&self, limiter: usize) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let discovery_address = listener.local_addr().expect("address");
@@ -244,12 +251,12 @@
         discovery_address
     }
 
-    /// From now on every call to this address goes so.
+    /// Sets the behavior of all later calls to this address.
     pub fn set_behavior(&self, discovery_address: SocketAddr, behavior: Behavior) {
         self.fail_next(discovery_address, behavior, usize::MAX);
     }
 
-    /// The next so many calls to this address go so, later ones are served.
+    /// Sets the behavior of the next `calls` calls to this address; later ones are served.
     pub fn fail_next(&self, discovery_address: SocketAddr, behavior: Behavior, calls: usize) {
         self.state().faults.insert(discovery_address, Fault { behavior, calls_left: calls });
     }
@@ -258,12 +265,12 @@
         self.state().cost = cost;
     }
 
-    /// From now on a call to which nothing is new gets a message at once.
+    /// From now on a call without changes to report gets an update without instances at once.
     pub fn send_empty_updates(&self) {
         self.state().sends_empty_updates = true;
     }
 
-    /// A server begins to drain.
+    /// Sets a server draining.
     pub fn drain(&self, server: usize) {
         let mut state = self.state();
         state.revision += 1;
@@ -273,7 +280,7 @@
         state.drains.push(Drain { server, since: Instant::now() });
     }
 
-    /// A server that drained is in service again.
+    /// Returns a draining server to service.
     pub fn restore(&self, server: usize) {
         let mut state = self.state();
         state.revision += 1;
@@ -283,13 +290,13 @@
         state.drains.retain(|drain| drain.server != server);
     }
 
-    /// All open watches end in one instant.
+    /// Ends all open watches together.
     pub fn end_watches(&self) {
         let mut state = self.state();
         state.ended_below = state.next_watch;
     }
 
-    /// All open watches stay open and say nothing more.
+    /// Keeps all open watches open, but writes nothing more to them.
     pub fn silence_watches(&self) {
         let mut state = self.state();
         state.silent_below = state.next_watch;
@@ -307,7 +314,7 @@
         self.state().drains.clone()
     }
 
-    /// When this limiter was first written that the server drains.
+    /// When this limiter was first notified that the server drains.
     pub fn notified_at(&self, limiter: usize, server: usize) -> Option<Instant> {
         self.state().notified.get(&(limiter, server)).copied()
     }
@@ -337,7 +344,7 @@
     }
 }
 
-/// Starts a limiter with a list that it had before and a seed of its own, and does not wait until it is ready.
+/// Starts a limiter with a configured list and this seed; does not wait until it is ready.
 pub fn start_limiter(seed: u64, known: &str, settings: &Value, discovery_address: SocketAddr) -> Limiter {
     let known: Value = serde_json::from_str(known).expect("a list");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
--- a/crates/daemon/tests/common/asked/connection.rs
+++ b/crates/daemon/tests/common/asked/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of a limiter to the discovery service: its call, and the watch that it becomes.
+//! A limiter's connection to the discovery stand-in: the call, and the watch that follows it.
 
 use super::{Behavior, EncodedUpdate, Heartbeat, OnRequestDiscovery, Outcome};
 use crate::common::{chunk, raw, WATCH_HEAD};
@@ -7,17 +7,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An empty line is written after so long without a message.
+/// An empty line is written after this time without a message.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(2);
-/// How often a waiting connection looks at the state.
+/// How often a waiting connection checks the shared state.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A connection on which a call has come.
+/// A connection on which a call has arrived.
 pub(super) struct Connection<'a> {
     pub service: &'a OnRequestDiscovery,
     pub stream: &'a TcpStream,
     pub limiter: usize,
     pub discovery_address: SocketAddr,
+    /// The call's index in the shared state.
     pub call: usize,
 }
 
@@ -28,11 +29,11 @@
                 self.wait_until(None);
             }
             Behavior::Close => self.finish(Outcome::Cut),
-            Behavior::Refuse(advice) => self.refuse(advice),
+            Behavior::Refuse(retry_after) => self.refuse(retry_after),
             Behavior::CutInHead => {
-                let (begun, _) = WATCH_HEAD.split_at(WATCH_HEAD.len() / 2);
+                let (first_half, _) = WATCH_HEAD.split_at(WATCH_HEAD.len() / 2);
                 self.finish(Outcome::Cut);
-                self.write(begun);
+                self.write(first_half);
             }
             Behavior::CutInMessage => {
                 let whole = {
@@ -52,13 +53,13 @@
         }
     }
 
-    fn refuse(&self, advice: Option<&str>) {
-        let header = advice.map(|after| format!("Retry-After: {after}\r\n")).unwrap_or_default();
+    fn refuse(&self, retry_after: Option<&str>) {
+        let header = retry_after.map(|seconds| format!("Retry-After: {seconds}\r\n")).unwrap_or_default();
         self.finish(Outcome::Refused);
         self.write(&raw("503 Service Unavailable", &header, "overbooked"));
     }
 
-    /// Answers in turn, and follows the list from there on.
+    /// Answers after the time in the queue, then sends changes and heartbeats.
     fn serve(&self, after: Option<u64>, behavior: Behavior) {
         let queued = {
             let mut state = self.service.state();
@@ -66,7 +67,7 @@
             state.enqueue(instances)
         };
         let Some(ready) = queued else { return self.refuse(None) };
-        // The work is done whether or not the caller waits for it.
+        // A caller that disconnects still occupies the queue.
         if !self.wait_until(Some(ready)) {
             return;
         }
@@ -84,7 +85,7 @@
             sent = sent.max(text.revision);
             self.send(&text);
         }
-        let mut spoke = Instant::now();
+        let mut last_written = Instant::now();
         while !self.is_disconnected() {
             let (ends, silent, next) = {
                 let state = self.service.state();
@@ -99,11 +100,11 @@
                 if let Some(text) = next {
                     sent = text.revision;
                     self.send(&text);
-                    spoke = Instant::now();
-                } else if spoke.elapsed() >= HEARTBEAT_PERIOD {
+                    last_written = Instant::now();
+                } else if last_written.elapsed() >= HEARTBEAT_PERIOD {
                     self.record_heartbeat(&[]);
                     self.write("1\r\n\n\r\n");
-                    spoke = Instant::now();
+                    last_written = Instant::now();
                 }
             }
             thread::sleep(POLL_INTERVAL);
@@ -115,7 +116,7 @@
         self.write(&chunk(&text.line));
     }
 
-    /// Records a heartbeat, and the drains that it announces, just before it is written.
+    /// Records a heartbeat and the drains that it announces, just before it is written.
     fn record_heartbeat(&self, drained: &[usize]) {
         if self.is_disconnected() {
             return;
@@ -137,7 +138,7 @@
     }
 
     fn write(&self, text: &str) {
-        // The texts are short: they always fit.
+        // The texts are short: they fit into the socket's send buffer, so the nonblocking write is complete.
         let _ = (&mut &*self.stream).write_all(text.as_bytes());
     }
 
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Waits until then, or for ever; false if the limiter left before.
+    /// Waits until `end`, or without limit; returns `false` if the limiter disconnects first.
     fn wait_until(&self, end: Option<Instant>) -> bool {
         while end.is_none_or(|end| Instant::now() < end) {
             if self.is_disconnected() {
--- a/crates/daemon/tests/common/relays/limiter.rs
+++ b/crates/daemon/tests/common/relays/limiter.rs
@@ -1,4 +1,4 @@
-//! Limiters that follow services by relays, and requests to them.
+//! Limiters that follow services through relays, and load on them.
 
 use super::{lock, LOAD_PAUSE};
 use crate::common::asked::timed_server::TimedServer;
@@ -13,7 +13,8 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// A limiter that follows services by relays. Discovery must not be asked.
+/// A limiter that follows services through relays, with a discovery stand-in that records whether it is
+/// called.
 pub struct FollowingLimiter {
     pub limiter: Limiter,
     pub discovery: Fake,
@@ -29,14 +30,14 @@
         following
     }
 
-    /// Starts one with a configured list, if any, and does not wait.
+    /// Starts one with a configured list, if any; does not wait until it is ready.
     pub fn spawn(relays: &[SocketAddr], services: &[&str], known: Option<Value>) -> FollowingLimiter {
         let addresses: Vec<String> = relays.iter().map(ToString::to_string).collect();
         let text = format!("[relays]\naddresses = {addresses:?}\nservices = {services:?}\n");
         FollowingLimiter::with_operator(&text, known)
     }
 
-    /// The same behind the relays of several regions, each with its name.
+    /// Starts one that follows the relays of several named regions; does not wait until it is ready.
     pub fn of_regions(regions: &[(&str, SocketAddr)], known: Option<Value>) -> FollowingLimiter {
         let region = |(name, address): &(&str, SocketAddr)| {
             format!("[[relays.region]]\nname = {name:?}\naddresses = ['{address}']\n")
@@ -65,7 +66,7 @@
         self.limiter.client().ask(&quote("roomy", 9_000))
     }
 
-    /// Asks until this server answers.
+    /// Sends requests until this server answers one.
     pub fn wait_for_server(&self, name: &str) {
         wait_until("the server answers", || self.ask().text() == name);
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// Requests that come to a limiter all the time.
+/// Sends requests to a limiter one after the other until it is dropped.
 pub struct Load {
     stop: Arc<AtomicBool>,
     statuses: Arc<Mutex<Vec<u16>>>,
@@ -103,7 +104,7 @@
         Load { stop, statuses, thread: Some(thread) }
     }
 
-    /// How the requests were answered so far.
+    /// The statuses of the responses so far.
     pub fn statuses(&self) -> Vec<u16> {
         lock(&self.statuses).clone()
     }
@@ -118,7 +119,7 @@
     }
 }
 
-/// Requests that came to a server after a moment.
+/// How many requests reached a server after this moment.
 pub fn arrivals_after(server: &TimedServer, moment: Instant) -> usize {
     server.arrivals().iter().filter(|arrival| arrival.at > moment).count()
 }
--- a/crates/daemon/tests/common/relays/proxy.rs
+++ b/crates/daemon/tests/common/relays/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy between a relay and its upstream, which can withhold messages.
+//! A proxy between a subscriber and a relay that can withhold messages.
 
 use super::lock;
 use super::service_discovery::request_target;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What a proxy lets pass.
+/// Whether a proxy forwards a message; `None` is an empty line.
 type MessageFilter = dyn Fn(Option<&Update>) -> bool + Send + Sync;
 
 #[derive(Default)]
@@ -19,7 +19,7 @@
     last_revision: Option<u64>,
 }
 
-/// A proxy of watches, which notes the calls and may withhold messages.
+/// A proxy of watches that records the calls and may withhold messages.
 pub struct WatchProxy {
     pub address: SocketAddr,
     log: Arc<Mutex<ProxyLog>>,
@@ -30,7 +30,8 @@
         WatchProxy::with_filter(upstream, |_| true)
     }
 
-    /// One that only lets some messages pass; an empty line is none.
+    /// A proxy that forwards only the messages that `passes` accepts; an empty line is passed to it as
+    /// `None`.
     pub fn with_filter(
         upstream: SocketAddr,
         passes: impl Fn(Option<&Update>) -> bool + Send + Sync + 'static,
@@ -51,12 +52,12 @@
         WatchProxy { address, log }
     }
 
-    /// The calls that came.
+    /// The request targets of the calls so far.
     pub fn targets(&self) -> Vec<String> {
         lock(&self.log).targets.clone()
     }
 
-    /// The revision of the last message that it passed on.
+    /// The revision of the last update that it forwarded.
     pub fn last_revision(&self) -> Option<u64> {
         lock(&self.log).last_revision
     }
--- a/crates/daemon/tests/common/relays/relay.rs
+++ b/crates/daemon/tests/common/relays/relay.rs
@@ -17,12 +17,12 @@
 }
 
 impl Relay {
-    /// The root, which follows discovery.
+    /// Starts a root relay, which follows discovery.
     pub fn root(discovery: &ServiceDiscovery) -> Relay {
         Relay::start(&["--discovery".into(), discovery.address.to_string()])
     }
 
-    /// One that follows these relays.
+    /// Starts a relay that follows these relays.
     pub fn zone(upstream: &[SocketAddr], seed: u64) -> Relay {
         let mut arguments = vec!["--seed".to_string(), seed.to_string()];
         for address in upstream {
@@ -36,8 +36,10 @@
         command.args(["relay", "--listen", "127.0.0.1:0"]).args(arguments);
         let mut child = command.stderr(Stdio::piped()).spawn().expect("start a relay");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
-        let first = lines.next().expect("it ended before it listened").expect("utf-8");
-        let address = first.strip_prefix("relay: listening on ").unwrap_or_else(|| panic!("it said {first}"));
+        let first = lines.next().expect("the relay ended before it listened").expect("utf-8");
+        let address = first
+            .strip_prefix("relay: listening on ")
+            .unwrap_or_else(|| panic!("unexpected first line: {first}"));
         let address = address.parse().expect("an address");
         let log: Arc<Mutex<String>> = Arc::default();
         let written = log.clone();
@@ -51,7 +53,7 @@
         relay
     }
 
-    /// The status of its `/up`.
+    /// The response status of its `/up`.
     pub fn up(&self) -> u16 {
         Client::to(self.address).ask("GET /up HTTP/1.1\r\nHost: relay\r\n\r\n").status()
     }
--- a/crates/daemon/tests/common/relays/service_discovery.rs
+++ b/crates/daemon/tests/common/relays/service_discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of discovery that serves the complete list to the root of a tree of relays.
+//! A stand-in of discovery that serves the whole list to the root of a tree of relays.
 
 use super::{lock, FIRST_REVISION, HEARTBEAT, POLL_INTERVAL};
 use crate::common::{chunk, Message, WATCH_HEAD};
@@ -10,8 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A server in the list.
 struct Listed {
     instance: Instance,
+    /// The revision of its last change.
     last_changed: u64,
 }
 
@@ -34,7 +36,8 @@
     }
 }
 
-/// A stand-in of discovery: the whole list, then changes and heartbeats. It knows nothing of services.
+/// A stand-in of discovery: it sends the whole list, then changes and heartbeats, and does not filter by
+/// service.
 #[derive(Clone)]
 pub struct ServiceDiscovery {
     pub address: SocketAddr,
@@ -46,7 +49,7 @@
         Self::with_heartbeat(HEARTBEAT, servers)
     }
 
-    /// One whose heartbeats come faster than in service.
+    /// A stand-in with another heartbeat period than [`HEARTBEAT`].
     pub fn with_heartbeat(heartbeat_period: Duration, servers: &[Instance]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let listed = |server: &Instance| {
@@ -81,7 +84,7 @@
         self.put_all([instance])
     }
 
-    /// Changes servers in one revision.
+    /// Changes several servers in one revision; returns the new revision.
     pub fn put_all(&self, instances: impl IntoIterator<Item = Instance>) -> u64 {
         let mut state = lock(&self.state);
         state.revision += 1;
@@ -96,7 +99,7 @@
         lock(&self.state).revision
     }
 
-    /// From now on no heartbeats come; changes do.
+    /// From now on sends changes but no heartbeats.
     pub fn stop_heartbeats(&self) {
         lock(&self.state).heartbeats_enabled = false;
     }
@@ -115,7 +118,7 @@
         lock(&self.state).last_heartbeat
     }
 
-    /// The calls that came.
+    /// The request targets of the calls so far.
     pub fn targets(&self) -> Vec<String> {
         lock(&self.state).targets.clone()
     }
@@ -154,7 +157,8 @@
         Some((state.revision, serde_json::to_string(&state.message(after)).expect("JSON")))
     }
 
-    /// One relay follows it, so there is one clock of heartbeats.
+    /// Whether a heartbeat is due, which restarts the period. The period is shared by all watches, since
+    /// only one relay follows this stand-in.
     fn heartbeat_is_due(&self) -> bool {
         let mut state = lock(&self.state);
         let due = state.reachable
@@ -171,12 +175,12 @@
     stream.write_all(text.as_bytes())
 }
 
-/// The target of a request.
+/// The target in a request line.
 pub(super) fn request_target(first_line: &str) -> String {
     first_line.split(' ').nth(1).unwrap_or("").to_string()
 }
 
-/// The revision after which a call asks for changes.
+/// The revision in the `after` parameter of a request target.
 pub fn after_param(target: &str) -> Option<u64> {
     let value = target.split("after=").nth(1)?;
     value.split(['&', ' ']).next()?.parse().ok()
--- a/crates/daemon/tests/common/relays/subscriber.rs
+++ b/crates/daemon/tests/common/relays/subscriber.rs
@@ -1,4 +1,4 @@
-//! A subscriber that reads a relay's watch itself, and checks its digests.
+//! A subscriber that parses a relay's watch in the test and checks its digests.
 
 use super::lock;
 use super::watch::{open_watch, watch_target, OpenWatch};
@@ -23,7 +23,7 @@
         self.update.as_ref()?.digest
     }
 
-    /// Names of the servers that it tells of.
+    /// The ids of the instances in the update.
     pub fn ids(&self) -> Vec<&str> {
         let instances = self.update.iter().flat_map(|update| &update.instances);
         instances.map(|instance| instance.instance_id.as_str()).collect()
@@ -35,7 +35,7 @@
     received: Vec<Received>,
     instances: BTreeMap<String, Instance>,
     revision: u64,
-    /// Digests that differed from what was held.
+    /// The revisions whose digest differed from that of the instances held.
     digest_mismatches: Vec<u64>,
     ended: bool,
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// A subscriber that reads a relay's watch itself.
+/// A subscriber that parses a relay's watch in the test.
 pub struct RawSubscriber {
     pub head: Message,
     stream: TcpStream,
@@ -73,7 +73,7 @@
         RawSubscriber::open_with_list(relay, after, services, HeldList::default())
     }
 
-    /// Goes on elsewhere from what this one holds.
+    /// Opens a watch at another relay that continues from this subscriber's list and revision.
     pub fn resume(&self, relay: SocketAddr, services: &[&str]) -> RawSubscriber {
         let held = lock(&self.list).clone();
         let list = HeldList { received: Vec::new(), ended: false, ..held.clone() };
@@ -133,7 +133,7 @@
     }
 
     pub fn wait_for_revision(&self, revision: u64) {
-        wait_until("the subscriber holds the generation", || self.revision() >= revision);
+        wait_until("the subscriber holds the revision", || self.revision() >= revision);
     }
 }
 
--- a/crates/daemon/tests/common/relays/watch.rs
+++ b/crates/daemon/tests/common/relays/watch.rs
@@ -1,4 +1,4 @@
-//! A watch as a client reads it: the response head, then lines.
+//! The client side of a watch: the response head, then lines.
 
 use crate::common::Message;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -32,13 +32,14 @@
     }
 }
 
-/// A watch that has been answered.
+/// A watch whose response head has been received.
 pub(super) struct OpenWatch {
     pub head: Message,
     pub stream: TcpStream,
     pub lines: ChunkedLines,
 }
 
+/// Opens a watch and reads the response head; `None` if the connection fails or ends before.
 pub(super) fn open_watch(address: SocketAddr, target: &str) -> Option<OpenWatch> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.write_all(format!("GET {target} HTTP/1.1\r\nHost: relay\r\n\r\n").as_bytes()).ok()?;
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The real binary and a discovery that is silent, half there, slow to return, or says things in other layouts.
+//! The real binary against a discovery service that falls silent, fails calls, moves, or formats its
+//! JSON differently.
 mod common;
 
 use common::*;
@@ -8,8 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as notified after this time, and after this time from a move.
+/// How long after a change a limiter counts as notified of it.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
+/// How long after its move to another discovery address a limiter counts as notified of earlier changes.
 const NOTIFICATION_DEADLINE_AFTER_MOVE: Duration = Duration::from_secs(4);
 
 fn list(revision: u64, servers: &[(&Fake, &str)]) -> String {
@@ -23,25 +25,27 @@
     (Fake::new(|_| ok("first")), Fake::new(|_| ok("second")))
 }
 
-/// Two lists: at first one of two servers serves, and then the other, which answers `second`.
+/// Two lists of two servers: in the first one server is in service, in the second the other one, which
+/// answers `second`.
 fn swapped_lists() -> (String, String) {
     let (first, second) = two_servers();
     let before = list(10, &[(&first, "in_service"), (&second, "terminating")]);
     (before, list(11, &[(&first, "terminating"), (&second, "in_service")]))
 }
 
-/// A discovery service that answers each watch by its number, counted from 0.
+/// A discovery stand-in that answers each watch by its number, counted from 0.
 fn discovery_by_watch(rule: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Fake {
     let next = AtomicUsize::new(0);
     Fake::new(move |_| rule(next.fetch_add(1, Ordering::SeqCst)))
 }
 
+/// The response to a watch with this list.
 fn list_reply(line: &str) -> Reply {
     Reply::Raw(format!("{WATCH_HEAD}{}", chunk(line)))
 }
 
 #[test]
-fn a_list_is_read_in_any_layout_and_split_anywhere() {
+fn a_list_is_read_with_any_whitespace_and_in_any_chunks() {
     let (first, second) = two_servers();
     let pretty = |text: &str| {
         let value: Value = serde_json::from_str(text).expect("JSON");
@@ -51,17 +55,17 @@
     let discovery = discovery_by_watch(move |_| list_reply(&indented));
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "first");
-    // A change, byte by byte, between empty lines.
+    // A change in chunks of one byte, between empty lines.
     let text = pretty(&list(11, &[(&first, "terminating"), (&second, "in_service")]));
     for byte in format!("\n\n{text}\n\n").chars() {
         discovery.push(&format!("1\r\n{byte}\r\n"));
     }
-    wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
+    wait_until("the change is in force", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
     assert_eq!(discovery.count(), 1, "one watch was enough: {}", limiter.errors());
 }
 
 #[test]
-fn neither_spaces_nor_a_partial_message_keep_a_dead_watch_alive() {
+fn neither_spaces_nor_a_partial_message_count_as_a_heartbeat() {
     let partial = "{\"generation\": 11, \"instances\": [ {\"instanceId\": \"s-0\", ";
     let never_complete = [String::new(), partial.to_string(), partial.replace(' ', "\n\n")];
     let cases: Vec<_> = never_complete
@@ -95,7 +99,7 @@
     }
 }
 
-/// How an opening may come to nothing.
+/// How the opening of a watch may fail.
 #[derive(Clone, Copy, Debug)]
 enum OpenFault {
     Hang,
@@ -115,7 +119,8 @@
     }
 }
 
-/// As many as have to fit with room to spare: once, and several times in a row.
+/// Failures before the opening that succeeds. The larger numbers are as many as must fit into the
+/// notification deadline with time to spare.
 const FAULT_CASES: [(OpenFault, usize); 6] = [
     (OpenFault::Hang, 1),
     (OpenFault::Hang, 6),
@@ -126,7 +131,7 @@
 ];
 
 #[test]
-fn a_silent_watch_is_replaced_in_time_whatever_becomes_of_the_calls() {
+fn a_silent_watch_is_replaced_in_time_however_calls_fail() {
     let cases = FAULT_CASES.map(|(fault, times)| {
         thread::spawn(move || {
             let (before, after) = swapped_lists();
@@ -136,9 +141,11 @@
                 _ => list_reply(&after),
             });
             let limiter = Limiter::start(settings(), &discovery, counter().address);
-            // Not before the last sign of life.
+            // The deadline counts from the last heartbeat, which was before this moment.
             let began = Instant::now();
-            wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
+            wait_until("the change is in force", || {
+                limiter.client().ask(&quote("roomy", 9000)).text() == "second"
+            });
             assert!(
                 began.elapsed() < NOTIFICATION_DEADLINE,
                 "{fault:?} {times} times: {:?}",
@@ -152,7 +159,7 @@
 }
 
 #[test]
-fn a_moved_discovery_is_followed_in_time_whatever_becomes_of_the_calls() {
+fn a_moved_discovery_is_followed_in_time_however_calls_fail() {
     let cases = FAULT_CASES.map(|(fault, times)| {
         thread::spawn(move || {
             let (before, after) = swapped_lists();
@@ -161,7 +168,9 @@
             let limiter = Limiter::start(settings(), &old, count.address);
             let began = Instant::now();
             limiter.move_to(new.address, count.address);
-            wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
+            wait_until("the change is in force", || {
+                limiter.client().ask(&quote("roomy", 9000)).text() == "second"
+            });
             assert!(
                 began.elapsed() < NOTIFICATION_DEADLINE_AFTER_MOVE,
                 "{fault:?} {times} times: {:?}",
@@ -181,26 +190,27 @@
     let limiter = Limiter::start(settings(), &old, count.address);
     let (socket, address) = nobody();
     limiter.move_to(address, count.address);
-    wait_until("openings are refused", || limiter.errors().contains("no connection"));
+    wait_until("connections are refused", || limiter.errors().contains("no connection"));
     socket.listen(16).expect("listen");
     let (new, began) = (Fake::at(socket.into(), move |_| list_reply(&after)), Instant::now());
-    wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
-    // Not after pauses that grew: one of a fifth of a second at most, on a busy machine.
+    wait_until("the change is in force", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
+    // Pauses after refused connections do not grow: each is 0.2 s at most; the rest allows for a busy
+    // machine.
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     assert!(new.count() >= 1);
 }
 
-/// What comes at the return counts at once, so one who asks has to be there in that moment.
+/// A change counts as notified from the moment that discovery is back, so a call has to be in flight then.
 #[test]
 fn while_discovery_is_down_a_call_is_always_in_flight() {
     let server = Fake::new(|_| ok("served"));
     let line = list(10, &[(&server, "in_service")]);
     let discovery = discovery_by_watch(move |n| if n == 0 { list_reply(&line) } else { Reply::Silence });
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
-    wait_until("the first opening hangs", || discovery.count() > 1);
+    wait_until("the first new call hangs", || discovery.count() > 1);
     let (mut polls_without_call, end) = (0, Instant::now() + Duration::from_secs(3));
     while Instant::now() < end {
-        // The silent watch and whatever hangs.
+        // The silent watch and the calls that hang.
         let waiting = discovery.accepted() - discovery.ended();
         polls_without_call = if waiting < 2 { polls_without_call + 1 } else { 0 };
         assert!(polls_without_call < 5, "only the silent watch is left");
@@ -211,22 +221,22 @@
 }
 
 #[test]
-fn a_watch_with_a_heartbeat_after_silence_is_kept() {
+fn a_watch_that_resumes_after_silence_is_kept() {
     let (first, second) = two_servers();
     let before = list(10, &[(&first, "in_service"), (&second, "terminating")]);
     let discovery = discovery_by_watch(move |n| if n == 0 { list_reply(&before) } else { Reply::Silence });
     let limiter = Limiter::start(settings(), &discovery, counter().address);
-    wait_until("openings hang", || discovery.count() > 3);
-    // Those that hang take what is pushed for no answer.
+    wait_until("new calls hang", || discovery.count() > 3);
+    // The hanging calls do not take what is pushed for a response: it has no head.
     discovery.push(&chunk(&list(11, &[(&first, "terminating"), (&second, "in_service")])));
-    wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
-    wait_until("the openings end", || discovery.accepted() - discovery.ended() == 1);
+    wait_until("the change is in force", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
+    wait_until("the other calls end", || discovery.accepted() - discovery.ended() == 1);
 }
 
-// ----- a new process -----
+// ----- start of a process -----
 
 #[test]
-fn nothing_goes_out_by_the_list_at_hand_while_the_agent_may_know_more() {
+fn a_new_process_does_not_use_its_configured_list_while_discovery_may_answer() {
     let (first, second) = two_servers();
     let known = list(9, &[(&first, "in_service")]);
     let now = list(10, &[(&first, "terminating"), (&second, "in_service")]);
@@ -237,21 +247,21 @@
             move |_| if gate.load(Ordering::SeqCst) { Reply::Silence } else { list_reply(&now) },
         );
     let limiter = Limiter::with_known(&known, settings(), discovery.address);
-    // Longer than a list takes to come, asked over and over. What comes before it is ready is refused at once.
+    // Longer than a list takes to arrive. Requests before the limiter is ready are refused without delay.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 429);
-        assert!(!limiter.up(), "clients are asked in");
+        assert!(!limiter.up(), "the limiter reports that it is ready");
     }
     silent.store(false, Ordering::SeqCst);
     wait_until("the limiter is up", || limiter.up());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "second");
-    assert_eq!(first.count(), 0, "a server that drains got something");
+    assert_eq!(first.count(), 0, "a draining server received requests");
     assert!(!discovery.seen()[0].first.contains("after"), "a new process asks for the whole list");
 }
 
 #[test]
-fn a_new_process_without_discovery_goes_by_the_list_at_hand_before_ten_seconds() {
+fn a_new_process_without_discovery_uses_its_configured_list_within_ten_seconds() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery_by_watch(|_| Reply::Silence);
     let began = Instant::now();
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -1,4 +1,4 @@
-//! The list of servers through a tree of real relays: who is notified of what, failover, repair, and staleness.
+//! The endpoint list through a tree of real relays: notification by service, failover, repair, and staleness.
 mod common;
 #[path = "relays/regions.rs"]
 mod regions;
@@ -23,29 +23,30 @@
 
 /// A change is in force everywhere within this time.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(8);
-/// A request may come to a server so long after its drain counts as notified.
+/// How long after the notification of its drain a server may still receive requests.
 const GRACE: Duration = Duration::from_millis(250);
-/// A limiter without a list waits so long for one before it goes by its configuration.
+/// How long a limiter waits for its first list before it uses the configured one.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(8_500);
-/// Longer than a list from relays is good for.
+/// Longer than the validity of a list from relays.
 const OUTAGE: Duration = Duration::from_secs(9);
-/// How long a limiter is watched that does not call its list stale.
+/// How long the test waits for a limiter to report that its list is stale.
 const MAX_WAIT_UNTIL_STALE: Duration = Duration::from_secs(40);
-/// Heartbeats of a discovery that the test need not wait long for.
+/// A short heartbeat period of discovery, for tests that wait for several heartbeats.
 const FAST_HEARTBEAT: Duration = Duration::from_millis(100);
-/// Each so many heartbeats one carries a digest.
+/// One in this many heartbeats carries a digest.
 const HEARTBEATS_PER_DIGEST: usize = 5;
-/// Revisions that come one after the other while a relay is lost.
+/// How many revisions are published in a burst during which a relay is killed.
 const BURST_REVISIONS: u64 = 100;
-/// The revision of the burst at which a server begins to drain, and the one at which the relay is killed.
+/// The revision of the burst at which a server begins to drain.
 const DRAIN_AT_REVISION: u64 = 30;
+/// The revision of the burst at which the relay is killed.
 const KILL_AT_REVISION: u64 = 50;
-/// Changes of a service that a subscriber does not follow.
+/// How many changes of a service that a subscriber does not follow are published.
 const FOREIGN_CHANGES: u32 = 100;
 /// The pause between two revisions of a burst.
 const BURST_PAUSE: Duration = Duration::from_millis(10);
 
-/// Discovery, the root, and two zone relays behind proxies that note the calls of limiters.
+/// Discovery, the root relay, and two zone relays behind proxies that record the calls of limiters.
 struct Tree {
     discovery: ServiceDiscovery,
     root: Relay,
@@ -65,7 +66,7 @@
         Tree::new(ServiceDiscovery::new(servers))
     }
 
-    /// Where limiters call.
+    /// The addresses that limiters call.
     fn proxy_addresses(&self) -> [SocketAddr; 2] {
         [self.proxies[0].address, self.proxies[1].address]
     }
@@ -74,10 +75,10 @@
         FollowingLimiter::start(&self.proxy_addresses(), services)
     }
 
-    /// The one zone that limiters have called; the other one has not been.
+    /// The only zone that limiters have called.
     fn zone_in_use(&self) -> usize {
         let called: Vec<usize> = (0..2).filter(|zone| !self.proxies[*zone].targets().is_empty()).collect();
-        assert_eq!(called.len(), 1, "one relay carries the limiter");
+        assert_eq!(called.len(), 1, "the limiter uses one relay");
         called[0]
     }
 }
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_limiter_sends_to_the_servers_of_its_services_alone() {
+fn a_limiter_sends_only_to_servers_of_its_services() {
     let (own, foreign) = (TimedServer::new("own"), TimedServer::new("foreign"));
     let foreign_instance = server("s-foreign", "service-2", foreign.fake.address);
     let tree =
@@ -110,12 +111,12 @@
         .iter()
         .flat_map(|r| r.ids().into_iter().map(str::to_string).collect::<Vec<_>>())
         .collect();
-    assert_eq!(notified, ["s-own"], "it is notified of its own server, once");
+    assert_eq!(notified, ["s-own"], "the subscriber is notified once, of its own server");
     assert_eq!(limiter.discovery.accepted(), 0, "discovery is not asked");
 }
 
-/// A subscriber whose services are quiet gets the heartbeats that are due by the clock, however many changes there are.
-/// Larger than the longest message of a limiter, 4 MiB: the relays of a fleet hold what no limiter does.
+/// The whole list is larger than the longest message that a limiter accepts, 4 MiB: relays hold the list
+/// of the whole fleet, which is longer than that of any limiter.
 #[test]
 fn a_list_beyond_the_message_limit_of_limiters_reaches_subscribers_by_service() {
     const SERVERS: usize = 30_000;
@@ -130,14 +131,16 @@
     assert_eq!((list.reset, list.instances.len()), (true, SERVERS / SERVICES));
 }
 
+/// A subscriber whose services do not change gets only the heartbeats that are due, however many changes
+/// other services have.
 #[test]
-fn a_change_of_another_service_costs_a_subscriber_no_message() {
+fn a_change_of_another_service_sends_a_subscriber_no_message() {
     let own = unreachable_server("s-own", "service-1");
     let foreign = unreachable_server("s-foreign", "service-2");
     let tree = Tree::with_servers(&[own.clone(), foreign.clone()]);
     let subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
     let other_subscriber = RawSubscriber::follow(tree.zones[0].address, None, &["service-2"]);
-    // What is under way comes before this change.
+    // Messages already in flight arrive before this change.
     subscriber.wait_for_revision(tree.discovery.put(weighted(&own, 2.0)));
     let (before, began) = (subscriber.received().len(), Instant::now());
     for step in 1..=FOREIGN_CHANGES {
@@ -154,7 +157,8 @@
     );
 }
 
-/// Discovery writes no empty lines while it announces changes. All the same no subscriber may take its relay for dead.
+/// Discovery writes no empty lines while it publishes changes; the relay must still send heartbeats to
+/// subscribers that these changes do not concern, or they would leave it as dead.
 #[test]
 fn a_subscriber_of_unchanged_services_gets_heartbeats_while_others_change() {
     let foreign = unreachable_server("s-foreign", "service-2");
@@ -175,7 +179,7 @@
 }
 
 #[test]
-fn a_subscriber_gets_what_it_lacks() {
+fn a_subscriber_gets_a_delta_or_the_whole_list_by_its_revision() {
     let own = unreachable_server("s-1", "service-1");
     let still = unreachable_server("s-2", "service-1");
     let tree = Tree::with_servers(&[own.clone(), still, unreachable_server("s-3", "service-2")]);
@@ -190,7 +194,7 @@
     assert_eq!((delta.reset, delta.revision, ids(&delta)), (false, second_change, vec!["s-1"]));
     let nothing_new = RawSubscriber::follow(zone, Some(second_change), &["service-1"]).first();
     assert_eq!((nothing_new.reset, ids(&nothing_new)), (false, vec![]));
-    // Without a revision, with one of before the relay's first list, and with one that was never.
+    // No revision, one older than the relay's first list, and one that does not exist yet.
     for after in [None, Some(1), Some(second_change + 1_000)] {
         let whole = RawSubscriber::follow(zone, after, &["service-1"]).first();
         assert_eq!((whole.reset, ids(&whole)), (true, vec!["s-1", "s-2"]), "after {after:?}");
@@ -198,12 +202,12 @@
     }
     let elsewhere = follower.resume(tree.zones[1].address, &["service-1"]);
     wait_until("the other relay answers", || !elsewhere.received().is_empty());
-    assert!(!elsewhere.first().reset, "a revision holds at the other relay too");
+    assert!(!elsewhere.first().reset, "the other relay accepts the revision too");
     assert_eq!(elsewhere.digest_mismatches(), Vec::<u64>::new());
 }
 
 #[test]
-fn heartbeats_and_subscriptions_stop_with_the_heartbeats_of_upstream() {
+fn a_relay_without_upstream_heartbeats_sends_none_and_refuses_subscribers() {
     let own = unreachable_server("s-1", "service-1");
     let discovery = ServiceDiscovery::with_heartbeat(FAST_HEARTBEAT, std::slice::from_ref(&own));
     let root = Relay::root(&discovery);
@@ -219,25 +223,25 @@
         .iter()
         .position(|r| r.ids() == ["s-1"] && !r.update.as_ref().is_some_and(|u| u.reset));
     let change = change.expect("the change");
-    wait_until("the relay says that it is stale", || root.up() == 503);
+    wait_until("the relay is stale", || root.up() == 503);
     let later = subscriber.received().split_off(change + 1);
-    // The change itself is a heartbeat, whose digest may follow it.
+    // The change itself counts as a heartbeat, and its digest may follow it.
     assert!(
         later.len() <= 1 && later.iter().all(|r| r.digest().is_some()),
-        "heartbeats of its own: {later:?}"
+        "the relay sent heartbeats without upstream: {later:?}"
     );
     let refused = RawSubscriber::open(root.address, None, &["service-1"]);
     assert_eq!(refused.head.status(), 503);
     assert!(refused.head.header("retry-after").is_some());
-    wait_until("it logs so", || root.log().contains("stale: upstream gave no sign of life"));
+    wait_until("the reason is in the log", || root.log().contains("stale: upstream gave no sign of life"));
 }
 
 #[test]
-fn the_root_goes_stale_where_discovery_falls_silent() {
+fn the_root_becomes_stale_when_discovery_falls_silent() {
     let discovery = ServiceDiscovery::new(&[unreachable_server("s-1", "service-1")]);
     let root = Relay::root(&discovery);
     discovery.cut_off();
-    wait_until("the relay says that it is stale", || root.up() == 503);
+    wait_until("the relay is stale", || root.up() == 503);
 }
 
 #[test]
@@ -255,7 +259,7 @@
 }
 
 #[test]
-fn digests_fit_what_changes_meanwhile() {
+fn digests_match_a_list_that_changes() {
     let own = unreachable_server("s-1", "service-1");
     let discovery = ServiceDiscovery::with_heartbeat(FAST_HEARTBEAT, std::slice::from_ref(&own));
     let root = Relay::root(&discovery);
@@ -311,7 +315,7 @@
     let other = &tree.proxies[1 - zone];
     assert_eq!(other.last_revision(), Some(last));
     let resumed = other.targets().first().and_then(|target| after_param(target));
-    assert_eq!(resumed, tree.proxies[zone].last_revision(), "it goes on from its revision");
+    assert_eq!(resumed, tree.proxies[zone].last_revision(), "the limiter resumes from its revision");
     assert!(resumed.is_some_and(|after| after > FIRST_REVISION && after < last), "{resumed:?}");
     wait_until("the drain is in force", || drained_at.elapsed() > CHANGE_DEADLINE + GRACE + GRACE);
     assert_eq!(arrivals_after(&drained, drained_at + CHANGE_DEADLINE + GRACE), 0);
@@ -319,7 +323,7 @@
 }
 
 #[test]
-fn a_limiter_leaves_a_suspended_relay() {
+fn a_limiter_fails_over_from_a_suspended_relay() {
     let [steady, drained] = ["steady", "drained"].map(TimedServer::new);
     let drained_instance = server("s-drained", "service-1", drained.fake.address);
     let tree =
@@ -342,7 +346,7 @@
 }
 
 #[test]
-fn a_relay_with_an_older_list_takes_nothing_back() {
+fn a_limiter_rejects_the_older_list_of_a_relay() {
     let [steady, drained, late] = ["steady", "drained", "late"].map(TimedServer::new);
     let drained_instance = server("s-drained", "service-1", drained.fake.address);
     let late_instance = server("s-late", "service-1", late.fake.address);
@@ -359,7 +363,7 @@
     });
     let slow = Relay::zone(&[slow_upstream.address], 1);
     let mut current = Relay::zone(&[root.address], 2);
-    // The slow one is not there for the limiter until the current one has announced the drain to it.
+    // The limiter gets nothing from the slow relay until the current one has announced the drain.
     let closed = held_back.clone();
     let slow_proxy = WatchProxy::with_filter(slow.address, move |_| !closed.load(Ordering::SeqCst));
     let current_proxy = WatchProxy::new(current.address);
@@ -400,7 +404,7 @@
 }
 
 #[test]
-fn a_subscriber_that_was_away_for_long_gets_a_complete_list_of_its_services() {
+fn a_subscriber_with_an_old_revision_gets_the_whole_list_of_its_services() {
     let own = unreachable_server("s-1", "service-1");
     let tree = Tree::with_servers(&[own.clone(), unreachable_server("s-2", "service-2")]);
     let follower = RawSubscriber::follow(tree.zones[0].address, None, &["service-1"]);
@@ -411,7 +415,7 @@
 }
 
 #[test]
-fn a_lost_message_is_found_by_its_digest_and_repaired() {
+fn a_lost_message_is_detected_by_a_digest_and_repaired() {
     let [steady, drained] = ["steady", "drained"].map(TimedServer::new);
     let drained_instance = server("s-drained", "service-1", drained.fake.address);
     let discovery = ServiceDiscovery::with_heartbeat(
@@ -441,13 +445,15 @@
     let repaired_at = Instant::now();
     assert_eq!(after_param(&proxy.targets()[1]), None);
     wait_until("the reason is in the log", || limiter.log().contains("differs from the list's"));
-    wait_until("requests are served by the true list", || arrivals_after(&steady, repaired_at + GRACE) >= 50);
+    wait_until("requests are served by the repaired list", || {
+        arrivals_after(&steady, repaired_at + GRACE) >= 50
+    });
     assert_eq!(arrivals_after(&drained, repaired_at + GRACE), 0);
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
 
 #[test]
-fn many_subscribers_at_once_all_get_their_list() {
+fn many_concurrent_subscribers_all_get_their_list() {
     const CHILDREN: usize = 200;
     const SERVICES: usize = 40;
     const FOLLOWED: usize = 20;
@@ -473,8 +479,8 @@
 }
 
 #[test]
-fn a_subscriber_that_never_reads_is_disconnected_and_costs_the_others_nothing() {
-    /// Enough for the buffers of the sockets and the queue of the subscriber to be full.
+fn a_subscriber_that_never_reads_is_disconnected_without_effect_on_others() {
+    /// Enough to fill the socket buffers and the subscriber's queue.
     const SERVERS: usize = 400;
     const MAX_REVISIONS: u32 = 400;
     let bulk: Vec<_> = (0..SERVERS).map(|n| unreachable_server(&format!("s-{n}"), "bulk")).collect();
@@ -486,16 +492,16 @@
     never_reads.send(&format!("GET {target} HTTP/1.1\r\nHost: relay\r\n\r\n"));
     let reader = RawSubscriber::follow(root.address, None, &["bulk"]);
     let bystander = RawSubscriber::follow(root.address, None, &["small"]);
-    let cut_off = || root.log().contains("reads too slowly");
+    let disconnected = || root.log().contains("reads too slowly");
     for step in 1..=MAX_REVISIONS {
-        if cut_off() {
+        if disconnected() {
             break;
         }
         let weight = 1.0 + f64::from(step);
         let revision = discovery.put_all(bulk.iter().map(|server| weighted(server, weight)));
         reader.wait_for_revision(revision);
     }
-    wait_until("it is cut off", cut_off);
+    wait_until("the subscriber is disconnected", disconnected);
     assert_eq!(root.log().matches("reads too slowly").count(), 1, "{}", root.log());
     let last = discovery.put_all([weighted(&small, 2.0), weighted(&bulk[0], 0.5)]);
     reader.wait_for_revision(last);
@@ -505,7 +511,7 @@
 }
 
 #[test]
-fn a_tree_cut_off_from_discovery_goes_on_and_comes_together_again() {
+fn a_tree_cut_off_from_discovery_keeps_serving_and_converges_afterwards() {
     let [first, second] = ["first", "second"].map(TimedServer::new);
     let first_instance = server("s-first", "service-1", first.fake.address);
     let second_instance = server("s-second", "service-1", second.fake.address);
@@ -515,13 +521,13 @@
     tree.discovery.cut_off();
     let cut_at = Instant::now();
     wait_until("the outage is long", || cut_at.elapsed() > OUTAGE);
-    // Changes that nobody can be notified of yet.
+    // Changes that cannot reach the relays yet.
     let last = tree.discovery.put_all([draining(&first_instance), second_instance]);
-    wait_until("the limiter says that its list is stale", || {
+    wait_until("the limiter logs that its list is stale", || {
         limiter.log().contains("stale: going on by a list")
     });
     let stale_at = Instant::now();
-    wait_until("it goes on serving", || arrivals_after(&first, stale_at) >= 20);
+    wait_until("the limiter keeps serving", || arrivals_after(&first, stale_at) >= 20);
     assert_eq!(second.arrivals().len(), 0);
     wait_until("the root is stale", || tree.root.up() == 503);
     tree.discovery.restore();
@@ -537,8 +543,9 @@
     assert!(load.statuses().iter().all(|status| *status == 200), "requests failed");
 }
 
-/// A list may lack a change that discovery had right after its last heartbeat, so it is stale when that change
-/// has to be in force. What a relay sends a subscriber that comes later makes it no fresher.
+/// A list may lack a change that discovery had right after its last heartbeat, so it becomes stale when
+/// that change would have to be in force. What a relay sends to a later subscriber does
+/// not extend the validity of its list.
 #[test]
 fn a_limiter_is_stale_a_fixed_time_after_the_last_heartbeat_of_discovery() {
     let only = TimedServer::new("only");
@@ -547,7 +554,7 @@
     tree.discovery.cut_off();
     let last_heartbeat = tree.discovery.last_heartbeat();
     let is_stale = || limiter.log().contains("stale: going on by a list");
-    // Waits on behind the bound, so that a failure tells how late it was.
+    // Waits beyond the limit, so that a failure shows how late the report came.
     while !is_stale() && last_heartbeat.elapsed() < MAX_WAIT_UNTIL_STALE {
         thread::sleep(BURST_PAUSE);
     }
@@ -561,7 +568,7 @@
 }
 
 #[test]
-fn a_limiter_started_while_all_is_stale_goes_by_its_configured_list() {
+fn a_limiter_started_while_all_relays_are_stale_uses_its_configured_list() {
     let only = TimedServer::new("only");
     let instance = server("s-only", "service-1", only.fake.address);
     let tree = Tree::with_servers(std::slice::from_ref(&instance));
@@ -571,18 +578,21 @@
     let started = Instant::now();
     let limiter = FollowingLimiter::spawn(&tree.proxy_addresses(), &["service-1"], Some(known));
     wait_until("the limiter is up", || limiter.limiter.up());
-    assert!(started.elapsed() >= FIRST_LIST_TIMEOUT, "it was ready without any list");
+    assert!(
+        started.elapsed() >= FIRST_LIST_TIMEOUT,
+        "the limiter was ready before the wait for a list ended"
+    );
     assert_eq!(limiter.ask().text(), "only");
-    wait_until("it logs so", || {
+    wait_until("the reason is in the log", || {
         limiter.log().contains("no list came: going by the one in the configuration")
     });
     assert!(tree.proxies.iter().all(|proxy| !proxy.targets().is_empty()), "both relays were asked");
     assert_eq!(limiter.discovery.accepted(), 0, "discovery is not asked");
 }
 
-/// Without `[relays]` discovery itself is watched as ever: the whole list, whatever the services.
+/// Without the section `[relays]` a limiter watches discovery itself, for the whole list of all services.
 #[test]
-fn without_the_section_discovery_is_watched_for_all_services() {
+fn without_relays_discovery_is_watched_for_all_services() {
     let [first, second] = ["first", "second"].map(TimedServer::new);
     let discovery = discovery(vec![
         json!(server("s-first", "service-1", first.fake.address)),
@@ -606,7 +616,7 @@
     let mut zone = Relay::zone(&[root.address], 1);
     let subscriber = RawSubscriber::follow(zone.address, None, &["service-1"]);
     assert_eq!(zone.terminate().code(), Some(0));
-    wait_until("its subscriber is let go", || subscriber.has_ended());
+    wait_until("its subscriber is disconnected", || subscriber.has_ended());
     assert_eq!(root.terminate().code(), Some(0));
-    wait_until("it logs so", || root.log().contains("SIGTERM: ending"));
+    wait_until("the signal is logged", || root.log().contains("SIGTERM: ending"));
 }
--- a/crates/daemon/tests/relays/regions.rs
+++ b/crates/daemon/tests/relays/regions.rs
@@ -1,5 +1,5 @@
-//! Two regions, each with discovery and a relay of its own, and a limiter that follows both: while one cannot be
-//! reached each goes on by itself, and what it changed meanwhile comes as a delta.
+//! A limiter that follows two regions, each with its own discovery and relay. While one region is cut off,
+//! changes of the other one take effect; the changes of the region that was cut off arrive as deltas afterwards.
 
 use crate::common::asked::timed_server::TimedServer;
 use crate::common::relays::limiter::{arrivals_after, FollowingLimiter, Load};
@@ -15,11 +15,11 @@
 
 /// A change is in force everywhere within this time.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(8);
-/// A request may come to a server so long after its drain was announced.
+/// How long after the announcement of its drain a server may still receive requests.
 const GRACE: Duration = Duration::from_millis(250);
-/// A limiter waits so long for the first list of each region.
+/// How long a limiter waits for the first list of each region.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(8_500);
-/// Requests that show that a server is in use.
+/// How many requests show that a server is in use.
 const MIN_REQUESTS: usize = 20;
 
 /// One region: discovery, a relay, and the proxy at which limiters call.
@@ -39,7 +39,7 @@
     }
 }
 
-/// A limiter that follows all of these.
+/// Starts a limiter that follows these regions.
 fn follow(regions: [&Region; 2], known: Option<serde_json::Value>) -> FollowingLimiter {
     FollowingLimiter::of_regions(&regions.map(|region| (region.name, region.proxy.address)), known)
 }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn regions_that_are_apart_each_go_on_and_come_together_by_deltas() {
+fn a_region_that_is_cut_off_is_served_from_its_last_list_and_resumes_by_deltas() {
     let [west_old, west_new, east_old, east_new] =
         ["west-old", "west-new", "east-old", "east-new"].map(TimedServer::new);
     let instances = [
@@ -68,10 +68,10 @@
     });
 
     east.discovery.cut_off();
-    wait_until("the limiter says which list is stale", || {
+    wait_until("the limiter logs which list is stale", || {
         limiter.log().contains("region east: stale: going on by a list")
     });
-    // Both regions go on: the near one is heard, the far one is not yet.
+    // Both regions publish changes; only those of the near region reach the limiter.
     west.discovery.put_all([draining(&instances[0]), instances[1].clone()]);
     let changed_at = Instant::now();
     let last_east = east.discovery.put_all([draining(&instances[2]), instances[3].clone()]);
@@ -93,7 +93,7 @@
     wait_until("more is served", || arrivals_after(&east_new, arrived_at + GRACE) >= MIN_REQUESTS);
     assert_eq!(arrivals_after(&east_old, arrived_at + GRACE), 0);
     assert_eq!(arrivals_after(&west_old, arrived_at + GRACE), 0);
-    wait_until("it says so", || {
+    wait_until("the event is in the log", || {
         limiter.log().contains("region east: the list of servers is confirmed again")
     });
     assert_eq!(east.proxy.last_revision(), Some(last_east));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_limiter_that_starts_while_a_region_is_cut_off_goes_on_without_it() {
+fn a_limiter_that_starts_while_a_region_is_cut_off_serves_without_it() {
     let [near, far, former] = ["near", "far", "former"].map(TimedServer::new);
     let west = Region::new("west", &[server_instance(&near, "s-1")]);
     let east = Region::new("east", &[server_instance(&far, "s-2")]);
@@ -119,11 +119,16 @@
     let started = Instant::now();
     let limiter = follow([&west, &east], Some(known));
     wait_until("the limiter is up", || limiter.limiter.up());
-    assert!(started.elapsed() >= FIRST_LIST_TIMEOUT, "it was ready without the list of a region");
+    assert!(
+        started.elapsed() >= FIRST_LIST_TIMEOUT,
+        "the limiter was ready before the wait for the far region ended"
+    );
     for _ in 0..MIN_REQUESTS {
         assert_eq!(limiter.ask().text(), "near");
     }
-    wait_until("it says so", || limiter.log().contains("region east: no list came: going on without it"));
+    wait_until("the event is in the log", || {
+        limiter.log().contains("region east: no list came: going on without it")
+    });
     east.discovery.restore();
     wait_until("the server of the far region gets work", || {
         assert_eq!(limiter.ask().status(), 200);
@@ -134,5 +139,5 @@
         assert_eq!(limiter.ask().status(), 200);
         arrivals_after(&near, reached_at) >= 1 && arrivals_after(&far, reached_at) >= 1
     });
-    assert_eq!(former.arrivals().len(), 0, "the configured list is not used where one region is heard");
+    assert_eq!(former.arrivals().len(), 0, "the configured list is not used if one region answers");
 }
