--- a/crates/daemon/src/listeners/http/reply.rs
+++ b/crates/daemon/src/listeners/http/reply.rs
@@ -1,4 +1,4 @@
-//! Builds replies to clients.
+//! Builds HTTP replies to clients.
 
 use super::rejection::RequestError;
 use crate::events::{Answer, Rejection};
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Method, Response, StatusCode};
-use liftrouter_authz::{Changes, Denial};
+use liftrouter_authz::{Denial, HeaderChanges};
 
 pub(super) type Reply = Response<Full<Bytes>>;
 
@@ -29,19 +29,19 @@
     }
 }
 
-/// The reply to an answered request. `changes` are the authoriser's changes to the headers of a served answer.
-pub(super) fn from_answer(answer: Answer, changes: &Changes) -> Reply {
+/// The reply for the host's answer. `changes` are the authorizer's header changes, which apply only to a served answer.
+pub(super) fn from_answer(answer: Answer, changes: &HeaderChanges) -> Reply {
     match answer {
         Answer::Served(answer) => served(answer, changes),
         Answer::Rejected(rejection) => rejected(&rejection),
         Answer::Denied(denial) => denied(denial),
-        // A forwarded request is never answered with an authorisation.
+        // A forwarded request is never answered with an authorization.
         Answer::Failed | Answer::Authorized(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
 
-/// A reply to a request that may not have been read to its end: a fault closes the connection, so that the rest is
-/// not taken for the next request.
+/// A reply to a request that may not have been read completely. After an error the connection is closed, so that the
+/// unread rest is not parsed as the next request.
 fn immediate(status: StatusCode, body: &'static str) -> Reply {
     let mut reply = plain(status, body);
     if status != StatusCode::OK && status != StatusCode::SERVICE_UNAVAILABLE {
@@ -50,27 +50,27 @@
     reply
 }
 
-fn served(answer: Response<Bytes>, changes: &Changes) -> Reply {
+fn served(answer: Response<Bytes>, changes: &HeaderChanges) -> Reply {
     let (head, body) = answer.into_parts();
     let mut reply = Response::new(Full::new(body));
     if let Some(content_type) = head.headers.get(CONTENT_TYPE) {
         reply.headers_mut().insert(CONTENT_TYPE, content_type.clone());
     }
-    changes.apply_to_answer(reply.headers_mut(), &[RETRY_AFTER]);
+    changes.apply_to_response(reply.headers_mut(), &[RETRY_AFTER]);
     reply
 }
 
 fn rejected(rejection: &Rejection) -> Reply {
-    let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, rejection.text());
-    if rejection.retry_after > 0.0 {
-        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", rejection.retry_after)) {
+    let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, rejection.body());
+    if rejection.retry_after_s > 0.0 {
+        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", rejection.retry_after_s)) {
             reply.headers_mut().insert(RETRY_AFTER, seconds);
         }
     }
     reply
 }
 
-/// A denial as its authoriser wants it; `Denial` has no headers that belong to the connection.
+/// The reply for a denial, as the authorizer specified it. `Denial` contains no hop-by-hop headers, so all are copied.
 fn denied(denial: Denial) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from(denial.body)));
     *reply.status_mut() = StatusCode::from_u16(denial.status).unwrap_or(StatusCode::FORBIDDEN);
