--- a/crates/daemon/tests/authorizer.rs
+++ b/crates/daemon/tests/authorizer.rs
@@ -138,7 +138,7 @@
         assert_eq!(answer.header("x-why"), Some("law"));
     }
     let grpc_client = GrpcClient::new(limiter.grpc.expect("a gRPC listener"));
-    let (denied, code) = grpc_client.ask(&check_request("quote", "roomy", 4)).denied().expect("denied");
+    let (denied, code) = grpc_client.check(&check_request("quote", "roomy", 4)).denied().expect("denied");
     assert_eq!((denied.status.map(|s| s.code), code, denied.body.as_str()), (Some(451), 7, "not here\n"));
     assert_eq!(server.count(), 0);
     // The denied requests took nothing from the bucket: it still holds four units.
@@ -165,7 +165,7 @@
 #[test]
 fn a_client_disconnect_resets_its_check_request_and_a_late_response_is_ignored() {
     let authorizer = FakeAuthorizer::new(|received| {
-        let late = Action::Wait(Duration::from_millis(if received.number == 0 { 300 } else { 0 }));
+        let late = Action::Wait(Duration::from_millis(if received.index == 0 { 300 } else { 0 }));
         vec![late, Action::Write(answer(received.stream, &allow()))]
     });
     let server = server();
@@ -204,13 +204,13 @@
     let mut raw = RawConnection::new(address, &[]);
     for n in 0..3 {
         let stream = 2 * n + 1;
-        raw.ask(stream, &check_request("quote", "roomy", 4));
+        raw.send_check(stream, &check_request("quote", "roomy", 4));
         wait_until("the check request is received", || authorizer.count() == n as usize + 1);
-        raw.send(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
+        raw.send_frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
         wait_until("the check request is reset", || authorizer.resets().len() == n as usize + 1);
     }
     // The same when the client closes the connection.
-    raw.ask(7, &check_request("quote", "roomy", 4));
+    raw.send_check(7, &check_request("quote", "roomy", 4));
     wait_until("the check request is received", || authorizer.count() == 4);
     drop(raw);
     wait_until("the check request is reset", || authorizer.resets().len() == 4);
@@ -228,7 +228,7 @@
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
     let mut raw = RawConnection::new(limiter.grpc.expect("a gRPC listener"), &[]);
     let q = check_request("quote", "roomy", 1);
-    raw.ask(1, &q);
+    raw.send_check(1, &q);
     wait_until("the check request is received", || authorizer.count() == 1);
     let http = q.attributes.and_then(|a| a.request).and_then(|r| r.http).expect("a request");
     let text = quote("roomy", 500);
@@ -269,7 +269,7 @@
 
 #[test]
 fn a_breaker_trial_whose_client_disconnects_does_not_delay_the_next() {
-    let authorizer = FakeAuthorizer::new(|received| match received.number {
+    let authorizer = FakeAuthorizer::new(|received| match received.index {
         0 => vec![Action::Write(wire::trailers_only(received.stream, "14"))],
         // The trial.
         1 => Vec::new(),
@@ -330,7 +330,7 @@
     // The same for a check request from another client.
     let grpc_client = GrpcClient::new(free);
     assert!(grpc_client.permitted(&check_request("quote", "roomy", 1)));
-    let refused = grpc_client.ask(&check_request("bind", "roomy", 1)).denied().expect("denied");
+    let refused = grpc_client.check(&check_request("bind", "roomy", 1)).denied().expect("denied");
     assert_eq!(refused.1, 8);
     // FAILED_PRECONDITION: the loop is detected by the limiter's name, not only by the id of the open request.
     wait_until("the breaker's error is logged", || limiter.errors().contains("grpc-status 9, expected 0"));
@@ -364,11 +364,11 @@
     let mut raw = RawConnection::new(limiter.grpc.expect("a gRPC listener"), &[]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 9_000));
-    raw.ask(1, &check_request("bind", "roomy", 1));
+    raw.send_check(1, &check_request("bind", "roomy", 1));
     wait_until("a check request is received", || authorizer.count() >= 1);
     limiter.terminate();
     assert_eq!(client.answer().expect("an answer").status(), 200);
     let trailers = |f: &RawFrame| f.kind == HEADERS && f.flags & END_STREAM != 0 && f.stream == 1;
-    assert!(raw.until(trailers).is_some());
+    assert!(raw.read_until(trailers).is_some());
     assert!(limiter.wait().success());
 }
--- a/crates/daemon/tests/authorizer/connections.rs
+++ b/crates/daemon/tests/authorizer/connections.rs
@@ -6,11 +6,11 @@
 fn a_check_request_that_was_not_processed_is_retried_once() {
     let refused = FakeAuthorizer::new(|received| {
         let refusal = raw_frame(RST_STREAM, 0, received.stream, &REFUSED_STREAM.to_be_bytes());
-        vec![Action::Write(if received.number == 0 { refusal } else { answer(received.stream, &allow()) })]
+        vec![Action::Write(if received.index == 0 { refusal } else { answer(received.stream, &allow()) })]
     });
     // Streams above the last id of a GOAWAY were not processed (RFC 9113, section 6.8).
     let above = FakeAuthorizer::new(|received| {
-        vec![Action::Write(if received.number == 0 { goaway(0) } else { answer(received.stream, &allow()) })]
+        vec![Action::Write(if received.index == 0 { goaway(0) } else { answer(received.stream, &allow()) })]
     });
     for (authorizer, connections) in [(refused, 1), (above, 2)] {
         let server = server();
@@ -42,7 +42,7 @@
 #[test]
 fn a_lost_connection_leaves_each_of_a_hundred_requests_with_one_answer() {
     let authorizer =
-        FakeAuthorizer::new(|received| if received.number == 99 { vec![Action::Close] } else { Vec::new() });
+        FakeAuthorizer::new(|received| if received.index == 99 { vec![Action::Close] } else { Vec::new() });
     let server = server();
     let text = operator_text(authorizer.address, "timeout_ms = 10000\nquestions = 200\n");
     let limiter = Limiter::with_operator_text(&text, settings(), &[&server]);
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -7,7 +7,7 @@
 use hyper::{HeaderMap, Request};
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use liftrouter_authz::messages::envoy::service::auth::v3::attribute_context::{
-    HttpRequest, Request as Asked,
+    HttpRequest, Request as RequestAttributes,
 };
 use liftrouter_authz::messages::envoy::service::auth::v3::check_response::HttpResponse;
 use liftrouter_authz::messages::envoy::service::auth::v3::{
@@ -41,7 +41,7 @@
 pub fn check_request(class: &str, plan: &str, units: u32) -> CheckRequest {
     let id = new_id();
     let metering = format!("units={units},spread=1,first=0");
-    with_headers(
+    check_request_with_headers(
         &format!("/{class}/00000000b4d65521?from=tls"),
         &[
             ("x-contract", plan),
@@ -53,12 +53,12 @@
     )
 }
 
-pub fn with_headers(path: &str, headers: &[(&str, &str)]) -> CheckRequest {
+pub fn check_request_with_headers(path: &str, headers: &[(&str, &str)]) -> CheckRequest {
     let headers = headers.iter().map(|(n, v)| ((*n).to_string(), (*v).to_string())).collect();
     let http = HttpRequest { method: "GET".into(), path: path.into(), headers, ..HttpRequest::default() };
     CheckRequest {
         attributes: Some(AttributeContext {
-            request: Some(Asked { http: Some(http) }),
+            request: Some(RequestAttributes { http: Some(http) }),
             ..AttributeContext::default()
         }),
     }
@@ -67,7 +67,7 @@
 /// How a call ended.
 #[derive(Debug, Default)]
 pub struct CallResult {
-    pub http: u16,
+    pub http_status: u16,
     /// `grpc-status`, from head or trailers.
     pub status: Option<u16>,
     pub message: String,
@@ -76,19 +76,19 @@
 }
 
 impl CallResult {
-    pub fn read<M: Message + Default>(&self) -> M {
-        assert_eq!((self.http, self.status), (200, Some(0)), "{self:?}");
+    pub fn decode<M: Message + Default>(&self) -> M {
+        assert_eq!((self.http_status, self.status), (200, Some(0)), "{self:?}");
         let mut unary = UnaryDecoder::new(1 << 20);
         unary.push(&self.body).expect("one message");
         M::decode(unary.finish().expect("whole")).expect("a message")
     }
 
-    pub fn check(&self) -> CheckResponse {
-        self.read()
+    pub fn check_response(&self) -> CheckResponse {
+        self.decode()
     }
 
     pub fn allowed(&self) -> Option<OkHttpResponse> {
-        match self.check() {
+        match self.check_response() {
             CheckResponse { status, http_response: Some(HttpResponse::OkResponse(ok)) } => {
                 assert_eq!(status.map(|s| s.code), Some(0));
                 Some(ok)
@@ -99,7 +99,7 @@
 
     /// The denial and the code beside it.
     pub fn denied(&self) -> Option<(DeniedHttpResponse, i32)> {
-        match self.check() {
+        match self.check_response() {
             CheckResponse { status: Some(s), http_response: Some(HttpResponse::DeniedResponse(denied)) } => {
                 Some((denied, s.code))
             }
@@ -148,7 +148,7 @@
             let find = |name: &str| trailers.get(name).or(head.headers.get(name)).cloned();
             let text = |name| find(name).and_then(|v| Some(v.to_str().ok()?.to_string()));
             Some(CallResult {
-                http: head.status.as_u16(),
+                http_status: head.status.as_u16(),
                 status: text("grpc-status").and_then(|s| s.parse().ok()),
                 message: text("grpc-message").unwrap_or_default(),
                 headers: head.headers.clone(),
@@ -163,40 +163,40 @@
     }
 
     /// Sends these bytes as the body of a check.
-    pub fn raw(&self, body: &'static [u8]) -> CallResult {
+    pub fn check_raw(&self, body: &'static [u8]) -> CallResult {
         self.send(GrpcClient::request(CHECK, &[], Bytes::from_static(body))).expect("an answer")
     }
 
-    pub fn ask(&self, request: &CheckRequest) -> CallResult {
+    pub fn check(&self, request: &CheckRequest) -> CallResult {
         self.call(CHECK, request)
     }
 
     /// Whether the request is permitted.
     pub fn permitted(&self, request: &CheckRequest) -> bool {
-        self.ask(request).allowed().is_some()
+        self.check(request).allowed().is_some()
     }
 
     /// Starts a call whose response is read piece by piece.
-    pub fn open(&self, path: &str, message: &impl Message) -> OpenCall<'_> {
+    pub fn open_stream(&self, path: &str, message: &impl Message) -> StreamingCall<'_> {
         let mut sender = self.sender.clone();
         let request = GrpcClient::request(path, &[], frame(message));
         let response = self.runtime.block_on(async move { sender.send_request(request).await });
-        OpenCall { grpc_client: self, body: response.expect("an answer").into_body() }
+        StreamingCall { grpc_client: self, body: response.expect("an answer").into_body() }
     }
 }
 
 /// A call whose response is read piece by piece.
-pub struct OpenCall<'a> {
+pub struct StreamingCall<'a> {
     grpc_client: &'a GrpcClient,
     body: hyper::body::Incoming,
 }
 
-impl OpenCall<'_> {
+impl StreamingCall<'_> {
     /// The next piece: data, or the trailers' status.
-    pub fn next(&mut self) -> Option<Result<Bytes, u16>> {
+    pub fn next_frame(&mut self) -> Option<Result<Bytes, u16>> {
         let body = &mut self.body;
-        let next = async { tokio::time::timeout(PATIENCE, body.frame()).await.expect("a frame") };
-        let frame = self.grpc_client.runtime.block_on(next)?.ok()?;
+        let next_frame = async { tokio::time::timeout(PATIENCE, body.frame()).await.expect("a frame") };
+        let frame = self.grpc_client.runtime.block_on(next_frame)?.ok()?;
         let frame = match frame.into_data() {
             Ok(data) => return Some(Ok(data)),
             Err(frame) => frame,
@@ -229,7 +229,7 @@
             payload.extend_from_slice(&identifier.to_be_bytes());
             payload.extend_from_slice(&value.to_be_bytes());
         }
-        raw.send(SETTINGS, 0, 0, &payload);
+        raw.send_frame(SETTINGS, 0, 0, &payload);
         raw
     }
 
@@ -238,21 +238,21 @@
         self.stream.write_all(bytes).is_ok()
     }
 
-    pub fn send(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) -> bool {
+    pub fn send_frame(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) -> bool {
         self.write(&raw_frame(kind, flags, stream, payload))
     }
 
     /// Opens a stream with a check's head.
-    pub fn head(&mut self, stream: u32) -> bool {
-        self.send(HEADERS, END_HEADERS, stream, &call_headers(CHECK))
+    pub fn send_check_headers(&mut self, stream: u32) -> bool {
+        self.send_frame(HEADERS, END_HEADERS, stream, &call_headers(CHECK))
     }
 
-    pub fn ask(&mut self, stream: u32, request: &CheckRequest) -> bool {
-        self.head(stream) && self.send(DATA, END_STREAM, stream, &frame(request))
+    pub fn send_check(&mut self, stream: u32, request: &CheckRequest) -> bool {
+        self.send_check_headers(stream) && self.send_frame(DATA, END_STREAM, stream, &frame(request))
     }
 
     /// The next frame; `None` at the end of the connection.
-    pub fn next(&mut self) -> Option<RawFrame> {
+    pub fn read_frame(&mut self) -> Option<RawFrame> {
         let mut bytes = vec![0; 9];
         self.stream.read_exact(&mut bytes).ok()?;
         let length = u32::from_be_bytes([0, bytes[0], bytes[1], bytes[2]]) as usize;
@@ -262,12 +262,12 @@
     }
 
     /// Reads until a frame fits; `None` if the connection ended first.
-    pub fn until(&mut self, fits: impl Fn(&RawFrame) -> bool) -> Option<RawFrame> {
-        std::iter::from_fn(|| self.next()).find(fits)
+    pub fn read_until(&mut self, matches: impl Fn(&RawFrame) -> bool) -> Option<RawFrame> {
+        std::iter::from_fn(|| self.read_frame()).find(matches)
     }
 
     /// Reads on to the end of the connection; whether it came in time.
-    pub fn closed(&mut self) -> bool {
+    pub fn wait_for_close(&mut self) -> bool {
         let mut rest = [0; 4096];
         loop {
             match self.stream.read(&mut rest) {
@@ -282,7 +282,7 @@
 /// A check request that the authoriser received.
 pub struct ReceivedCheck {
     /// Counts all check requests, from 0.
-    pub number: usize,
+    pub index: usize,
     /// Counts connections, from 0.
     pub connection: usize,
     pub stream: u32,
@@ -355,12 +355,12 @@
         return;
     }
     let mut raw = RawConnection { stream };
-    raw.send(SETTINGS, 0, 0, &[]);
+    raw.send_frame(SETTINGS, 0, 0, &[]);
     let mut bodies: std::collections::HashMap<u32, Vec<u8>> = std::collections::HashMap::new();
-    while let Some(frame) = raw.next() {
+    while let Some(frame) = raw.read_frame() {
         match frame.kind {
-            SETTINGS if frame.flags & ACK == 0 => drop(raw.send(SETTINGS, ACK, 0, &[])),
-            PING if frame.flags & ACK == 0 => drop(raw.send(PING, ACK, 0, &frame.payload)),
+            SETTINGS if frame.flags & ACK == 0 => drop(raw.send_frame(SETTINGS, ACK, 0, &[])),
+            PING if frame.flags & ACK == 0 => drop(raw.send_frame(PING, ACK, 0, &frame.payload)),
             RST_STREAM => record.resets.lock().expect("lock").push(frame.stream),
             DATA => {
                 let body = bodies.entry(frame.stream).or_default();
@@ -371,12 +371,12 @@
                 let mut unary = UnaryDecoder::new(1 << 20);
                 unary.push(body).expect("one message");
                 let request = CheckRequest::decode(unary.finish().expect("whole")).expect("a check request");
-                let number = {
+                let index = {
                     let mut check_requests = record.check_requests.lock().expect("lock");
                     check_requests.push(request.clone());
                     check_requests.len() - 1
                 };
-                for action in rule(&ReceivedCheck { number, connection, stream: frame.stream, request }) {
+                for action in rule(&ReceivedCheck { index, connection, stream: frame.stream, request }) {
                     match action {
                         Action::Write(bytes) => drop(raw.write(&bytes)),
                         Action::Wait(time) => std::thread::sleep(time),
--- a/crates/daemon/tests/grpc.rs
+++ b/crates/daemon/tests/grpc.rs
@@ -34,7 +34,7 @@
     let add = "[grpc.add]\nX-Permitted-By = 'value:limiter'\nx-of = 'path:2'\nx-none = 'label:none'\n";
     let (_limiter, grpc_client) = start_with_grpc(add, settings(), &[&server]);
     // Plan `small` holds 4 and refills one a second.
-    let allowed = grpc_client.ask(&check_request("quote", "small", 4)).allowed().expect("permitted");
+    let allowed = grpc_client.check(&check_request("quote", "small", 4)).allowed().expect("permitted");
     let set =
         allowed.headers.iter().map(|o| (o.header.clone().unwrap_or_default(), o.append, o.append_action));
     let set: Vec<_> = set.map(|(h, append, action)| (h.key, h.value, append, action)).collect();
@@ -45,7 +45,7 @@
             ("x-of".to_string(), "00000000b4d65521".to_string(), Some(false), 2),
         ]
     );
-    let (denied, code) = grpc_client.ask(&check_request("quote", "small", 4)).denied().expect("denied");
+    let (denied, code) = grpc_client.check(&check_request("quote", "small", 4)).denied().expect("denied");
     // RESOURCE_EXHAUSTED is the code that goes with 429.
     assert_eq!((denied.status.map(|s| s.code), code), (Some(429), 8));
     assert_eq!(denied.body, "refused: trying again is harmless\n");
@@ -133,11 +133,11 @@
             "the key is missing or malformed",
         ),
     ] {
-        let result = grpc_client.ask(&q);
+        let result = grpc_client.check(&q);
         assert_eq!((result.status, result.message.as_str()), (Some(3), expected));
     }
     for (body, status, expected) in MALFORMED_FRAMES {
-        let result = grpc_client.raw(body);
+        let result = grpc_client.check_raw(body);
         assert_eq!(result.status, Some(status), "{body:?}");
         assert!(result.message.contains(expected), "{:?} holds no {expected:?}", result.message);
     }
@@ -167,10 +167,10 @@
     );
     let mut json = GrpcClient::request(CHECK, &[], body());
     json.headers_mut().insert("content-type", "application/json".parse().expect("a value"));
-    assert_eq!(send(json).http, 415);
+    assert_eq!(send(json).http_status, 415);
     let mut get = GrpcClient::request(CHECK, &[], Bytes::new());
     *get.method_mut() = hyper::Method::GET;
-    assert_eq!(send(get).http, 405);
+    assert_eq!(send(get).http_status, 405);
 }
 
 #[test]
@@ -214,9 +214,9 @@
     let mut q = check_request("quote", "roomy", 1);
     let http = q.attributes.as_mut().and_then(|a| a.request.as_mut()).and_then(|r| r.http.as_mut());
     http.expect("a request").headers.insert("x-correlation-id".into(), id.into());
-    assert_eq!(grpc_client.ask(&q).status, Some(6));
+    assert_eq!(grpc_client.check(&q).status, Some(6));
     client.close();
-    wait_until("the id is free", || grpc_client.ask(&q).status == Some(0));
+    wait_until("the id is free", || grpc_client.check(&q).status == Some(0));
 }
 
 #[test]
@@ -225,7 +225,7 @@
     let (mut limiter, grpc_client) = start_with_grpc("", settings(), &[&server]);
     let health = |service: &str| grpc_client.call(HEALTH, &HealthCheckRequest { service: service.into() });
     for service in ["", "envoy.service.auth.v3.Authorization", "grpc.health.v1.Health"] {
-        assert_eq!(health(service).read::<HealthCheckResponse>().status, 1, "{service}");
+        assert_eq!(health(service).decode::<HealthCheckResponse>().status, 1, "{service}");
     }
     assert_eq!(health("other").status, Some(5));
     for version in ["v1", "v1alpha"] {
@@ -246,12 +246,15 @@
         assert!(splitter.is_empty());
     }
     // A watch tells the state, and its change.
-    let mut watch = grpc_client.open(WATCH, &HealthCheckRequest::default());
-    let first = watch.next().expect("a state").expect("a message");
+    let mut watch = grpc_client.open_stream(WATCH, &HealthCheckRequest::default());
+    let first = watch.next_frame().expect("a state").expect("a message");
     assert_eq!(first, frame(&HealthCheckResponse { status: 1 }));
     limiter.terminate();
-    assert_eq!(watch.next().expect("a state").expect("a message"), frame(&HealthCheckResponse { status: 2 }));
-    assert_eq!(watch.next(), Some(Err(14)), "and then it ends");
+    assert_eq!(
+        watch.next_frame().expect("a state").expect("a message"),
+        frame(&HealthCheckResponse { status: 2 })
+    );
+    assert_eq!(watch.next_frame(), Some(Err(14)), "and then it ends");
     assert!(limiter.wait().success());
 }
 
@@ -261,32 +264,32 @@
     let (mut limiter, _) = start_with_grpc("", settings(), &[&server]);
     let address = limiter.grpc.expect("a gRPC listener");
     let mut early = RawConnection::new(address, &[]);
-    early.ask(1, &check_request("quote", "roomy", 1));
-    early.until(|f| f.kind == HEADERS && f.flags & END_STREAM != 0).expect("trailers");
+    early.send_check(1, &check_request("quote", "roomy", 1));
+    early.read_until(|f| f.kind == HEADERS && f.flags & END_STREAM != 0).expect("trailers");
     // A call that is half here when the end begins is still answered.
     let q = frame(&check_request("quote", "roomy", 1));
-    early.head(3);
-    early.send(DATA, 0, 3, &q[..7]);
+    early.send_check_headers(3);
+    early.send_frame(DATA, 0, 3, &q[..7]);
     limiter.terminate();
     // For a moment connections still come: what they bring is answered, and they are sent away.
     let mut late = RawConnection::new(address, &[]);
-    late.ask(1, &check_request("quote", "roomy", 1));
-    assert!(late.until(|f| f.kind == HEADERS && f.flags & END_STREAM != 0).is_some());
-    let goaway = early.until(|f| f.kind == GOAWAY).expect("GOAWAY");
+    late.send_check(1, &check_request("quote", "roomy", 1));
+    assert!(late.read_until(|f| f.kind == HEADERS && f.flags & END_STREAM != 0).is_some());
+    let goaway = early.read_until(|f| f.kind == GOAWAY).expect("GOAWAY");
     // The first names the highest number, so that calls on their way are not lost (RFC 9113, 6.8), and the
     // code is NO_ERROR.
     assert_eq!(goaway.payload, [&0x7fff_ffff_u32.to_be_bytes()[..], &[0; 4]].concat());
-    early.send(DATA, END_STREAM, 3, &q[7..]);
+    early.send_frame(DATA, END_STREAM, 3, &q[7..]);
     // One that crossed the GOAWAY.
-    early.ask(5, &check_request("quote", "roomy", 1));
-    let ping = early.until(|f| f.kind == PING && f.flags & ACK == 0);
+    early.send_check(5, &check_request("quote", "roomy", 1));
+    let ping = early.read_until(|f| f.kind == PING && f.flags & ACK == 0);
     let trailers = |f: &RawFrame| f.kind == HEADERS && f.flags & END_STREAM != 0;
     // The library may have written the PING before the answers or behind them.
     let mut ended = Vec::new();
     if let Some(ping) = ping {
-        early.send(PING, ACK, 0, &ping.payload);
+        early.send_frame(PING, ACK, 0, &ping.payload);
     }
-    while let Some(frame) = early.next() {
+    while let Some(frame) = early.read_frame() {
         if trailers(&frame) {
             ended.push(frame.stream);
         }
@@ -320,8 +323,8 @@
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
     wait_until("a request is out", || server.count() == 1);
-    let result = grpc_client.ask(&check_request("quote", "roomy", 1));
+    let result = grpc_client.check(&check_request("quote", "roomy", 1));
     assert_eq!((result.status, result.message.as_str()), (Some(8), "too many requests are open"));
     client.close();
-    wait_until("there is room", || grpc_client.ask(&check_request("quote", "roomy", 1)).status == Some(0));
+    wait_until("there is room", || grpc_client.check(&check_request("quote", "roomy", 1)).status == Some(0));
 }
--- a/crates/daemon/tests/grpc_limits.rs
+++ b/crates/daemon/tests/grpc_limits.rs
@@ -17,18 +17,18 @@
     (limiter, address)
 }
 
-fn roomy() -> liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest {
+fn one_unit_check() -> liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest {
     check_request("quote", "roomy", 1)
 }
 
 fn answered(raw: &mut RawConnection, stream: u32) -> bool {
     let trailers = |f: &RawFrame| f.kind == HEADERS && f.flags & END_STREAM != 0 && f.stream == stream;
-    raw.until(trailers).is_some()
+    raw.read_until(trailers).is_some()
 }
 
 /// Both listeners still work, over new connections.
-fn serves(limiter: &Limiter, address: SocketAddr) {
-    assert!(GrpcClient::new(address).permitted(&roomy()));
+fn assert_both_listeners_serve(limiter: &Limiter, address: SocketAddr) {
+    assert!(GrpcClient::new(address).permitted(&one_unit_check()));
     assert_eq!(limiter.client().ask(&quote("roomy", 1_500)).status(), 200);
 }
 
@@ -44,23 +44,24 @@
 fn frame_floods_close_their_own_connection_only() {
     let (limiter, address) = limiter("resets_per_s = 50\ncontrol_per_s = 100\n");
     let mut good = RawConnection::new(address, &[]);
-    good.ask(1, &roomy());
+    good.send_check(1, &one_unit_check());
     assert!(answered(&mut good, 1));
     let rapid = |raw: &mut RawConnection, n: u32| {
-        raw.head(2 * n + 10_003) && raw.send(RST_STREAM, 0, 2 * n + 10_003, &CANCEL.to_be_bytes())
+        raw.send_check_headers(2 * n + 10_003)
+            && raw.send_frame(RST_STREAM, 0, 2 * n + 10_003, &CANCEL.to_be_bytes())
     };
     let floods: [(&str, Flood); 6] = [
         ("rapid reset", &rapid),
-        ("settings", &|raw, _| raw.send(SETTINGS, 0, 0, &[])),
-        ("ping", &|raw, n| raw.send(PING, 0, 0, &u64::from(n).to_be_bytes())),
-        ("priority", &|raw, _| raw.send(2, 0, 1, &[0; 5])),
-        ("window", &|raw, _| raw.send(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes())),
-        ("unknown", &|raw, _| raw.send(0xbe, 0, 0, b"x")),
+        ("settings", &|raw, _| raw.send_frame(SETTINGS, 0, 0, &[])),
+        ("ping", &|raw, n| raw.send_frame(PING, 0, 0, &u64::from(n).to_be_bytes())),
+        ("priority", &|raw, _| raw.send_frame(2, 0, 1, &[0; 5])),
+        ("window", &|raw, _| raw.send_frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes())),
+        ("unknown", &|raw, _| raw.send_frame(0xbe, 0, 0, b"x")),
     ];
     for (name, flood) in floods {
         let mut raw = RawConnection::new(address, &[]);
         // One that has asked is not cut for silence.
-        raw.ask(10_001, &roomy());
+        raw.send_check(10_001, &one_unit_check());
         assert!(answered(&mut raw, 10_001));
         // Ten times what may come, far below what would take a second's allowance.
         for n in 0..2_000 {
@@ -68,20 +69,20 @@
                 break;
             }
         }
-        assert!(raw.closed(), "{name}");
+        assert!(raw.wait_for_close(), "{name}");
     }
     // Empty DATA and CONTINUATION without end, within one stream.
     let mut raw = RawConnection::new(address, &[]);
-    raw.head(1);
-    (0..2_000).all(|_| raw.send(DATA, 0, 1, &[]));
-    assert!(raw.closed(), "empty data");
+    raw.send_check_headers(1);
+    (0..2_000).all(|_| raw.send_frame(DATA, 0, 1, &[]));
+    assert!(raw.wait_for_close(), "empty data");
     let mut raw = RawConnection::new(address, &[]);
-    raw.send(HEADERS, 0, 1, &call_headers(CHECK));
-    (0..2_000).all(|_| raw.send(CONTINUATION, 0, 1, &header_block(&[("a", "b")])));
-    assert!(raw.closed(), "continuation");
-    good.ask(3, &roomy());
+    raw.send_frame(HEADERS, 0, 1, &call_headers(CHECK));
+    (0..2_000).all(|_| raw.send_frame(CONTINUATION, 0, 1, &header_block(&[("a", "b")])));
+    assert!(raw.wait_for_close(), "continuation");
+    good.send_check(3, &one_unit_check());
     assert!(answered(&mut good, 3), "a connection of before goes on");
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
@@ -89,22 +90,22 @@
     let (limiter, address) = limiter("streams = 3\n");
     let mut raw = RawConnection::new(address, &[]);
     // The limit is told, and streams are opened beyond it all the same.
-    let told = raw.until(|f| f.kind == SETTINGS && f.flags & ACK == 0).expect("settings");
+    let told = raw.read_until(|f| f.kind == SETTINGS && f.flags & ACK == 0).expect("settings");
     let most = told.payload.chunks(6).find(|s| s[..2] == [0, 3]).map(|s| s[5]);
     assert_eq!(most, Some(3), "SETTINGS_MAX_CONCURRENT_STREAMS");
     for stream in [1, 3, 5, 7] {
-        raw.head(stream);
+        raw.send_check_headers(stream);
     }
-    let refused = raw.until(|f| f.kind == RST_STREAM).expect("a refusal");
+    let refused = raw.read_until(|f| f.kind == RST_STREAM).expect("a refusal");
     assert_eq!((refused.stream, code(&refused)), (7, REFUSED_STREAM));
     // Those below it are served, and make room.
     for stream in [1, 3, 5] {
-        raw.send(DATA, END_STREAM, stream, &frame(&roomy()));
+        raw.send_frame(DATA, END_STREAM, stream, &frame(&one_unit_check()));
         assert!(answered(&mut raw, stream));
     }
-    raw.ask(9, &roomy());
+    raw.send_check(9, &one_unit_check());
     assert!(answered(&mut raw, 9));
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
@@ -116,13 +117,13 @@
     for _ in 0..20 {
         block.extend(header_block(&[("x-filler", &filler)]));
     }
-    raw.send(HEADERS, END_HEADERS, 1, &block);
+    raw.send_frame(HEADERS, END_HEADERS, 1, &block);
     // 431 in the head's first octets cannot be read without a decoder; what counts is that the stream ends
     // without trailers of a call and the connection goes on or is closed.
-    raw.send(DATA, END_STREAM, 1, &frame(&roomy()));
-    let end = raw.until(|f| f.stream == 1 && (f.kind == RST_STREAM || f.flags & END_STREAM != 0));
+    raw.send_frame(DATA, END_STREAM, 1, &frame(&one_unit_check()));
+    let end = raw.read_until(|f| f.stream == 1 && (f.kind == RST_STREAM || f.flags & END_STREAM != 0));
     assert!(end.is_none_or(|f| f.kind == RST_STREAM || f.payload.len() < 40));
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
@@ -134,19 +135,19 @@
     let limiter = Limiter::with_operator_text(text, capped, &[&server]);
     let address = limiter.grpc.expect("a gRPC listener");
     let mut raw = RawConnection::new(address, &[]);
-    let q = frame(&roomy());
+    let q = frame(&one_unit_check());
     for n in 0..50 {
         let stream = 2 * n + 1;
-        raw.head(stream);
+        raw.send_check_headers(stream);
         // Before, within and after the message; behind it the decision may have been made.
-        raw.send(DATA, 0, stream, &q[..(n as usize * 7) % q.len()]);
-        raw.send(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
+        raw.send_frame(DATA, 0, stream, &q[..(n as usize * 7) % q.len()]);
+        raw.send_frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
     }
     // No half a question was decided: the cap's one place is free, and all is answered as before.
-    raw.ask(1_001, &roomy());
+    raw.send_check(1_001, &one_unit_check());
     assert!(answered(&mut raw, 1_001));
     let grpc_client = GrpcClient::new(address);
-    assert!(!grpc_client.permitted(&roomy()), "the place is taken by the whole question alone");
+    assert!(!grpc_client.permitted(&one_unit_check()), "the place is taken by the whole question alone");
     // Whole check requests whose streams are reset at once, all in one write: whether the answer was out first is
     // for the two sides to race, but a place that was not delivered must come back long before its time.
     let mut burst = Vec::new();
@@ -158,7 +159,7 @@
     }
     raw.write(&burst);
     // Time left in each question: 1.5 s; the cap's place is free again then at the latest.
-    wait_until("a place is free", || grpc_client.permitted(&roomy()));
+    wait_until("a place is free", || grpc_client.permitted(&one_unit_check()));
 }
 
 #[test]
@@ -172,7 +173,7 @@
     let address = limiter.grpc.expect("a gRPC listener");
     // No window: the answer's head comes, its message waits.
     let mut raw = RawConnection::new(address, &[(4, 0)]);
-    let long = with_headers(
+    let long = check_request_with_headers(
         "/bind/00000000b4d65521",
         &[
             ("x-contract", "roomy"),
@@ -182,12 +183,12 @@
             ("idempotency-key", "k"),
         ],
     );
-    raw.ask(1, &long);
-    assert!(raw.until(|f| f.kind == HEADERS && f.stream == 1).is_some());
+    raw.send_check(1, &long);
+    assert!(raw.read_until(|f| f.kind == HEADERS && f.stream == 1).is_some());
     let grpc_client = GrpcClient::new(address);
-    assert!(!grpc_client.permitted(&roomy()), "the place is taken");
-    raw.send(RST_STREAM, 0, 1, &CANCEL.to_be_bytes());
-    wait_until("the place is free", || grpc_client.permitted(&roomy()));
+    assert!(!grpc_client.permitted(&one_unit_check()), "the place is taken");
+    raw.send_frame(RST_STREAM, 0, 1, &CANCEL.to_be_bytes());
+    wait_until("the place is free", || grpc_client.permitted(&one_unit_check()));
 }
 
 #[test]
@@ -196,13 +197,13 @@
     // SETTINGS_INITIAL_WINDOW_SIZE 0: no answer can be sent.
     let mut raw = RawConnection::new(address, &[(4, 0)]);
     for n in 0..20 {
-        raw.ask(2 * n + 1, &roomy());
+        raw.send_check(2 * n + 1, &one_unit_check());
     }
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
     let began = Instant::now();
-    assert!(raw.closed());
+    assert!(raw.wait_for_close());
     assert!(began.elapsed() < Duration::from_secs(12));
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
@@ -211,19 +212,19 @@
     let mut silent = RawConnection::new(address, &[]);
     let mut nothing = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
     nothing.stream.set_read_timeout(Some(PATIENCE)).expect("set");
-    assert!(silent.closed());
-    assert!(nothing.closed());
-    serves(&limiter, address);
+    assert!(silent.wait_for_close());
+    assert!(nothing.wait_for_close());
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
 fn an_incomplete_message_times_out() {
     let (_limiter, address) = limiter("");
     let mut raw = RawConnection::new(address, &[]);
-    raw.head(1);
-    raw.send(DATA, 0, 1, &frame(&roomy())[..9]);
+    raw.send_check_headers(1);
+    raw.send_frame(DATA, 0, 1, &frame(&one_unit_check())[..9]);
     // The answer is a status alone, and what is left of the question is not waited for.
-    let end = raw.until(|f| f.stream == 1 && (f.kind == RST_STREAM || f.flags & END_STREAM != 0));
+    let end = raw.read_until(|f| f.stream == 1 && (f.kind == RST_STREAM || f.flags & END_STREAM != 0));
     assert!(end.is_some());
 }
 
@@ -232,25 +233,25 @@
     for limits in ["idle_s = 1\n", "age_s = 1\n"] {
         let (limiter, address) = limiter(limits);
         let mut raw = RawConnection::new(address, &[]);
-        raw.ask(1, &roomy());
+        raw.send_check(1, &one_unit_check());
         assert!(answered(&mut raw, 1));
-        let goaway = raw.until(|f| f.kind == GOAWAY).expect("GOAWAY");
+        let goaway = raw.read_until(|f| f.kind == GOAWAY).expect("GOAWAY");
         assert_eq!(code(&goaway), 0);
         // This call crossed the GOAWAY.
-        raw.ask(3, &roomy());
-        let ping = raw.until(|f| f.kind == PING && f.flags & ACK == 0).expect("PING");
-        raw.send(PING, ACK, 0, &ping.payload);
+        raw.send_check(3, &one_unit_check());
+        let ping = raw.read_until(|f| f.kind == PING && f.flags & ACK == 0).expect("PING");
+        raw.send_frame(PING, ACK, 0, &ping.payload);
         assert!(answered(&mut raw, 3));
         // Now the second GOAWAY, which names it, and the end.
-        assert!(raw.closed());
-        serves(&limiter, address);
+        assert!(raw.wait_for_close());
+        assert_both_listeners_serve(&limiter, address);
     }
 }
 
 #[test]
 fn bytes_that_are_not_http2_close_their_own_connection_only() {
     let (limiter, address) = limiter("");
-    let q = frame(&roomy());
+    let q = frame(&one_unit_check());
     let oversized = raw_frame(DATA, 0, 1, &vec![0; 70_000]);
     let cases: [&[u8]; 8] = [
         &raw_frame(DATA, 0, 0, b"x"),
@@ -265,20 +266,20 @@
     for case in cases {
         let mut raw = RawConnection::new(address, &[]);
         raw.write(case);
-        assert!(raw.closed(), "{:?}", &case[..9]);
+        assert!(raw.wait_for_close(), "{:?}", &case[..9]);
     }
     // An HTTP/1.1 client at the wrong door.
     let mut plain = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
     plain.stream.set_read_timeout(Some(PATIENCE)).expect("set");
     plain.write(quote("roomy", 1_500).as_bytes());
-    assert!(plain.closed());
+    assert!(plain.wait_for_close());
     // More after a stream's end is an error (RFC 9113, 5.1 wants STREAM_CLOSED; the library names another).
     let mut raw = RawConnection::new(address, &[]);
-    raw.ask(1, &roomy());
-    raw.send(DATA, END_STREAM, 1, &q);
-    let end = raw.until(|f| f.kind == RST_STREAM || f.kind == GOAWAY).expect("an error");
+    raw.send_check(1, &one_unit_check());
+    raw.send_frame(DATA, END_STREAM, 1, &q);
+    let end = raw.read_until(|f| f.kind == RST_STREAM || f.kind == GOAWAY).expect("an error");
     assert_ne!(code(&end), NO_ERROR);
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
@@ -288,11 +289,12 @@
     let streams = (0..1_000u32).map(|n| 2 * n + 1);
     let heads = |stream| raw_frame(HEADERS, END_HEADERS, stream, &call_headers(CHECK));
     assert!(raw.write(&streams.clone().flat_map(heads).collect::<Vec<u8>>()));
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
     for stream in streams {
-        raw.send(DATA, END_STREAM, stream, b"x");
+        raw.send_frame(DATA, END_STREAM, stream, b"x");
     }
-    let ended = std::iter::from_fn(|| raw.next()).filter(|f| f.kind == HEADERS && f.flags & END_STREAM != 0);
+    let ended =
+        std::iter::from_fn(|| raw.read_frame()).filter(|f| f.kind == HEADERS && f.flags & END_STREAM != 0);
     assert_eq!(ended.take(1_000).count(), 1_000);
 }
 
@@ -300,17 +302,17 @@
 fn a_check_request_in_tiny_frames_closes_its_connection() {
     let (limiter, address) = limiter("");
     let mut raw = RawConnection::new(address, &[]);
-    let q = frame(&roomy());
+    let q = frame(&one_unit_check());
     // Each byte in a frame of its own, over and over: work for us, next to none for the sender.
     for n in 0..200 {
         let stream = 2 * n + 1;
-        raw.head(stream);
-        if !q.iter().all(|byte| raw.send(DATA, 0, stream, std::slice::from_ref(byte))) {
+        raw.send_check_headers(stream);
+        if !q.iter().all(|byte| raw.send_frame(DATA, 0, stream, std::slice::from_ref(byte))) {
             break;
         }
     }
-    assert!(raw.closed());
-    serves(&limiter, address);
+    assert!(raw.wait_for_close());
+    assert_both_listeners_serve(&limiter, address);
 }
 
 #[test]
@@ -323,7 +325,7 @@
         seed ^= seed << 17;
         seed % below
     };
-    let q = frame(&roomy());
+    let q = frame(&one_unit_check());
     for _ in 0..300 {
         let mut raw = RawConnection::new(address, &[]);
         let mut bytes = Vec::new();
@@ -344,6 +346,6 @@
         raw.write(&bytes);
     }
     // A panic ends the process.
-    serves(&limiter, address);
+    assert_both_listeners_serve(&limiter, address);
     assert!(!limiter.errors().contains("panicked"), "{}", limiter.errors());
 }
