--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -24,7 +24,7 @@
             0 => Reply::Raw(fault.into()),
             _ => ok("good"),
         });
-        let limiter = Limiter::over(&[&server]);
+        let limiter = Limiter::with_servers(&[&server]);
         // It may have run: sent again by its key alone, and within the time that the client still has.
         let began = Instant::now();
         let answer = limiter.client().ask(&post("bind", "x"));
@@ -46,7 +46,7 @@
                 Some(ms) => Reply::Pieces(vec![(Duration::ZERO, good), (Duration::from_millis(ms), copy)]),
             }
         });
-        let limiter = Limiter::over(&[&server]);
+        let limiter = Limiter::with_servers(&[&server]);
         let mut client = limiter.client();
         for _ in 0..20 {
             let request = post("once", "x");
@@ -64,7 +64,7 @@
             (Duration::from_millis(600), raw("200 OK", "", "served")),
         ])
     });
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     for _ in 0..2 {
         let answer = limiter.client().ask(&post("once", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"));
@@ -76,7 +76,7 @@
     for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
         let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
         let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
-        let limiter = Limiter::over(&[&server]);
+        let limiter = Limiter::with_servers(&[&server]);
         let mut client = limiter.client();
         // A burst of four units.
         for n in 0..4 {
--- a/crates/daemon/tests/asked.rs
+++ b/crates/daemon/tests/asked.rs
@@ -369,7 +369,7 @@
         Conduct::CutInMessage,
         Conduct::AnswerAfter(Duration::from_secs(4)),
     ];
-    at_once(faults, long_fault);
+    in_parallel(faults, long_fault);
 }
 
 #[test]
@@ -382,7 +382,7 @@
 
 #[test]
 fn retry_after_of_a_refusal_is_respected() {
-    at_once([("2", 2.0), ("1.5", 1.5), ("0.4", 0.4)], |(text, seconds)| {
+    in_parallel([("2", 2.0), ("1.5", 1.5), ("0.4", 0.4)], |(text, seconds)| {
         let conduct = Conduct::Refuse(Some(text));
         long_fault(conduct);
         // Once more with a look at the pauses: no call comes before its time.
@@ -442,7 +442,7 @@
         Conduct::CutInMessage,
         Conduct::AnswerAfter(Duration::from_secs(4)),
     ];
-    at_once(faults, |conduct| {
+    in_parallel(faults, |conduct| {
         let case = format!("{conduct:?} once");
         let mut rig = Rig::serving();
         rig.discovery.fail_next(rig.front(), conduct, 1);
@@ -464,7 +464,7 @@
 /// With nothing changed since the list held, the answer to a call is its head alone, and an empty line 2 s later.
 #[test]
 fn a_watch_that_ends_with_nothing_new_interrupts_nothing() {
-    at_once([Conduct::Serve, Conduct::Close, Conduct::Refuse(None)], |conduct| {
+    in_parallel([Conduct::Serve, Conduct::Close, Conduct::Refuse(None)], |conduct| {
         let case = format!("{conduct:?} and nothing new");
         let mut rig = Rig::serving();
         rig.discovery.fail_next(rig.front(), conduct, 1);
@@ -544,7 +544,7 @@
 
 #[test]
 fn a_move_in_the_middle_of_a_backoff_is_followed_at_once() {
-    at_once([Conduct::Serve, Conduct::Refuse(Some("1")), Conduct::Hang], |conduct| {
+    in_parallel([Conduct::Serve, Conduct::Refuse(Some("1")), Conduct::Hang], |conduct| {
         let case = format!("a move to {conduct:?}");
         let mut rig = Rig::serving();
         let (other, counter) = (rig.discovery.front(0), counter());
@@ -690,7 +690,7 @@
 
 #[test]
 fn six_limiters_recover_after_an_outage_at_the_rate_of_discovery() {
-    at_once([Conduct::Hang, Conduct::Close], |conduct| {
+    in_parallel([Conduct::Hang, Conduct::Close], |conduct| {
         let case = format!("six after {conduct:?}");
         let mut rig = Rig::new(Cost::of_call(10), Duration::from_millis(30));
         rig.start_members(6);
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -142,11 +142,11 @@
 fn a_late_connection_gets_no_request_past_its_deduplication_window() {
     for (window, written) in [(0.8, false), (60.0, true)] {
         let first = Raw::new(vec![Fate::LateReset(Duration::from_millis(400))]);
-        let (listener, late, filled) = never_up();
+        let (listener, late, filled) = full_backlog();
         let mut settings = with_window(window);
         settings["limits"]["connect-timeout-s"] = json!(10.0);
         let discovery = discovery(vec![instance("s-0", first.address, "in_service")]);
-        let limiter = Limiter::with_known(&update(9, true, &[]), settings, discovery.address);
+        let limiter = Limiter::with_known_list(&update(9, true, &[]), settings, discovery.address);
         wait_until("the limiter is up", || limiter.up());
         let mut client = limiter.client();
         client.send(&post("bind", "x"));
@@ -182,15 +182,15 @@
         limiter.pause();
         // Its end, or half a line, and the next request, all in one moment.
         if round % 2 == 0 {
-            server.cut();
+            server.disconnect_all();
         } else {
             server.push("HTTP/1.1 2");
         }
         let request = post("once", "x");
         client.send(&request);
-        limiter.go_on();
+        limiter.resume();
         assert_eq!(client.answer().expect("an answer").text(), "served", "round {round}");
-        assert_eq!(server.copies(id_of(&request)), 1, "round {round}");
+        assert_eq!(server.count_with_id(correlation_id(&request)), 1, "round {round}");
     }
 }
 
@@ -202,7 +202,7 @@
         let gate = gate.clone();
         move |m: &Message| {
             let held = gate.lock().expect("lock").clone();
-            held.pass();
+            held.wait();
             ok(m.header("x-correlation-id").unwrap_or_default())
         }
     };
@@ -215,19 +215,24 @@
         let held = Gate::default();
         *gate.lock().expect("lock") = held.clone();
         let (mut client, request) = (limiter.client(), post("once", "x"));
-        let copies = || one.copies(id_of(&request)) + other.copies(id_of(&request));
+        let copies =
+            || one.count_with_id(correlation_id(&request)) + other.count_with_id(correlation_id(&request));
         client.send(&request);
         wait_until("the request is out", || copies() == 1);
-        let busy = usize::from(one.copies(id_of(&request)) == 0);
+        let busy = usize::from(one.count_with_id(correlation_id(&request)) == 0);
         limiter.pause();
         let state = if round % 2 == 0 { "terminating" } else { "terminated" };
         discovery.push(&chunk(&update(20 + 2 * round, false, &[at(busy, state)])));
         held.open();
         // The answer is behind the news when the limiter goes on.
         thread::sleep(Duration::from_millis(50));
-        limiter.go_on();
+        limiter.resume();
         let answer = client.answer().expect("an answer");
-        assert_eq!((answer.status(), answer.text().as_str()), (200, id_of(&request)), "round {round}");
+        assert_eq!(
+            (answer.status(), answer.text().as_str()),
+            (200, correlation_id(&request)),
+            "round {round}"
+        );
         assert_eq!(copies(), 1, "round {round}: sent again though it had run");
         discovery.push(&chunk(&update(21 + 2 * round, false, &[at(busy, "in_service")])));
     }
@@ -236,7 +241,7 @@
 /// The connection comes up and the server speaks, all before the limiter looks again.
 #[test]
 fn bytes_that_come_before_the_request_are_no_answer() {
-    let (listener, address, filled) = never_up();
+    let (listener, address, filled) = full_backlog();
     let mut settings = patient();
     settings["limits"]["connect-timeout-s"] = json!(10.0);
     // The only connection that is opened is that of the request.
@@ -244,7 +249,7 @@
     let limiter = over(settings, &[address]);
     let mut client = limiter.client();
     client.send(&post("once", "x"));
-    wait_until("it connects", || being_opened(address) == 1);
+    wait_until("it connects", || pending_connects(address) == 1);
     limiter.pause();
     let filled_ports: Vec<_> = filled.iter().map(|s| s.local_addr().expect("address").port()).collect();
     drop(filled);
@@ -258,10 +263,10 @@
     };
     early.write_all(raw("200 OK", "", "somebody else's").as_bytes()).expect("write");
     let server = Fake::at(listener, |_| ok("its own"));
-    limiter.go_on();
+    limiter.resume();
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "its own"));
     assert_eq!(server.count(), 1);
-    early.set_read_timeout(Some(PATIENCE)).expect("set");
+    early.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     assert!(!matches!(early.read(&mut [0]), Ok(1..)), "it got the request too");
 }
--- a/crates/daemon/tests/authorizer.rs
+++ b/crates/daemon/tests/authorizer.rs
@@ -284,8 +284,8 @@
         let mut leaving = limiter.client();
         leaving.send(&post("bind", "{}"));
         wait_until("the client is answered or the trial is sent", || {
-            leaving.patience(Duration::from_millis(20));
-            leaving.has_been_told() || authorizer.count() == 2
+            leaving.set_read_timeout(Duration::from_millis(20));
+            leaving.has_input_or_eof() || authorizer.count() == 2
         });
         leaving.close();
         authorizer.count() == 2
--- a/crates/daemon/tests/client_disconnects.rs
+++ b/crates/daemon/tests/client_disconnects.rs
@@ -30,20 +30,20 @@
 
 #[test]
 fn a_connecting_attempt_is_aborted_whether_cancellation_is_allowed_or_not() {
-    at_once([true, false], |may_cancel| {
-        let (listener, address, filled) = never_up();
+    in_parallel([true, false], |may_cancel| {
+        let (listener, address, filled) = full_backlog();
         let mut settings = patient(may_cancel);
         settings["limits"]["connect-timeout-s"] = json!(10.0);
         // The only connection that is opened is that of the request.
         settings["limits"]["may-probe"] = json!(false);
         let discovery = discovery(vec![instance("s-0", address, "in_service")]);
-        let limiter = Limiter::with_known(&update(9, true, &[]), settings, discovery.address);
+        let limiter = Limiter::with_known_list(&update(9, true, &[]), settings, discovery.address);
         wait_until("the limiter is up", || limiter.up());
         let mut client = limiter.client();
         client.send(&post("bind", "x"));
-        wait_until("it connects", || being_opened(address) == 1);
+        wait_until("it connects", || pending_connects(address) == 1);
         client.close();
-        wait_until("the attempt is dropped", || being_opened(address) == 0);
+        wait_until("the attempt is dropped", || pending_connects(address) == 0);
         // Now connections come up: the kernel tries again within a second or two, if anybody wants it to.
         drop(filled);
         listener.set_nonblocking(true).expect("set");
@@ -73,7 +73,7 @@
 fn a_disconnect_behind_unread_bytes_is_detected() {
     let behind =
         ["", "\r\n", "half a line", &quote("roomy", 9000), &"x".repeat(10_000), &"x".repeat(300_000)];
-    at_once([End::Close, End::Reset, End::HalfClose], |end| {
+    in_parallel([End::Close, End::Reset, End::HalfClose], |end| {
         for behind in behind {
             let server = Fake::new(|_| Reply::Silence);
             let limiter = over(patient(true), server.address);
@@ -86,7 +86,7 @@
                 End::Close => client.close(),
                 End::Reset => client.reset(),
                 End::HalfClose => {
-                    client.end_sending();
+                    client.shutdown_write();
                     assert!(client.answer().is_none(), "nobody answers it");
                 }
             }
@@ -101,7 +101,7 @@
 #[test]
 fn a_client_with_bytes_behind_its_request_is_answered() {
     for behind in ["\r\n".to_string(), "half a line".into(), "x".repeat(10_000), "x".repeat(300_000)] {
-        let (gate, server) = held(|_| ok("served"));
+        let (gate, server) = gated_server(|_| ok("served"));
         let limiter = over(patient(true), server.address);
         let mut client = limiter.client();
         client.send(&quote("roomy", 60_000));
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_pipelined_request_is_answered_after_the_one_before() {
-    let (gate, server) = held(|m| ok(m.header("x-correlation-id").unwrap_or_default()));
+    let (gate, server) = gated_server(|m| ok(m.header("x-correlation-id").unwrap_or_default()));
     let limiter = over(patient(true), server.address);
     let (mut client, first, second) = (limiter.client(), post("bind", "x"), post("bind", "yy"));
     client.send(&first);
@@ -123,14 +123,14 @@
     client.send(&second);
     gate.open();
     for request in [first, second] {
-        assert_eq!(client.answer().expect("an answer").text(), id_of(&request));
+        assert_eq!(client.answer().expect("an answer").text(), correlation_id(&request));
     }
 }
 
 #[test]
 fn a_failed_attempt_is_not_retried_after_its_client_disconnected() {
     for behind in ["", "half a line"] {
-        let (gate, server) = held(|_| Reply::Last(String::new()));
+        let (gate, server) = gated_server(|_| Reply::RawThenClose(String::new()));
         // The attempt stays out, so its failure comes to a request that nobody waits for.
         let limiter = over(patient(false), server.address);
         let mut client = limiter.client();
@@ -173,12 +173,12 @@
                 End::Close => client.close(),
                 End::Reset => client.reset(),
                 End::HalfClose => {
-                    client.end_sending();
+                    client.shutdown_write();
                     open.push(client);
                 }
             }
         }
-        limiter.go_on();
+        limiter.resume();
         // One that comes behind them all is served, and by then they have had their turn.
         assert_eq!(limiter.client().ask(&quote("roomy", 60_000)).status(), 200);
         thread::sleep(GONE);
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
     let server = Fake::new(|_| Reply::Silence);
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
     wait_until("the request is out", || server.count() == 1);
@@ -78,7 +78,7 @@
 #[test]
 fn malformed_requests_get_a_4xx_status_and_reach_no_server() {
     let server = Fake::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let good = post("bind", "x");
     let cases = malformed_requests(&good).into_iter().chain(requests_without_or_with_two_of_a_header(&good));
     for (text, status) in cases {
@@ -100,7 +100,7 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // So few descriptors leave room for some twenty clients.
-    let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = Limiter::with_descriptor_limit(72, settings(), &discovery, counter().address);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut client = limiter.client();
@@ -116,14 +116,14 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !gate.load(Ordering::SeqCst) && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
         ok("served")
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::with_sockets(40, settings(), &discovery, counter().address);
+    let limiter = Limiter::with_descriptor_limit(40, settings(), &discovery, counter().address);
     // Four clients may be connected: all are busy, and stay connected when they have been answered.
     let mut clients: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
     for client in &mut clients {
@@ -139,7 +139,7 @@
 #[test]
 fn a_request_with_content_length_and_chunked_encoding_smuggles_no_request() {
     let server = Fake::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let (hidden, outer) = (quote("roomy", 9000), post("bind", ""));
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -164,13 +164,13 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !gate.load(Ordering::SeqCst) && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
         ok("served")
     });
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
     wait_until("the request is out", || server.count() == 1);
@@ -185,7 +185,7 @@
 #[test]
 fn an_error_reply_reaches_a_client_that_is_still_sending() {
     let server = Fake::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let junk = "x".repeat(128 * 1024);
     for (text, status) in [
         (post("bind", "x").replace("Content-Length: 1\r\n", "Content-Length: 60000000\r\n"), 413),
@@ -209,7 +209,7 @@
 #[test]
 fn a_connection_without_a_complete_request_is_closed_in_time() {
     let server = Fake::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let whole = post("bind", "12345678");
     let cases: [(&str, &str); 5] = [
         ("", ""),
@@ -224,9 +224,9 @@
             let (mut client, began, more) = (limiter.client(), Instant::now(), more.to_string());
             client.send(start);
             std::thread::spawn(move || {
-                client.patience(Duration::from_millis(100));
-                while began.elapsed() < PATIENCE && !client.has_been_told() {
-                    client.send_quietly(more.as_bytes());
+                client.set_read_timeout(Duration::from_millis(100));
+                while began.elapsed() < WAIT_TIMEOUT && !client.has_input_or_eof() {
+                    client.send_ignoring_errors(more.as_bytes());
                 }
                 began.elapsed()
             })
@@ -245,7 +245,7 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // Room for some twenty clients.
-    let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = Limiter::with_descriptor_limit(72, settings(), &discovery, counter().address);
     let mut usual: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
     for client in &mut usual {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -263,7 +263,7 @@
 #[test]
 fn an_idle_keep_alive_connection_is_closed_after_its_timeout() {
     let server = Fake::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let mut client = limiter.client();
     assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     let began = Instant::now();
--- a/crates/daemon/tests/closes.rs
+++ b/crates/daemon/tests/closes.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn graceful_shutdown_answers_hanging_requests_whatever_their_deadline() {
-    at_once([(0.8, true), (0.8, false), (5.0, true), (5.0, false)], |(deadline, may_cancel)| {
+    in_parallel([(0.8, true), (0.8, false), (5.0, true), (5.0, false)], |(deadline, may_cancel)| {
         let server = Fake::new(|_| Reply::Silence);
         let mut limiter = over(with_deadline(deadline, may_cancel), &server);
         let mut clients: Vec<Client> = (0..3).map(|_| limiter.client()).collect();
@@ -54,7 +54,7 @@
         clients.push(late);
         for client in &mut clients {
             let answer = client.answer().expect("an answer, not a close");
-            assert!([429, 502, 503].contains(&answer.status()), "{}", answer.first);
+            assert!([429, 502, 503].contains(&answer.status()), "{}", answer.start_line);
         }
         ends(&mut limiter, terminated, deadline);
     });
@@ -75,7 +75,7 @@
 #[test]
 fn graceful_shutdown_loses_no_request_of_clients_that_keep_sending() {
     let server = Fake::new(|m| {
-        thread::sleep(Duration::from_millis(if m.first.contains("/bind/") { 250 } else { 1 }));
+        thread::sleep(Duration::from_millis(if m.start_line.contains("/bind/") { 250 } else { 1 }));
         ok("served")
     });
     let mut limiter = over(with_deadline(1.5, true), &server);
@@ -87,13 +87,19 @@
             thread::spawn(move || {
                 for turn in n.. {
                     let request = if turn % 3 == 0 { post("bind", "x") } else { quote("roomy", 9000) };
-                    client.send_quietly(request.as_bytes());
+                    client.send_ignoring_errors(request.as_bytes());
                     match client.answer() {
                         Some(answer) => {
-                            assert!([200, 429, 503].contains(&answer.status()), "{}", answer.first);
+                            assert!([200, 429, 503].contains(&answer.status()), "{}", answer.start_line);
                         }
                         // Closed between requests: this one was never read.
-                        None => return assert_eq!(server.copies(id_of(&request)), 0, "read and dropped"),
+                        None => {
+                            return assert_eq!(
+                                server.count_with_id(correlation_id(&request)),
+                                0,
+                                "read and dropped"
+                            )
+                        }
                     }
                 }
             })
@@ -133,16 +139,19 @@
                 limiter.terminate();
             }
             let terminated = Instant::now();
-            limiter.go_on();
+            limiter.resume();
             let mut answered = 0;
             for (client, request) in clients.iter_mut().zip(&requests) {
                 if !whole {
-                    client.send_quietly(&request.as_bytes()[request.len() - 60..]);
+                    client.send_ignoring_errors(&request.as_bytes()[request.len() - 60..]);
                 }
-                let copies = |n| assert_eq!(server.copies(id_of(request)), n, "signal first: {signal_first}");
+                let copies = |n| {
+                    let received = server.count_with_id(correlation_id(request));
+                    assert_eq!(received, n, "signal first: {signal_first}");
+                };
                 match client.answer() {
                     Some(answer) => {
-                        assert!([200, 429].contains(&answer.status()), "{}", answer.first);
+                        assert!([200, 429].contains(&answer.status()), "{}", answer.start_line);
                         assert_eq!(answer.header("connection"), Some("close"));
                         copies(usize::from(answer.status() == 200));
                         answered += 1;
@@ -181,7 +190,7 @@
     // Past the time for which new connections come.
     thread::sleep(Duration::from_millis(900));
     for (mut client, rest, known) in cases {
-        client.send_quietly(rest.as_bytes());
+        client.send_ignoring_errors(rest.as_bytes());
         let answer = client.answer();
         assert_eq!(answer.map(|a| a.status()), Some(200), "{} bytes later, known: {known}", rest.len());
     }
@@ -206,7 +215,7 @@
 
 #[test]
 fn further_signals_do_not_change_a_graceful_shutdown() {
-    let (gate, server) = held(|_| ok("served"));
+    let (gate, server) = gated_server(|_| ok("served"));
     let mut limiter = over(with_deadline(3.0, true), &server);
     let mut client = limiter.client();
     client.send(&post("once", "x"));
@@ -225,7 +234,7 @@
 fn sigterm_before_readiness_ends_the_limiter() {
     let silent = Fake::new(|_| Reply::Silence);
     let known = update(9, true, &[]);
-    let mut limiter = Limiter::with_known(&known, with_deadline(3.0, true), silent.address);
+    let mut limiter = Limiter::with_known_list(&known, with_deadline(3.0, true), silent.address);
     limiter.terminate();
     let terminated = Instant::now();
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 429);
@@ -236,7 +245,7 @@
 /// Its answer says that the connection closes; a close over what its client still sends would destroy it.
 #[test]
 fn the_last_reply_reaches_a_client_that_is_still_sending() {
-    let (gate, server) = held(|_| ok("served"));
+    let (gate, server) = gated_server(|_| ok("served"));
     let mut limiter = over(with_deadline(3.0, true), &server);
     let mut client = limiter.client();
     client.send(&post("once", "x"));
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -6,7 +6,7 @@
 mod connection;
 pub mod timed_server;
 
-use crate::common::{command, instance, scratch, update, Limiter, Message};
+use crate::common::{command, instance, temp_file, update, Limiter, Message};
 use connection::Connection;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -317,7 +317,7 @@
         let Ok(copy) = stream.try_clone() else { return };
         let Some(request) = Message::read(&mut BufReader::new(copy)) else { return };
         let _ = stream.set_nonblocking(true);
-        let target = request.first.split(' ').nth(1).unwrap_or("").to_string();
+        let target = request.start_line.split(' ').nth(1).unwrap_or("").to_string();
         let after = target.split("after=").nth(1).and_then(|a| a.split('&').next()?.parse().ok());
         let (call, conduct) = {
             let mut state = self.state();
@@ -335,6 +335,6 @@
     let known: Value = serde_json::from_str(known).expect("a list");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
         "discovery": front.to_string(), "known": known, "settings": settings});
-    let file = scratch(&config.to_string());
+    let file = temp_file(&config.to_string());
     Limiter::spawn(command(), file, config, front)
 }
--- a/crates/daemon/tests/common/asked/timed_server.rs
+++ b/crates/daemon/tests/common/asked/timed_server.rs
@@ -35,7 +35,7 @@
             let id = request.header("x-correlation-id").unwrap_or_default();
             let number = id.strip_prefix(ID_MARK).and_then(|rest| rest.get(..4));
             let limiter = number.and_then(|digits| usize::from_str_radix(digits, 16).ok());
-            let arrival = Arrival { limiter, at: Instant::now(), first: request.first.clone() };
+            let arrival = Arrival { limiter, at: Instant::now(), first: request.start_line.clone() };
             noted.lock().expect("lock").push(arrival);
             thread::sleep(Duration::from_millis(work.load(Ordering::SeqCst)));
             ok(name)
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -1,6 +1,6 @@
 //! gRPC from outside: calls by a library, and frames written by hand.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http2::{handshake, SendRequest};
@@ -155,7 +155,7 @@
                 body: body.to_bytes().to_vec(),
             })
         };
-        self.runtime.block_on(async { tokio::time::timeout(PATIENCE, call).await.expect("an end") })
+        self.runtime.block_on(async { tokio::time::timeout(WAIT_TIMEOUT, call).await.expect("an end") })
     }
 
     pub fn call(&self, path: &str, message: &impl Message) -> CallResult {
@@ -195,7 +195,7 @@
     /// The next piece: data, or the trailers' status.
     pub fn next(&mut self) -> Option<Result<Bytes, u16>> {
         let body = &mut self.body;
-        let next = async { tokio::time::timeout(PATIENCE, body.frame()).await.expect("a frame") };
+        let next = async { tokio::time::timeout(WAIT_TIMEOUT, body.frame()).await.expect("a frame") };
         let frame = self.grpc_client.runtime.block_on(next)?.ok()?;
         let frame = match frame.into_data() {
             Ok(data) => return Some(Ok(data)),
@@ -219,8 +219,8 @@
     /// Connects, and sends the preface with these settings (identifier and value).
     pub fn new(address: SocketAddr, settings: &[(u16, u32)]) -> RawConnection {
         let stream = TcpStream::connect(address).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
-        stream.set_write_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
+        stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         let mut raw = RawConnection { stream };
         raw.write(wire::PREFACE);
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 
 /// The longest that any condition is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "waited in vain until {what}");
         thread::sleep(Duration::from_millis(2));
@@ -27,7 +27,7 @@
 /// A message as it came: its first line, headers in lower case, body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -38,7 +38,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     pub fn text(&self) -> String {
@@ -52,7 +52,7 @@
             let read = from.read_line(&mut text).ok()?;
             (read > 0).then(|| text.trim_end().to_string())
         };
-        let mut message = Message { first: line()?, ..Message::default() };
+        let mut message = Message { start_line: line()?, ..Message::default() };
         loop {
             let text = line()?;
             let Some((name, value)) = text.split_once(':') else { break };
@@ -70,7 +70,7 @@
     /// Writes this.
     Raw(String),
     /// Writes this and closes.
-    Last(String),
+    RawThenClose(String),
     /// Writes these, each after a pause.
     Pieces(Vec<(Duration, String)>),
     /// Says nothing until the other side closes.
@@ -91,7 +91,7 @@
     accepted: AtomicU32,
     ended: AtomicU32,
     streams: Mutex<Vec<TcpStream>>,
-    let_go: Mutex<Vec<String>>,
+    abandoned_ids: Mutex<Vec<String>>,
 }
 
 /// A listener that answers each request by a rule, and remembers them.
@@ -141,12 +141,12 @@
     }
 
     /// Ids of the requests on which it kept silent until the other side closed.
-    pub fn let_go(&self) -> Vec<String> {
-        self.log.let_go.lock().expect("lock").clone()
+    pub fn abandoned_ids(&self) -> Vec<String> {
+        self.log.abandoned_ids.lock().expect("lock").clone()
     }
 
     /// How many requests with this id came.
-    pub fn copies(&self, id: &str) -> usize {
+    pub fn count_with_id(&self, id: &str) -> usize {
         self.seen().iter().filter(|m| m.header("x-correlation-id") == Some(id)).count()
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Ends every connection.
-    pub fn cut(&self) {
+    pub fn disconnect_all(&self) {
         for stream in self.log.streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -179,7 +179,7 @@
                     break;
                 }
             }
-            Reply::Last(text) => {
+            Reply::RawThenClose(text) => {
                 let _ = stream.write_all(text.as_bytes());
                 break;
             }
@@ -192,7 +192,7 @@
             Reply::Silence => {
                 let _ = reader.read(&mut [0]);
                 let id = message.header("x-correlation-id").unwrap_or_default();
-                log.let_go.lock().expect("lock").push(id.to_string());
+                log.abandoned_ids.lock().expect("lock").push(id.to_string());
                 break;
             }
         }
@@ -210,8 +210,8 @@
         "cell": 1, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-pub fn update(generation: u64, reset: bool, instances: &[Value]) -> String {
-    json!({"generation": generation, "reset": reset, "instances": instances}).to_string()
+pub fn update(revision: u64, reset: bool, instances: &[Value]) -> String {
+    json!({"generation": revision, "reset": reset, "instances": instances}).to_string()
 }
 
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -222,8 +222,8 @@
 }
 
 /// The path that a call to the counter names, and what it adds.
-pub fn counter_call(call: &Message) -> (&str, f64) {
-    let target = call.first.split(' ').nth(1).unwrap_or("");
+pub fn parse_counter_call(call: &Message) -> (&str, f64) {
+    let target = call.start_line.split(' ').nth(1).unwrap_or("");
     let (name, query) = target.split_once('?').unwrap_or((target, ""));
     (name, query.split('&').find_map(|q| q.strip_prefix("n=")?.parse::<f64>().ok()).unwrap_or(0.0))
 }
@@ -232,7 +232,7 @@
 pub fn counter() -> Fake {
     let numbers: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
     Fake::new(move |call| {
-        let (name, add) = counter_call(call);
+        let (name, add) = parse_counter_call(call);
         let mut numbers = numbers.lock().expect("lock");
         let total = numbers.entry(name.to_string()).or_default();
         *total += add;
@@ -257,7 +257,7 @@
 }
 
 /// An address at which nobody listens, until the socket is told to. It is held, so that no other test gets it.
-pub fn nobody() -> (socket2::Socket, SocketAddr) {
+pub fn unused_address() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind");
     let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("address");
@@ -265,8 +265,8 @@
 }
 
 /// A listener whose queue is full: connections to it neither come up nor fail.
-pub fn never_up() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
-    let (socket, address) = nobody();
+pub fn full_backlog() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
+    let (socket, address) = unused_address();
     socket.listen(0).expect("listen");
     let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
     let filled = std::iter::from_fn(|| fill().ok()).collect();
@@ -274,7 +274,7 @@
 }
 
 /// Connections to this address that are being opened: nobody has answered them yet.
-pub fn being_opened(address: SocketAddr) -> usize {
+pub fn pending_connects(address: SocketAddr) -> usize {
     const SYN_SENT: &str = "02";
     let SocketAddr::V4(address) = address else { panic!("{address} is not IPv4") };
     let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
@@ -286,7 +286,7 @@
     table.lines().filter(is_opened).count()
 }
 
-/// Accepts a connection, or fails after [`PATIENCE`].
+/// Accepts a connection, or fails after [`WAIT_TIMEOUT`].
 pub fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     let mut accepted = None;
     listener.set_nonblocking(true).expect("set");
@@ -301,7 +301,7 @@
 }
 
 /// Plays all cases at once; each has a limiter of its own.
-pub fn at_once<C: Send>(cases: impl IntoIterator<Item = C>, play: impl Fn(C) + Sync) {
+pub fn in_parallel<C: Send>(cases: impl IntoIterator<Item = C>, play: impl Fn(C) + Sync) {
     thread::scope(|scope| {
         for case in cases {
             let play = &play;
@@ -320,8 +320,8 @@
     }
 
     /// Waits until it is open.
-    pub fn pass(&self) {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait(&self) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !self.0.load(Ordering::SeqCst) && Instant::now() < end {
             thread::sleep(Duration::from_millis(1));
         }
@@ -329,11 +329,11 @@
 }
 
 /// A server that holds each request until the gate is open, and then answers by the rule.
-pub fn held(rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (Gate, Fake) {
+pub fn gated_server(rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (Gate, Fake) {
     let gate = Gate::default();
     let opened = gate.clone();
     let server = Fake::new(move |m| {
-        opened.pass();
+        opened.wait();
         rule(m)
     });
     (gate, server)
@@ -352,7 +352,7 @@
 }
 
 /// A file in the build's own folder for temporary files, which no other test uses.
-pub fn scratch(text: &str) -> std::path::PathBuf {
+pub fn temp_file(text: &str) -> std::path::PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -372,25 +372,30 @@
 impl Limiter {
     /// Starts it and waits until it is ready.
     pub fn start(settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
-        Limiter::with_sockets(1024, settings, discovery, counter)
+        Limiter::with_descriptor_limit(1024, settings, discovery, counter)
     }
 
     /// The same with a limit on descriptors.
-    pub fn with_sockets(sockets: u32, settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
+    pub fn with_descriptor_limit(
+        sockets: u32,
+        settings: Value,
+        discovery: &Fake,
+        counter: SocketAddr,
+    ) -> Limiter {
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.address.to_string(), "counter": counter.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "settings": settings});
-        let file = scratch(&config.to_string());
+        let file = temp_file(&config.to_string());
         let command = command();
-        Limiter::launch(command, file, config, discovery.address)
+        Limiter::spawn_until_up(command, file, config, discovery.address)
     }
 
     /// Starts it with a list of servers that it had before, and does not wait.
-    pub fn with_known(known: &str, settings: Value, discovery: SocketAddr) -> Limiter {
+    pub fn with_known_list(known: &str, settings: Value, discovery: SocketAddr) -> Limiter {
         let known: Value = serde_json::from_str(known).expect("a list");
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.to_string(), "known": known, "settings": settings});
-        let file = scratch(&config.to_string());
+        let file = temp_file(&config.to_string());
         Limiter::spawn(command(), file, config, discovery)
     }
 
@@ -411,7 +416,7 @@
         if let Some(counter) = counter {
             config["counter"] = json!(counter.to_string());
         }
-        let file = scratch(&config.to_string());
+        let file = temp_file(&config.to_string());
         let mut command = command();
         command.arg("--operator").arg(operator);
         Limiter::spawn(command, file, config, discovery)
@@ -421,14 +426,19 @@
     pub fn with_operator_text(text: &str, settings: Value, servers: &[&Fake]) -> Limiter {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
-        let (file, discovery) = (scratch(text), discovery(list));
+        let (file, discovery) = (temp_file(text), discovery(list));
         let limiter = Limiter::with_operator(&file, settings, discovery.address);
         wait_until("the limiter is up", || limiter.up());
         let _ = std::fs::remove_file(file);
         limiter
     }
 
-    fn launch(command: Command, file: std::path::PathBuf, config: Value, discovery: SocketAddr) -> Limiter {
+    fn spawn_until_up(
+        command: Command,
+        file: std::path::PathBuf,
+        config: Value,
+        discovery: SocketAddr,
+    ) -> Limiter {
         let limiter = Limiter::spawn(command, file, config, discovery);
         wait_until("the limiter is up", || limiter.up());
         limiter
@@ -478,7 +488,7 @@
     }
 
     /// One with these servers, all in service, and a counter that works.
-    pub fn over(servers: &[&Fake]) -> Limiter {
+    pub fn with_servers(servers: &[&Fake]) -> Limiter {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
         Limiter::start(settings(), &discovery(list), counter().address)
@@ -502,7 +512,7 @@
         });
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -532,7 +542,7 @@
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("wait") {
                 return status;
@@ -570,7 +580,7 @@
 impl Client {
     pub fn to(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         Client { reader: BufReader::new(stream.try_clone().expect("clone")), stream }
     }
 
@@ -579,16 +589,16 @@
     }
 
     /// Sends what still goes out: the other side may have closed.
-    pub fn send_quietly(&mut self, bytes: &[u8]) {
+    pub fn send_ignoring_errors(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    pub fn patience(&self, time: Duration) {
+    pub fn set_read_timeout(&self, time: Duration) {
         self.stream.set_read_timeout(Some(time)).expect("set");
     }
 
     /// Whether an answer has begun or the connection has been closed.
-    pub fn has_been_told(&mut self) -> bool {
+    pub fn has_input_or_eof(&mut self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(_) => true,
             Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
@@ -609,7 +619,7 @@
     }
 
     /// Ends its own sending alone.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
@@ -622,7 +632,7 @@
 static NEXT_ID: AtomicU32 = AtomicU32::new(1);
 
 /// The id in a request's text.
-pub fn id_of(request: &str) -> &str {
+pub fn correlation_id(request: &str) -> &str {
     request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.split("\r\n").next()).expect("an id")
 }
 
--- a/crates/daemon/tests/common/relays/limiter.rs
+++ b/crates/daemon/tests/common/relays/limiter.rs
@@ -3,7 +3,7 @@
 use super::{lock, LOAD_PAUSE};
 use crate::common::asked::timed_server::TimedServer;
 use crate::common::{
-    command, counter, discovery, quote, scratch, settings, wait_until, Client, Fake, Limiter, Message,
+    command, counter, discovery, quote, settings, temp_file, wait_until, Client, Fake, Limiter, Message,
 };
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     }
 
     fn with_operator(text: &str, known: Option<Value>) -> FollowingLimiter {
-        let operator_file = scratch(text);
+        let operator_file = temp_file(text);
         let (discovery, counter) = (discovery(Vec::new()), counter());
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.address.to_string(), "counter": counter.address.to_string(),
@@ -53,7 +53,7 @@
         if let Some(known) = known {
             config["known"] = known;
         }
-        let file = scratch(&config.to_string());
+        let file = temp_file(&config.to_string());
         let mut command = command();
         command.arg("--operator").arg(&operator_file);
         let limiter = Limiter::spawn(command, file, config, discovery.address);
--- a/crates/daemon/tests/common/relays/proxy.rs
+++ b/crates/daemon/tests/common/relays/proxy.rs
@@ -70,7 +70,7 @@
 ) -> Option<()> {
     subscriber.set_nodelay(true).ok()?;
     let request = Message::read(&mut BufReader::new(subscriber.try_clone().ok()?))?;
-    let target = target_of(&request.first);
+    let target = target_of(&request.start_line);
     lock(log).targets.push(target.clone());
     let mut watch = open_watch(upstream, &target)?;
     if watch.head.status() != 200 {
--- a/crates/daemon/tests/common/relays/service_discovery.rs
+++ b/crates/daemon/tests/common/relays/service_discovery.rs
@@ -122,10 +122,10 @@
     fn serve(&self, stream: &TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let Some(request) = Message::read(&mut BufReader::new(stream.try_clone()?)) else { return Ok(()) };
-        let mut after = after_of(&request.first);
+        let mut after = after_of(&request.start_line);
         {
             let mut state = lock(&self.state);
-            state.targets.push(target_of(&request.first));
+            state.targets.push(target_of(&request.start_line));
             if !state.reachable {
                 return Ok(());
             }
--- a/crates/daemon/tests/counter_validation.rs
+++ b/crates/daemon/tests/counter_validation.rs
@@ -33,7 +33,7 @@
     let mode = Arc::new(Mutex::new(Mode::Valid));
     let (now, counts) = (mode.clone(), Mutex::<HashMap<String, f64>>::default());
     let fake = Fake::new(move |call| {
-        let (name, add) = counter_call(call);
+        let (name, add) = parse_counter_call(call);
         let (mode, mut counts) = (*now.lock().expect("lock"), counts.lock().expect("lock"));
         if mode == Mode::CountsLost {
             counts.clear();
@@ -69,7 +69,7 @@
 fn validating_with(service: &CounterService, text: &str, settings: serde_json::Value) -> Limiter {
     let server = Fake::new(|_| ok("served"));
     let list = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let file = scratch(text);
+    let file = temp_file(text);
     let counter = Some(service.fake.address);
     let limiter = Limiter::with_operator_and_counter(&file, settings, list.address, counter);
     wait_until("the limiter is up", || limiter.up());
@@ -104,7 +104,7 @@
         limiter.client().ask(&quote("roomy", 9_000));
         service.fake.count() >= 2
     });
-    let names = service.fake.seen().into_iter().map(|m| m.first);
+    let names = service.fake.seen().into_iter().map(|m| m.start_line);
     assert!(
         names.clone().all(|n| !n.contains("canary") && !n.contains("roll")),
         "{:?}",
@@ -114,8 +114,8 @@
 
 #[test]
 fn a_census_period_too_short_for_its_calls_is_rejected_at_the_start() {
-    let file = scratch("[keeper]\nevery_ms = 400\nroll_ms = 1500\n");
-    let config = scratch(
+    let file = temp_file("[keeper]\nevery_ms = 400\nroll_ms = 1500\n");
+    let config = temp_file(
         &json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
         "settings": settings()})
         .to_string(),
@@ -133,7 +133,7 @@
 
 /// Number of calls for customers that a counter service has received.
 fn customer_calls(service: &CounterService) -> usize {
-    let names = service.fake.seen().into_iter().map(|m| m.first);
+    let names = service.fake.seen().into_iter().map(|m| m.start_line);
     names.filter(|n| !n.contains("canary") && !n.contains("roll")).count()
 }
 
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -14,7 +14,7 @@
     // Behind many names it takes many requests at once.
     let list = (0..16).map(|n| instance(&format!("s-{n}"), server.address, "in_service")).collect();
     let discovery = discovery(list);
-    let limiter = Limiter::with_sockets(SOCKETS, settings(), &discovery, count);
+    let limiter = Limiter::with_descriptor_limit(SOCKETS, settings(), &discovery, count);
     (discovery, limiter)
 }
 
@@ -31,11 +31,11 @@
 fn a_burst_of_connections_stays_within_the_descriptor_limit() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = Limiter::with_descriptor_limit(72, settings(), &discovery, counter().address);
     limiter.pause();
     // No more than the kernel keeps waiting.
     let mut clients: Vec<Client> = (0..110).map(|_| limiter.client()).collect();
-    limiter.go_on();
+    limiter.resume();
     let max_open = max_open_descriptors(&limiter, Duration::from_millis(400));
     assert!(max_open <= 72, "{max_open} open");
     // The last of them has its turn.
@@ -58,7 +58,7 @@
         _ => Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&after))),
     });
     let count = counter();
-    let limiter = Limiter::with_sockets(SOCKETS, settings(), &discovery, count.address);
+    let limiter = Limiter::with_descriptor_limit(SOCKETS, settings(), &discovery, count.address);
     wait_until("discovery is down", || discovery.count() > 3);
     // They fill all places and come again when they are let go.
     let done = Arc::new(AtomicBool::new(false));
@@ -105,10 +105,10 @@
         let mut answered = 0;
         while !done.load(Ordering::SeqCst) {
             let request = quote("roomy", 9000);
-            client.send_quietly(request.as_bytes());
+            client.send_ignoring_errors(request.as_bytes());
             match client.answer() {
                 Some(answer) => {
-                    assert!([200, 429].contains(&answer.status()), "{}", answer.first);
+                    assert!([200, 429].contains(&answer.status()), "{}", answer.start_line);
                     answered += 1;
                 }
                 // Closed between two requests: it asks once more on a new connection.
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -110,7 +110,7 @@
             Fault::Hangs => Reply::Silence,
             Fault::HeadAlone => Reply::Raw(WATCH_HEAD.into()),
             Fault::Status => Reply::Raw(raw("503 Service Unavailable", "", "")),
-            Fault::Cut => Reply::Last(String::new()),
+            Fault::Cut => Reply::RawThenClose(String::new()),
         }
     }
 }
@@ -171,7 +171,7 @@
     let (before, after) = swapped();
     let (old, count) = (watches(move |_| whole(&before)), counter());
     let limiter = Limiter::start(settings(), &old, count.address);
-    let (socket, address) = nobody();
+    let (socket, address) = unused_address();
     limiter.move_to(address, count.address);
     wait_until("openings are refused", || limiter.errors().contains("no connection"));
     socket.listen(16).expect("listen");
@@ -225,7 +225,7 @@
     let silent = Arc::new(AtomicBool::new(true));
     let gate = silent.clone();
     let discovery = watches(move |_| if gate.load(Ordering::SeqCst) { Reply::Silence } else { whole(&now) });
-    let limiter = Limiter::with_known(&known, settings(), discovery.address);
+    let limiter = Limiter::with_known_list(&known, settings(), discovery.address);
     // Longer than a list takes to come, asked over and over. What comes before it is ready is refused at once.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
@@ -236,7 +236,7 @@
     wait_until("the limiter is up", || limiter.up());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "second");
     assert_eq!(first.count(), 0, "a server that drains got something");
-    assert!(!discovery.seen()[0].first.contains("after"), "a new process asks for the whole list");
+    assert!(!discovery.seen()[0].start_line.contains("after"), "a new process asks for the whole list");
 }
 
 #[test]
@@ -244,7 +244,8 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = watches(|_| Reply::Silence);
     let began = Instant::now();
-    let limiter = Limiter::with_known(&list(9, &[(&server, "in_service")]), settings(), discovery.address);
+    let limiter =
+        Limiter::with_known_list(&list(9, &[(&server, "in_service")]), settings(), discovery.address);
     wait_until("the limiter is up", || limiter.up());
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "served");
--- a/crates/daemon/tests/grpc_limits.rs
+++ b/crates/daemon/tests/grpc_limits.rs
@@ -210,7 +210,7 @@
     let (limiter, address) = limiter("");
     let mut silent = RawConnection::new(address, &[]);
     let mut nothing = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
-    nothing.stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    nothing.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     assert!(silent.closed());
     assert!(nothing.closed());
     serves(&limiter, address);
@@ -269,7 +269,7 @@
     }
     // An HTTP/1.1 client at the wrong door.
     let mut plain = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
-    plain.stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    plain.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     plain.write(quote("roomy", 1_500).as_bytes());
     assert!(plain.closed());
     // More after a stream's end is an error (RFC 9113, 5.1 wants STREAM_CLOSED; the library names another).
--- a/crates/daemon/tests/inventory.rs
+++ b/crates/daemon/tests/inventory.rs
@@ -16,7 +16,7 @@
 
 impl InventoryDirectory {
     fn new(more: &str) -> InventoryDirectory {
-        let folder = scratch("").with_extension("d");
+        let folder = temp_file("").with_extension("d");
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("nodes.csv");
         let operator = format!("[inventory]\ncsv = '{}'\n{more}", file.display());
@@ -211,12 +211,12 @@
     rename_over(&directory.file, &only(2, b.address));
     wait_until("the move is adopted", || limiter.errors().contains("version 2 adopted"));
     assert_eq!(served_by(&limiter), "b 2");
-    assert!(silent.let_go().is_empty(), "the open attempt is left alone");
+    assert!(silent.abandoned_ids().is_empty(), "the open attempt is left alone");
     // Removed: the open attempt is ended at once, and a safe request goes to another node.
     rename_over(&directory.file, &csv(3, &[("s-b", b.address, "in_service")]));
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "b 3"));
-    wait_until("its connection is closed", || silent.let_go().len() == 1);
+    wait_until("its connection is closed", || silent.abandoned_ids().len() == 1);
 }
 
 #[test]
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -27,7 +27,9 @@
 }
 
 fn fake_endpoint() -> Fake {
-    Fake::new(|message| if message.first.contains("/metrics/load") { ok("busy=0.25") } else { ok("served") })
+    Fake::new(
+        |message| if message.start_line.contains("/metrics/load") { ok("busy=0.25") } else { ok("served") },
+    )
 }
 
 impl Cluster {
@@ -114,7 +116,7 @@
 
     fn health_checks(&self, endpoint: usize) -> u32 {
         let seen = self.endpoints[endpoint].seen();
-        seen.iter().filter(|m| m.first.contains("/metrics/load")).count() as u32
+        seen.iter().filter(|m| m.start_line.contains("/metrics/load")).count() as u32
     }
 
     /// Waits until each endpoint has been health-checked `times` more times. Returns how long that took.
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -47,7 +47,7 @@
 #[test]
 fn the_daemon_keeps_to_what_the_platform_of_large_fleets_allows() {
     let server = Fake::new(|_| ok("served"));
-    let mut limiter = Limiter::over(&[&server]);
+    let mut limiter = Limiter::with_servers(&[&server]);
     keeps_to_the_platform(limiter.pid());
     assert_eq!(limiter.client().ask(&quote("roomy", 1500)).status(), 200);
     keeps_to_the_platform(limiter.pid());
--- a/crates/daemon/tests/program.rs
+++ b/crates/daemon/tests/program.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_answer_returned() {
     let server = Fake::new(|m| ok(&format!("echo {}", m.text())));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let mut client = limiter.client();
     let sent = post("bind", "a policy");
     let answer = client.ask(&sent);
@@ -33,13 +33,13 @@
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
 
     let seen = server.seen();
-    assert_eq!(seen[0].first, "POST /bind/00000000b4d65521 HTTP/1.1");
+    assert_eq!(seen[0].start_line, "POST /bind/00000000b4d65521 HTTP/1.1");
     for name in ["X-Correlation-Id", "Idempotency-Key"] {
         let value = seen[0].header(&name.to_ascii_lowercase()).expect(name);
         assert!(sent.contains(&format!("{name}: {value}\r\n")), "{name}: {value}");
     }
     assert_eq!(seen[0].text(), "a policy");
-    assert_eq!(seen[1].first, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
+    assert_eq!(seen[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
     let left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
     assert!((1..1_500_000).contains(&left.expect("microseconds")), "{left:?}");
     assert_eq!(server.accepted(), 1, "the connection is used again");
@@ -60,7 +60,7 @@
         match answer.status() {
             200 => served += 1,
             429 => refused.push(answer.header("retry-after").map(str::parse::<f64>)),
-            _ => panic!("{}", answer.first),
+            _ => panic!("{}", answer.start_line),
         }
         matches!(refused.last(), Some(Some(_)))
     });
@@ -101,7 +101,7 @@
 /// Has a request meet a fault first; gives the final answer and what all servers saw of it.
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
     let server = Fake::new(at_first(1, fault));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     (limiter.client().ask(request), server.seen())
 }
 
@@ -109,7 +109,7 @@
 fn a_request_whose_connection_was_refused_is_retried_at_another_server() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
         let good = Fake::new(|_| ok("served"));
-        let (one, other) = (nobody(), nobody());
+        let (one, other) = (unused_address(), unused_address());
         let list = vec![
             instance("s-0", one.1, "in_service"),
             instance("s-1", other.1, "in_service"),
@@ -118,7 +118,7 @@
         let limiter = Limiter::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
         let answer = client.ask(&request);
-        assert_eq!((answer.status(), good.count()), (200, 1), "{}", answer.first);
+        assert_eq!((answer.status(), good.count()), (200, 1), "{}", answer.start_line);
     }
 }
 
@@ -138,30 +138,30 @@
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
         // Without its mark, a 503 does not say that the request never ran.
         || Reply::Raw(raw("503 Service Unavailable", "", "")),
-        || Reply::Last(String::new()),
-        || Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part".into()),
-        || Reply::Last("!!! this is no HTTP\r\n\r\n".into()),
+        || Reply::RawThenClose(String::new()),
+        || Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part".into()),
+        || Reply::RawThenClose("!!! this is no HTTP\r\n\r\n".into()),
         || Reply::Raw(raw("200 OK", "", &"x".repeat(64 * 1024 + 1))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
         let (answer, seen) = after(fault, &post("bind", "x"));
-        assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.first);
+        assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.start_line);
         assert_eq!(answer.text(), "late but good", "a broken answer never reaches a client");
         let key = |m: &Message| (m.header("idempotency-key").map(String::from), m.body.clone());
         assert_eq!(key(&seen[0]), key(&seen[1]), "the copy carries the same key");
         let (answer, seen) = after(fault, &post("once", "x"));
-        assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.first);
+        assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.start_line);
     }
 }
 
 #[test]
 fn an_answer_that_never_comes_fails_the_request_before_its_deadline() {
     let server = Fake::new(|_| Reply::Silence);
-    let limiter = Limiter::over(&[&server]);
+    let limiter = Limiter::with_servers(&[&server]);
     let began = Instant::now();
     let answer = limiter.client().ask(&quote("roomy", 1500));
     let took = began.elapsed();
-    assert!(answer.status() >= 429, "{}", answer.first);
+    assert!(answer.status() >= 429, "{}", answer.start_line);
     assert!(took >= Duration::from_millis(200) && took < Duration::from_secs(4), "{took:?}");
     wait_until("the attempt's connection is closed", || server.ended() == server.accepted());
 }
@@ -176,7 +176,7 @@
     let good = Fake::new(move |m| {
         let id = m.header("x-correlation-id").unwrap_or_default().to_string();
         let end = Instant::now() + Duration::from_secs(3);
-        while !first.let_go().contains(&id) {
+        while !first.abandoned_ids().contains(&id) {
             if Instant::now() > end {
                 noted.fetch_add(1, Ordering::SeqCst);
                 break;
@@ -207,8 +207,8 @@
 #[test]
 fn an_idle_connection_closed_by_its_server_fails_no_request() {
     // Every answer is followed by a close that no header announces.
-    let server = Fake::new(|_| Reply::Last(raw("200 OK", "", "bye")));
-    let limiter = Limiter::over(&[&server]);
+    let server = Fake::new(|_| Reply::RawThenClose(raw("200 OK", "", "bye")));
+    let limiter = Limiter::with_servers(&[&server]);
     let mut client = limiter.client();
     for n in 1..=5 {
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
@@ -224,7 +224,7 @@
         .map(|_| {
             let (failing, gate) = (failing.clone(), go.clone());
             Fake::new(move |_| {
-                let end = Instant::now() + PATIENCE;
+                let end = Instant::now() + WAIT_TIMEOUT;
                 while !gate.load(Ordering::SeqCst) && Instant::now() < end {
                     std::thread::sleep(Duration::from_millis(1));
                 }
@@ -276,7 +276,7 @@
 
 #[test]
 fn a_server_that_drains_during_a_connect_gets_no_request() {
-    let (listener, stuck, filled) = never_up();
+    let (listener, stuck, filled) = full_backlog();
     let good = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
     let mut settings = settings();
@@ -338,19 +338,19 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
-    assert!(discovery.seen()[0].first.starts_with("GET /discovery/hosts?watch=1"));
+    assert!(discovery.seen()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
     wait_until("the first line is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
     // It ends; then a line is no JSON; then one lacks what an entry needs.
     for (n, bad) in
         ["", "{\"generation\": 12, ", "{\"generation\":12,\"instances\":[{\"cell\":1}]}"].iter().enumerate()
     {
         if bad.is_empty() {
-            discovery.cut();
+            discovery.disconnect_all();
         } else {
             discovery.push(&chunk(bad));
         }
         wait_until("the watch is back", || discovery.count() == n + 2);
-        assert_eq!(discovery.seen()[n + 1].first, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
+        assert_eq!(discovery.seen()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the old list holds");
     }
     wait_until("the faults are logged", || limiter.errors().matches("discovery: ").count() >= 3);
@@ -391,7 +391,7 @@
             break;
         }
     }
-    let call = counter.seen()[0].first.clone();
+    let call = counter.seen()[0].start_line.clone();
     let (path, query) = call.trim_end_matches(" HTTP/1.1").split_once('?').expect("a query");
     assert!(path.starts_with("POST /tally/") && path.len() <= "POST /tally/".len() + 64, "{call}");
     assert!(query.starts_with("n=") && query.contains("&keep_ms=40000"), "{call}");
@@ -404,7 +404,7 @@
         ok("999999")
     };
     let rules: [fn() -> Reply; 4] =
-        [|| Reply::Silence, || ok("no number"), || Reply::Last("garbage\r\n\r\n".into()), late];
+        [|| Reply::Silence, || ok("no number"), || Reply::RawThenClose("garbage\r\n\r\n".into()), late];
     for (n, rule) in rules.into_iter().enumerate() {
         let server = Fake::new(|_| ok("served"));
         let counter = Fake::new(move |_| rule());
@@ -424,7 +424,7 @@
 #[test]
 fn a_counter_that_refuses_connections_is_reconnected() {
     let server = Fake::new(|_| ok("served"));
-    let (counter, address) = nobody();
+    let (counter, address) = unused_address();
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, address);
     let mut client = limiter.client();
@@ -449,7 +449,7 @@
     limiter.close_log();
     // Each broken watch is a line in the log: the first closes it, the others find it closed.
     for watches in 2..5 {
-        discovery.cut();
+        discovery.disconnect_all();
         wait_until("the watch is back", || discovery.count() == watches);
     }
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
@@ -476,7 +476,7 @@
         (with("known", json!({"generation": "x"})), "ROUTER_CONFIG"),
     ] {
         let mut command = command();
-        let file = config.as_deref().map(scratch);
+        let file = config.as_deref().map(temp_file);
         if let Some(file) = &file {
             command.env("ROUTER_CONFIG", file);
         }
--- a/crates/daemon/tests/relays.rs
+++ b/crates/daemon/tests/relays.rs
@@ -455,7 +455,7 @@
     let discovery = ServiceDiscovery::new(&servers);
     let root = Relay::root(&discovery);
     let start = std::sync::Barrier::new(CHILDREN);
-    at_once(0..CHILDREN, |number| {
+    in_parallel(0..CHILDREN, |number| {
         let followed: Vec<&str> = (0..FOLLOWED).map(|n| names[(number + n) % SERVICES].as_str()).collect();
         let mut expected: Vec<String> = servers
             .iter()
@@ -591,7 +591,7 @@
         assert_eq!(limiter.client().ask(&quote("roomy", 9_000)).status(), 200);
         !first.arrivals().is_empty() && !second.arrivals().is_empty()
     });
-    let calls: Vec<String> = discovery.seen().into_iter().map(|call| call.first).collect();
+    let calls: Vec<String> = discovery.seen().into_iter().map(|call| call.start_line).collect();
     let watch = "GET /discovery/hosts?watch=1";
     assert!(!calls.is_empty() && calls.iter().all(|call| call.starts_with(watch)), "{calls:?}");
     assert!(calls.iter().all(|call| !call.contains("service=")), "{calls:?}");
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -23,7 +23,7 @@
 
     limiter.move_to(discovery_2.address, counter_2.address);
     wait_until("the news of the second watch holds", || client.ask(&quote("roomy", 9000)).text() == "new");
-    assert_eq!(discovery_2.seen()[0].first, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
+    assert_eq!(discovery_2.seen()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The old ones are dropped from this side: they close what is left before long.
     wait_until("the first watch is dropped", || discovery_1.ended() == discovery_1.accepted());
     wait_until("the first counter is dropped", || counter_1.ended() == counter_1.accepted());
@@ -71,13 +71,13 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |m| {
-        let end = Instant::now() + PATIENCE;
-        while m.first.contains("/bind/") && !gate.load(Ordering::SeqCst) && Instant::now() < end {
+        let end = Instant::now() + WAIT_TIMEOUT;
+        while m.start_line.contains("/bind/") && !gate.load(Ordering::SeqCst) && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
         ok("served")
     });
-    let mut limiter = Limiter::over(&[&server]);
+    let mut limiter = Limiter::with_servers(&[&server]);
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
     assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
--- a/crates/daemon/tests/start_errors.rs
+++ b/crates/daemon/tests/start_errors.rs
@@ -15,7 +15,7 @@
 
 /// Runs a limiter with this configuration; `FILE` in the expected text stands for the file's name.
 fn assert_limiter_error(config: &str, variables: &[(&str, &str)], expected: &str) {
-    let file = scratch(config);
+    let file = temp_file(config);
     let name = file.display().to_string();
     let mut command = command();
     command.env("ROUTER_CONFIG", &file).envs(variables.iter().copied());
@@ -83,7 +83,7 @@
     let taken = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = taken.local_addr().expect("address");
     let (config, operator) =
-        (scratch(&config_without("none")), scratch(&format!("[grpc]\nlisten = '{address}'\n")));
+        (temp_file(&config_without("none")), temp_file(&format!("[grpc]\nlisten = '{address}'\n")));
     let mut command = command();
     command.env("ROUTER_CONFIG", &config).arg("--operator").arg(&operator);
     let expected =
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -79,7 +79,7 @@
             let discovery = discovery.address;
             thread::spawn(move || {
                 let started = Instant::now();
-                let limiter = Limiter::with_known(
+                let limiter = Limiter::with_known_list(
                     &update(9, true, &[]),
                     instance_settings(index % INSTANCES),
                     discovery,
