--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -1,4 +1,4 @@
-//! The real binary and servers whose answers are spoilt, or bring more than belongs to them.
+//! Servers whose responses are malformed, are followed by surplus bytes, or carry impossible values.
 mod common;
 
 use common::*;
@@ -25,7 +25,8 @@
             _ => ok("good"),
         });
         let limiter = Limiter::with_servers(&[&server]);
-        // It may have run: sent again by its key alone, and within the time that the client still has.
+        // The server may have executed the request: only its idempotency key permits the retry, which has to end within
+        // the client's deadline.
         let began = Instant::now();
         let answer = limiter.client().ask(&post("bind", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "good"), "{fault:?}");
@@ -78,7 +79,7 @@
         let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
         let limiter = Limiter::with_servers(&[&server]);
         let mut client = limiter.client();
-        // A burst of four units.
+        // The burst of this plan is four units.
         for n in 0..4 {
             assert_eq!(client.ask(&quote("small", 9000)).status(), 200, "{figure}: request {n}");
         }
--- a/crates/daemon/tests/architecture.rs
+++ b/crates/daemon/tests/architecture.rs
@@ -1,10 +1,10 @@
-//! The architecture page names only files and folders that exist, and an alarm that rings leads to one.
+//! The architecture page names only files and folders that exist, and a source file for each alarm.
 
 use std::path::{Path, PathBuf};
 
 /// The folders of the repository that the page refers to by path.
 const ROOTS: [&str; 6] = ["crates/", "docs/", "deploy/", "scenarios/", "experiments/", ".ci/"];
-/// The five alarms that the page must answer.
+/// The number of alarms that the page must cover.
 const ALARMS: usize = 5;
 
 fn repository() -> PathBuf {
--- a/crates/daemon/tests/client_disconnects.rs
+++ b/crates/daemon/tests/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! The real binary and clients that leave: nothing begins for them any more, whatever the settings say and
-//! whatever lies unread before their end.
+//! Clients that disconnect: the limiter starts no further attempt for them, whether cancellation is allowed or not,
+//! and also if unread bytes precede the end of the connection.
 mod common;
 
 use common::*;
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A further attempt that begins later than this after its client left is a break.
-const GONE: Duration = Duration::from_millis(100);
+/// No attempt may start later than this after its client has disconnected.
+const DETECTION_TIME: Duration = Duration::from_millis(100);
 
-/// Deadlines that end nothing in a test's time; attempts may be called off or not.
-fn patient(may_cancel: bool) -> Value {
+/// Settings whose deadlines do not expire during a test, with cancellation of attempts allowed or not.
+fn long_deadlines(may_cancel: bool) -> Value {
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().expect("classes") {
         class["deadline-s"] = json!(20.0);
@@ -22,8 +22,8 @@
     settings
 }
 
-/// Behind many names it takes many requests at once.
-fn over(settings: Value, address: SocketAddr) -> Limiter {
+/// Lists the server under 16 ids, so that it gets many requests at once.
+fn start_limiter(settings: Value, address: SocketAddr) -> Limiter {
     let list = (0..16).map(|n| instance(&format!("s-{n}"), address, "in_service")).collect();
     Limiter::start(settings, &discovery(list), counter().address)
 }
@@ -32,19 +32,19 @@
 fn a_connecting_attempt_is_aborted_whether_cancellation_is_allowed_or_not() {
     in_parallel([true, false], |may_cancel| {
         let (listener, address, filled) = full_backlog();
-        let mut settings = patient(may_cancel);
+        let mut settings = long_deadlines(may_cancel);
         settings["limits"]["connect-timeout-s"] = json!(10.0);
-        // The only connection that is opened is that of the request.
+        // Without probes, the only connection is that of the request.
         settings["limits"]["may-probe"] = json!(false);
         let discovery = discovery(vec![instance("s-0", address, "in_service")]);
         let limiter = Limiter::with_known_list(&update(9, true, &[]), settings, discovery.address);
         wait_until("the limiter is up", || limiter.up());
         let mut client = limiter.client();
         client.send(&post("bind", "x"));
-        wait_until("it connects", || pending_connects(address) == 1);
+        wait_until("the limiter connects", || pending_connects(address) == 1);
         client.close();
         wait_until("the attempt is dropped", || pending_connects(address) == 0);
-        // Now connections come up: the kernel tries again within a second or two, if anybody wants it to.
+        // From here on connections succeed: the kernel retransmits the SYN of an open attempt within a second or two.
         drop(filled);
         listener.set_nonblocking(true).expect("set");
         let end = Instant::now() + Duration::from_millis(2_500);
@@ -55,17 +55,20 @@
             };
             let mut stream: TcpStream = accepted.into();
             stream.set_read_timeout(Some(Duration::from_millis(100))).expect("set");
-            assert!(!matches!(stream.read(&mut [0]), Ok(1..)), "written for a client that left");
+            assert!(
+                !matches!(stream.read(&mut [0]), Ok(1..)),
+                "a request was sent for a client that had disconnected"
+            );
         }
     });
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum Disconnect {
     Close,
     Reset,
-    /// It could still read an answer. Nothing tells it from one that closed.
+    /// The client could still read a response, but the limiter cannot distinguish this from a close.
     HalfClose,
 }
 
@@ -73,27 +76,27 @@
 fn a_disconnect_behind_unread_bytes_is_detected() {
     let behind =
         ["", "\r\n", "half a line", &quote("roomy", 9000), &"x".repeat(10_000), &"x".repeat(300_000)];
-    in_parallel([End::Close, End::Reset, End::HalfClose], |end| {
+    in_parallel([Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose], |end| {
         for behind in behind {
             let server = Fake::new(|_| Reply::Silence);
-            let limiter = over(patient(true), server.address);
+            let limiter = start_limiter(long_deadlines(true), server.address);
             let mut client = limiter.client();
             client.send(&quote("roomy", 60_000));
-            wait_until("the request is out", || server.count() == 1);
+            wait_until("the request is sent", || server.count() == 1);
             client.send(behind);
             let began = Instant::now();
             match end {
-                End::Close => client.close(),
-                End::Reset => client.reset(),
-                End::HalfClose => {
+                Disconnect::Close => client.close(),
+                Disconnect::Reset => client.reset(),
+                Disconnect::HalfClose => {
                     client.shutdown_write();
-                    assert!(client.answer().is_none(), "nobody answers it");
+                    assert!(client.answer().is_none(), "a half-closed client gets no response");
                 }
             }
-            wait_until("its attempt is called off", || server.ended() == 1);
+            wait_until("its attempt is cancelled", || server.ended() == 1);
             let took = began.elapsed();
             assert!(took < Duration::from_secs(3), "{end:?} behind {} bytes: {took:?}", behind.len());
-            assert_eq!(server.count(), 1, "nothing more goes out for it");
+            assert_eq!(server.count(), 1, "no further attempt is sent for it");
         }
     });
 }
@@ -102,10 +105,10 @@
 fn a_client_with_bytes_behind_its_request_is_answered() {
     for behind in ["\r\n".to_string(), "half a line".into(), "x".repeat(10_000), "x".repeat(300_000)] {
         let (gate, server) = gated_server(|_| ok("served"));
-        let limiter = over(patient(true), server.address);
+        let limiter = start_limiter(long_deadlines(true), server.address);
         let mut client = limiter.client();
         client.send(&quote("roomy", 60_000));
-        wait_until("the request is out", || server.count() == 1);
+        wait_until("the request is sent", || server.count() == 1);
         client.send(&behind);
         gate.open();
         let answer = client.answer().expect("an answer");
@@ -116,10 +119,10 @@
 #[test]
 fn a_pipelined_request_is_answered_after_the_one_before() {
     let (gate, server) = gated_server(|m| ok(m.header("x-correlation-id").unwrap_or_default()));
-    let limiter = over(patient(true), server.address);
+    let limiter = start_limiter(long_deadlines(true), server.address);
     let (mut client, first, second) = (limiter.client(), post("bind", "x"), post("bind", "yy"));
     client.send(&first);
-    wait_until("the first is out", || server.count() == 1);
+    wait_until("the first is sent", || server.count() == 1);
     client.send(&second);
     gate.open();
     for request in [first, second] {
@@ -131,36 +134,43 @@
 fn a_failed_attempt_is_not_retried_after_its_client_disconnected() {
     for behind in ["", "half a line"] {
         let (gate, server) = gated_server(|_| Reply::RawThenClose(String::new()));
-        // The attempt stays out, so its failure comes to a request that nobody waits for.
-        let limiter = over(patient(false), server.address);
+        // The attempt is not cancelled, so it fails after its client has disconnected.
+        let limiter = start_limiter(long_deadlines(false), server.address);
         let mut client = limiter.client();
         client.send(&quote("roomy", 60_000));
-        wait_until("the request is out", || server.count() == 1);
+        wait_until("the request is sent", || server.count() == 1);
         client.send(behind);
         client.close();
-        thread::sleep(GONE);
+        thread::sleep(DETECTION_TIME);
         gate.open();
         wait_until("the attempt has failed", || server.ended() == 1);
-        // Another's request, sent behind it, would come behind a further attempt too.
+        // The server would get a retry before this later request of another client.
         let mut other = limiter.client();
         other.send(&quote("roomy", 60_000));
-        wait_until("the other request is out", || server.count() >= 2);
-        thread::sleep(GONE);
+        wait_until("the other request is sent", || server.count() >= 2);
+        thread::sleep(DETECTION_TIME);
         let ids: Vec<_> =
             server.seen().iter().map(|m| m.header("x-correlation-id").map(String::from)).collect();
-        assert_eq!(ids.iter().filter(|id| **id == ids[0]).count(), 1, "sent again for a client that left");
+        assert_eq!(
+            ids.iter().filter(|id| **id == ids[0]).count(),
+            1,
+            "retried for a client that had disconnected"
+        );
     }
 }
 
 #[test]
 fn fifty_clients_that_disconnect_at_once_are_not_forwarded() {
-    for (end, behind) in
-        [(End::Close, ""), (End::Close, "half a line"), (End::Reset, ""), (End::HalfClose, "")]
-    {
+    for (end, behind) in [
+        (Disconnect::Close, ""),
+        (Disconnect::Close, "half a line"),
+        (Disconnect::Reset, ""),
+        (Disconnect::HalfClose, ""),
+    ] {
         let server = Fake::new(|_| ok("served"));
-        let limiter = over(patient(false), server.address);
+        let limiter = start_limiter(long_deadlines(false), server.address);
         let mut clients: Vec<Client> = (0..50).map(|_| limiter.client()).collect();
-        // Known to it, and at rest.
+        // Accepted by the limiter, and idle.
         for client in &mut clients {
             assert_eq!(client.ask("GET /up HTTP/1.1\r\n\r\n").status(), 200);
         }
@@ -170,18 +180,22 @@
             client.send(&quote("roomy", 60_000));
             client.send(behind);
             match end {
-                End::Close => client.close(),
-                End::Reset => client.reset(),
-                End::HalfClose => {
+                Disconnect::Close => client.close(),
+                Disconnect::Reset => client.reset(),
+                Disconnect::HalfClose => {
                     client.shutdown_write();
                     open.push(client);
                 }
             }
         }
         limiter.resume();
-        // One that comes behind them all is served, and by then they have had their turn.
+        // The limiter handles this later request after the fifty others.
         assert_eq!(limiter.client().ask(&quote("roomy", 60_000)).status(), 200);
-        thread::sleep(GONE);
-        assert_eq!(server.count(), 1, "{end:?} behind {behind:?}: sent on for clients that had left");
+        thread::sleep(DETECTION_TIME);
+        assert_eq!(
+            server.count(),
+            1,
+            "{end:?} behind {behind:?}: forwarded for clients that had disconnected"
+        );
     }
 }
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The real binary and its clients, good and bad, over loopback sockets.
+//! Well-behaved and faulty clients: malformed requests, connection limits, and time limits of connections.
 mod common;
 
 use common::*;
@@ -12,10 +12,10 @@
     let limiter = Limiter::with_servers(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is sent", || server.count() == 1);
     client.close();
     wait_until("its attempt is closed", || server.ended() == 1);
-    assert_eq!(server.count(), 1, "nothing more goes out for it");
+    assert_eq!(server.count(), 1, "no further attempt is sent for it");
 }
 
 /// Requests with one fault each, and the status that they get.
@@ -87,19 +87,19 @@
         assert_eq!(client.ask(&text).status(), status, "{}", &text[..text.len().min(400)]);
         assert!(client.answer().is_none(), "the connection is closed after that");
     }
-    // Half a request and a close.
+    // An incomplete request, then a close.
     let mut client = limiter.client();
     client.send(&good[..good.len() - 1]);
     client.close();
     assert_eq!(server.count(), 0);
-    assert_eq!(limiter.client().ask(&good).status(), 200, "the limiter goes on");
+    assert_eq!(limiter.client().ask(&good).status(), 200, "the limiter still serves");
 }
 
 #[test]
 fn at_the_connection_limit_the_longest_idle_connection_is_closed_for_a_new_one() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    // So few descriptors leave room for some twenty clients.
+    // 72 descriptors leave room for about twenty clients.
     let limiter = Limiter::with_descriptor_limit(72, settings(), &discovery, counter().address);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..60 {
@@ -124,12 +124,12 @@
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::with_descriptor_limit(40, settings(), &discovery, counter().address);
-    // Four clients may be connected: all are busy, and stay connected when they have been answered.
+    // 40 descriptors leave room for four clients: all wait for responses, and stay connected after them.
     let mut clients: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
     for client in &mut clients {
         client.send(&quote("roomy", 9000));
     }
-    wait_until("some requests are out", || server.count() > 0);
+    wait_until("some requests are sent", || server.count() > 0);
     go.store(true, Ordering::SeqCst);
     for client in &mut clients {
         assert!(matches!(client.answer(), Some(a) if a.status() == 200 || a.status() == 429));
@@ -147,10 +147,10 @@
         let mut client = limiter.client();
         let text = outer.replace("Content-Length: 0\r\n", &both) + "0\r\n\r\n" + &hidden;
         assert_eq!(client.ask(&text).status(), 400, "{both}");
-        assert!(client.answer().is_none(), "what stands behind it is not read");
+        assert!(client.answer().is_none(), "the bytes behind it are not read");
     }
     assert_eq!(server.count(), 0, "neither reaches a server");
-    // Chunked alone is served; what stands behind it is not read as a request either.
+    // With chunked encoding alone the request is served; the bytes behind it are not read as a request either.
     let mut client = limiter.client();
     let text = outer.replace("Content-Length: 0\r\n", chunked) + "1\r\nx\r\n0\r\n\r\n" + &hidden;
     let answer = client.ask(&text);
@@ -173,12 +173,12 @@
     let limiter = Limiter::with_servers(&[&server]);
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is sent", || server.count() == 1);
     assert_eq!(limiter.client().ask(&copy).status(), 409);
     go.store(true, Ordering::SeqCst);
     assert_eq!(first.answer().expect("an answer").status(), 200);
     assert_eq!(server.count(), 1);
-    // Answered, the id is forgotten.
+    // The limiter forgets the id once the request is answered.
     assert_eq!(limiter.client().ask(&copy).status(), 200);
 }
 
@@ -195,7 +195,7 @@
         for _ in 0..5 {
             let mut client = limiter.client();
             client.send(&text);
-            // In pieces, so that bytes go on coming when the answer is out. A reset would end this.
+            // In pieces, so that bytes still arrive after the response is sent. A reset would make the test fail.
             for piece in junk.as_bytes().chunks(1024) {
                 client.send(std::str::from_utf8(piece).expect("text"));
             }
@@ -205,7 +205,7 @@
     assert_eq!(server.count(), 0);
 }
 
-/// Connections that never bring a whole request, and what one of them goes on sending.
+/// Each case is what a connection sends first, and what it then sends repeatedly without completing a request.
 #[test]
 fn a_connection_without_a_complete_request_is_closed_in_time() {
     let server = Fake::new(|_| ok("served"));
@@ -234,7 +234,7 @@
         .collect();
     for (n, end) in ends.into_iter().enumerate() {
         let took = end.join().expect("joined");
-        // Counted from connect, however lively the bytes come: 3 s, and some for a slow machine.
+        // 3 s from the connect, however many bytes arrive, and 2 s more for a slow machine.
         assert!(took < Duration::from_secs(5), "case {n}: {took:?}");
     }
     assert_eq!(server.count(), 0);
@@ -244,19 +244,19 @@
 fn silent_connections_displace_no_active_client() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    // Room for some twenty clients.
+    // Leaves room for about twenty clients.
     let limiter = Limiter::with_descriptor_limit(72, settings(), &discovery, counter().address);
-    let mut usual: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
-    for client in &mut usual {
+    let mut active: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
+    for client in &mut active {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     }
     let _silent: Vec<Client> = (0..60).map(|_| limiter.client()).collect();
-    // One that comes behind them all is served before they are let go for their silence.
+    // A later client is served before the silent connections time out.
     let began = Instant::now();
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
-    for client in &mut usual {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "those that ask keep their place");
+    for client in &mut active {
+        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "active clients stay connected");
     }
 }
 
--- a/crates/daemon/tests/closes.rs
+++ b/crates/daemon/tests/closes.rs
@@ -1,5 +1,5 @@
-//! The real binary as it ends: what it has taken is answered, what it closes it has not read, and it is done
-//! before it would be killed.
+//! Graceful shutdown: every request that the limiter has read is answered, no request is read from a connection that
+//! is closed without an answer, and the process exits before it would be killed.
 mod common;
 
 use common::*;
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// SIGKILL comes this long after SIGTERM, and the longest deadline later, 3 s of it at most.
-const KILLED: Duration = Duration::from_millis(700);
+/// SIGKILL follows SIGTERM after this time plus the longest deadline, of which at most 3 s count.
+const KILL_DELAY: Duration = Duration::from_millis(700);
 
 fn with_deadline(seconds: f64, may_cancel: bool) -> Value {
     let mut settings = settings();
@@ -19,16 +19,16 @@
     settings
 }
 
-/// Behind many names it takes many requests at once.
-fn over(settings: Value, server: &Fake) -> Limiter {
+/// Lists the server under 16 ids, so that it gets many requests at once.
+fn start_limiter(settings: Value, server: &Fake) -> Limiter {
     let list = (0..16).map(|n| instance(&format!("s-{n}"), server.address, "in_service")).collect();
     Limiter::start(settings, &discovery(list), counter().address)
 }
 
-/// Waits for its end; it has to come without complaint, and before it would be killed.
-fn ends(limiter: &mut Limiter, terminated: Instant, deadline: f64) -> Duration {
+/// Waits for the limiter to exit, which has to be with code 0 and before SIGKILL; returns the time that it took.
+fn assert_clean_exit(limiter: &mut Limiter, terminated: Instant, deadline: f64) -> Duration {
     let status = limiter.wait();
-    let (took, killed) = (terminated.elapsed(), KILLED + Duration::from_secs_f64(deadline.min(3.0)));
+    let (took, killed) = (terminated.elapsed(), KILL_DELAY + Duration::from_secs_f64(deadline.min(3.0)));
     assert_eq!(status.code(), Some(0), "{}", limiter.errors());
     assert!(took < killed, "{took:?}, killed after {killed:?}");
     took
@@ -38,17 +38,17 @@
 fn graceful_shutdown_answers_hanging_requests_whatever_their_deadline() {
     in_parallel([(0.8, true), (0.8, false), (5.0, true), (5.0, false)], |(deadline, may_cancel)| {
         let server = Fake::new(|_| Reply::Silence);
-        let mut limiter = over(with_deadline(deadline, may_cancel), &server);
+        let mut limiter = start_limiter(with_deadline(deadline, may_cancel), &server);
         let mut clients: Vec<Client> = (0..3).map(|_| limiter.client()).collect();
         for (client, request) in
             clients.iter_mut().zip([quote("roomy", 60_000), post("bind", "x"), post("once", "x")])
         {
             client.send(&request);
         }
-        wait_until("the requests are out", || server.count() == 3);
+        wait_until("the requests are sent", || server.count() == 3);
         limiter.terminate();
         let terminated = Instant::now();
-        // And one that comes with all its time after the signal.
+        // A request that arrives with its whole deadline after the signal.
         let mut late = limiter.client();
         late.send(&quote("roomy", 60_000));
         clients.push(late);
@@ -56,20 +56,20 @@
             let answer = client.answer().expect("an answer, not a close");
             assert!([429, 502, 503].contains(&answer.status()), "{}", answer.start_line);
         }
-        ends(&mut limiter, terminated, deadline);
+        assert_clean_exit(&mut limiter, terminated, deadline);
     });
 }
 
 #[test]
 fn an_abandoned_attempt_does_not_delay_shutdown() {
     let server = Fake::new(|_| Reply::Silence);
-    let mut limiter = over(with_deadline(20.0, false), &server);
+    let mut limiter = start_limiter(with_deadline(20.0, false), &server);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is sent", || server.count() == 1);
     client.close();
     limiter.terminate();
-    ends(&mut limiter, Instant::now(), 20.0);
+    assert_clean_exit(&mut limiter, Instant::now(), 20.0);
 }
 
 #[test]
@@ -78,7 +78,7 @@
         thread::sleep(Duration::from_millis(if m.start_line.contains("/bind/") { 250 } else { 1 }));
         ok("served")
     });
-    let mut limiter = over(with_deadline(1.5, true), &server);
+    let mut limiter = start_limiter(with_deadline(1.5, true), &server);
     let clients: Vec<_> = (0..12)
         .map(|n| {
             let mut client = limiter.client();
@@ -92,7 +92,7 @@
                         Some(answer) => {
                             assert!([200, 429, 503].contains(&answer.status()), "{}", answer.start_line);
                         }
-                        // Closed between requests: this one was never read.
+                        // The connection was closed between requests: this one was never read.
                         None => {
                             return assert_eq!(
                                 server.count_with_id(correlation_id(&request)),
@@ -111,18 +111,18 @@
     for client in clients {
         client.join().expect("a client");
     }
-    ends(&mut limiter, terminated, 1.5);
+    assert_clean_exit(&mut limiter, terminated, 1.5);
 }
 
-/// A request and the signal come in one moment, in either order; and with the request only a part of it.
+/// A complete or partial request and SIGTERM arrive at the same moment, in either order.
 #[test]
 fn a_request_that_crosses_sigterm_is_answered_or_was_never_read() {
     for signal_first in [true, false] {
         for whole in [true, false] {
             let server = Fake::new(|_| ok("served"));
-            let mut limiter = over(with_deadline(2.0, true), &server);
+            let mut limiter = start_limiter(with_deadline(2.0, true), &server);
             let mut clients: Vec<Client> = (0..30).map(|_| limiter.client()).collect();
-            // Two in three are known and at rest, one in three never asked.
+            // Two in three have had a request and are idle; one in three is new.
             for client in clients.iter_mut().enumerate().filter(|(n, _)| n % 3 > 0).map(|(_, c)| c) {
                 assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
             }
@@ -159,8 +159,8 @@
                     None => copies(0),
                 }
             }
-            assert!(answered > 0, "none crossed");
-            ends(&mut limiter, terminated, 2.0);
+            assert!(answered > 0, "no request was answered");
+            assert_clean_exit(&mut limiter, terminated, 2.0);
         }
     }
 }
@@ -168,9 +168,9 @@
 #[test]
 fn a_partial_request_may_complete_during_graceful_shutdown() {
     let server = Fake::new(|_| ok("served"));
-    let mut limiter = over(with_deadline(3.0, true), &server);
+    let mut limiter = start_limiter(with_deadline(3.0, true), &server);
     let request = post("bind", "a body");
-    // In the head, and in the body; on a connection that is known, and on a new one.
+    // Cut in the head and in the body, on a connection that has had a request and on a new one.
     let cases: Vec<_> = [request.len() - 40, request.len() - 3]
         .into_iter()
         .flat_map(|cut| [(cut, true), (cut, false)])
@@ -183,30 +183,30 @@
             (client, request[cut..].to_string(), known)
         })
         .collect();
-    // Read, as far as it came: else it would lie unread, and keep its connection open by that.
+    // Lets the limiter read the partial requests: unread bytes alone would keep their connections open.
     thread::sleep(Duration::from_millis(200));
     limiter.terminate();
     let terminated = Instant::now();
-    // Past the time for which new connections come.
+    // Past the time during which new connections are accepted.
     thread::sleep(Duration::from_millis(900));
     for (mut client, rest, known) in cases {
         client.send_ignoring_errors(rest.as_bytes());
         let answer = client.answer();
         assert_eq!(answer.map(|a| a.status()), Some(200), "{} bytes later, known: {known}", rest.len());
     }
-    ends(&mut limiter, terminated, 3.0);
+    assert_clean_exit(&mut limiter, terminated, 3.0);
 }
 
 #[test]
 fn idle_connections_do_not_delay_shutdown() {
     let server = Fake::new(|_| ok("served"));
-    let mut limiter = over(with_deadline(3.0, true), &server);
+    let mut limiter = start_limiter(with_deadline(3.0, true), &server);
     let mut clients: Vec<Client> = (0..9).map(|_| limiter.client()).collect();
     for client in clients.iter_mut().step_by(2) {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     }
     limiter.terminate();
-    let took = ends(&mut limiter, Instant::now(), 3.0);
+    let took = assert_clean_exit(&mut limiter, Instant::now(), 3.0);
     assert!(took < Duration::from_secs(2), "{took:?}");
     for client in &mut clients {
         assert!(client.answer().is_none());
@@ -216,10 +216,10 @@
 #[test]
 fn further_signals_do_not_change_a_graceful_shutdown() {
     let (gate, server) = gated_server(|_| ok("served"));
-    let mut limiter = over(with_deadline(3.0, true), &server);
+    let mut limiter = start_limiter(with_deadline(3.0, true), &server);
     let mut client = limiter.client();
     client.send(&post("once", "x"));
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is sent", || server.count() == 1);
     limiter.terminate();
     let terminated = Instant::now();
     for signal in ["-TERM", "-HUP", "-TERM"] {
@@ -227,7 +227,7 @@
     }
     gate.open();
     assert_eq!(client.answer().expect("an answer").status(), 200);
-    ends(&mut limiter, terminated, 3.0);
+    assert_clean_exit(&mut limiter, terminated, 3.0);
 }
 
 #[test]
@@ -239,27 +239,29 @@
     let terminated = Instant::now();
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 429);
     assert!(!limiter.up());
-    ends(&mut limiter, terminated, 3.0);
+    assert_clean_exit(&mut limiter, terminated, 3.0);
 }
 
-/// Its answer says that the connection closes; a close over what its client still sends would destroy it.
+/// The response announces that the connection closes. A close while the client still sends would cause a reset, and
+/// the client would lose the response.
 #[test]
 fn the_last_reply_reaches_a_client_that_is_still_sending() {
     let (gate, server) = gated_server(|_| ok("served"));
-    let mut limiter = over(with_deadline(3.0, true), &server);
+    let mut limiter = start_limiter(with_deadline(3.0, true), &server);
     let mut client = limiter.client();
     client.send(&post("once", "x"));
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is sent", || server.count() == 1);
     limiter.terminate();
     let terminated = Instant::now();
-    // Past the time for which new connections come: from here on what rests is closed.
+    // Past the time during which new connections are accepted: from here on idle connections are closed.
     thread::sleep(Duration::from_millis(700));
     gate.open();
-    // For longer than a connection takes to come to rest, and less than it is read on.
+    // Longer than the time after which a connection counts as idle, and shorter than the time for which the limiter
+    // continues to read.
     for _ in 0..15 {
         client.send("what is behind it goes on coming");
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(client.answer().expect("its answer, not a reset").status(), 200);
-    ends(&mut limiter, terminated, 3.0);
+    assert_clean_exit(&mut limiter, terminated, 3.0);
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small fakes on loopback sockets, and the real binary between them.
+//! Test support: fake HTTP services on loopback sockets, and the limiter run as a child process between them.
 #![allow(dead_code)]
 pub mod asked;
 pub mod grpc;
@@ -13,18 +13,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that any condition is waited for.
+/// The longest time that a test waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A message as it came: its first line, headers in lower case, body.
+/// An HTTP/1.1 request or response: start line, headers with lower-case names, and body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
@@ -45,7 +45,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Reads one; `None` where the connection ends first.
+    /// Reads one message; `None` if the connection ends before it is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
@@ -65,15 +65,15 @@
     }
 }
 
-/// What a fake does about a request.
+/// How a [`Fake`] responds to a request.
 pub enum Reply {
-    /// Writes this.
+    /// Writes this text and keeps the connection open.
     Raw(String),
-    /// Writes this and closes.
+    /// Writes this text and closes the connection.
     RawThenClose(String),
-    /// Writes these, each after a pause.
+    /// Writes these texts, each after its pause.
     Pieces(Vec<(Duration, String)>),
-    /// Says nothing until the other side closes.
+    /// Writes nothing until the peer closes the connection.
     Silence,
 }
 
@@ -81,6 +81,7 @@
     Reply::Raw(raw("200 OK", "", body))
 }
 
+/// A response with this status, these further header lines and this body.
 pub fn raw(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
@@ -94,7 +95,7 @@
     abandoned_ids: Mutex<Vec<String>>,
 }
 
-/// A listener that answers each request by a rule, and remembers them.
+/// An HTTP/1.1 server that answers each request by a rule and records all requests.
 #[derive(Clone)]
 pub struct Fake {
     pub address: SocketAddr,
@@ -103,11 +104,14 @@
 
 impl Fake {
     pub fn new(rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Fake {
-        Fake::at(TcpListener::bind("127.0.0.1:0").expect("bind"), rule)
+        Fake::on_listener(TcpListener::bind("127.0.0.1:0").expect("bind"), rule)
     }
 
-    /// The same on a listener that is there.
-    pub fn at(listener: TcpListener, rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Fake {
+    /// Like [`Fake::new`], on an existing listener.
+    pub fn on_listener(
+        listener: TcpListener,
+        rule: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    ) -> Fake {
         let fake = Fake { address: listener.local_addr().expect("address"), log: Arc::default() };
         let (log, rule) = (fake.log.clone(), Arc::new(rule));
         thread::spawn(move || {
@@ -135,17 +139,17 @@
         self.log.accepted.load(Ordering::SeqCst)
     }
 
-    /// Connections that the limiter or the fake has ended.
+    /// The number of connections that the limiter or the fake has closed.
     pub fn ended(&self) -> u32 {
         self.log.ended.load(Ordering::SeqCst)
     }
 
-    /// Ids of the requests on which it kept silent until the other side closed.
+    /// Correlation ids of the requests that got [`Reply::Silence`] and whose connection the peer has since closed.
     pub fn abandoned_ids(&self) -> Vec<String> {
         self.log.abandoned_ids.lock().expect("lock").clone()
     }
 
-    /// How many requests with this id came.
+    /// How many requests with this correlation id were received.
     pub fn count_with_id(&self, id: &str) -> usize {
         self.seen().iter().filter(|m| m.header("x-correlation-id") == Some(id)).count()
     }
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Ends every connection.
+    /// Closes every connection.
     pub fn disconnect_all(&self) {
         for stream in self.log.streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -200,7 +204,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// A line of discovery as a chunk.
+/// A line from discovery, encoded as an HTTP chunk.
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
@@ -216,19 +220,19 @@
 
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Discovery that gives each watch this whole list; further lines are pushed.
+/// A discovery service that answers each watch with this whole list; [`Fake::push`] sends further lines.
 pub fn discovery(instances: Vec<Value>) -> Fake {
     Fake::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&update(10, true, &instances)))))
 }
 
-/// The path that a call to the counter names, and what it adds.
+/// The path of a call to the counter service, and its parameter `n`, 0 if there is none.
 pub fn parse_counter_call(call: &Message) -> (&str, f64) {
     let target = call.start_line.split(' ').nth(1).unwrap_or("");
     let (name, query) = target.split_once('?').unwrap_or((target, ""));
     (name, query.split('&').find_map(|q| q.strip_prefix("n=")?.parse::<f64>().ok()).unwrap_or(0.0))
 }
 
-/// A counter that keeps its numbers.
+/// A counter service that adds `n` to the total of the path and answers with the new total.
 pub fn counter() -> Fake {
     let numbers: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
     Fake::new(move |call| {
@@ -256,7 +260,8 @@
             "max-retry-after-s": 2.0, "may-probe": true, "retry-after": true, "second-copies": false}})
 }
 
-/// An address at which nobody listens, until the socket is told to. It is held, so that no other test gets it.
+/// A bound socket that does not listen yet, and its address: connections are refused until the test calls `listen`.
+/// The socket stays bound, so that no other test gets the port.
 pub fn unused_address() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind");
@@ -264,7 +269,8 @@
     (socket, address)
 }
 
-/// A listener whose queue is full: connections to it neither come up nor fail.
+/// A listener whose accept queue is full, and the connections that fill it: until they are dropped, further
+/// connection attempts neither succeed nor fail.
 pub fn full_backlog() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
     let (socket, address) = unused_address();
     socket.listen(0).expect("listen");
@@ -273,7 +279,7 @@
     (socket, address, filled)
 }
 
-/// Connections to this address that are being opened: nobody has answered them yet.
+/// The number of connections to this address whose SYN has not been answered yet.
 pub fn pending_connects(address: SocketAddr) -> usize {
     const SYN_SENT: &str = "02";
     let SocketAddr::V4(address) = address else { panic!("{address} is not IPv4") };
@@ -290,7 +296,7 @@
 pub fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     let mut accepted = None;
     listener.set_nonblocking(true).expect("set");
-    wait_until("a connection comes up", || {
+    wait_until("a connection arrives", || {
         accepted = listener.accept().ok();
         accepted.is_some()
     });
@@ -300,17 +306,17 @@
     (stream, from)
 }
 
-/// Plays all cases at once; each has a limiter of its own.
-pub fn in_parallel<C: Send>(cases: impl IntoIterator<Item = C>, play: impl Fn(C) + Sync) {
+/// Runs all cases in parallel, each on its own thread.
+pub fn in_parallel<C: Send>(cases: impl IntoIterator<Item = C>, run: impl Fn(C) + Sync) {
     thread::scope(|scope| {
         for case in cases {
-            let play = &play;
-            scope.spawn(move || play(case));
+            let run = &run;
+            scope.spawn(move || run(case));
         }
     });
 }
 
-/// Something that a test opens once.
+/// Blocks threads until the test opens it.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<AtomicBool>);
 
@@ -319,7 +325,7 @@
         self.0.store(true, Ordering::SeqCst);
     }
 
-    /// Waits until it is open.
+    /// Waits until the gate is open, for [`WAIT_TIMEOUT`] at most.
     pub fn wait(&self) {
         let end = Instant::now() + WAIT_TIMEOUT;
         while !self.0.load(Ordering::SeqCst) && Instant::now() < end {
@@ -339,10 +345,10 @@
     (gate, server)
 }
 
-/// The real binary.
+/// A limiter, run as a child process from the built program.
 pub struct Limiter {
     pub address: SocketAddr,
-    /// Where it answers external authorisation, if it does.
+    /// The address of the gRPC listener for external authorization, if there is one.
     pub grpc: Option<SocketAddr>,
     child: Child,
     errors: Arc<Mutex<String>>,
@@ -351,7 +357,7 @@
     config: Value,
 }
 
-/// A file in the build's own folder for temporary files, which no other test uses.
+/// Writes a file with a unique name to Cargo's folder for temporary files.
 pub fn temp_file(text: &str) -> std::path::PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
@@ -370,12 +376,12 @@
 
 #[allow(clippy::needless_pass_by_value, reason = "each test makes the settings for its one limiter")]
 impl Limiter {
-    /// Starts it and waits until it is ready.
+    /// Starts a limiter and waits until it is ready.
     pub fn start(settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
         Limiter::with_descriptor_limit(1024, settings, discovery, counter)
     }
 
-    /// The same with a limit on descriptors.
+    /// Like [`Limiter::start`], with a limit on descriptors.
     pub fn with_descriptor_limit(
         sockets: u32,
         settings: Value,
@@ -390,7 +396,7 @@
         Limiter::spawn_until_up(command, file, config, discovery.address)
     }
 
-    /// Starts it with a list of servers that it had before, and does not wait.
+    /// Starts a limiter with an endpoint list from an earlier run, without waiting until it is ready.
     pub fn with_known_list(known: &str, settings: Value, discovery: SocketAddr) -> Limiter {
         let known: Value = serde_json::from_str(known).expect("a list");
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
@@ -399,12 +405,12 @@
         Limiter::spawn(command(), file, config, discovery)
     }
 
-    /// Starts it with an operator's own file, and does not wait.
+    /// Starts a limiter with an operator's file, without waiting until it is ready.
     pub fn with_operator(operator: &std::path::Path, settings: Value, discovery: SocketAddr) -> Limiter {
         Limiter::with_operator_and_counter(operator, settings, discovery, None)
     }
 
-    /// The same, with a counter if there is one.
+    /// Like [`Limiter::with_operator`], with a counter service if there is one.
     pub fn with_operator_and_counter(
         operator: &std::path::Path,
         settings: Value,
@@ -422,7 +428,7 @@
         Limiter::spawn(command, file, config, discovery)
     }
 
-    /// Starts it with this text as the operator's own file and waits until it is ready. There is no counter.
+    /// Starts a limiter without a counter service, with this text as the operator's file, and waits until it is ready.
     pub fn with_operator_text(text: &str, settings: Value, servers: &[&Fake]) -> Limiter {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
@@ -444,7 +450,7 @@
         limiter
     }
 
-    /// Whether it takes clients.
+    /// Whether the limiter is ready to serve clients.
     pub fn up(&self) -> bool {
         self.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
     }
@@ -455,18 +461,19 @@
         config: Value,
         discovery: SocketAddr,
     ) -> Limiter {
-        // The environment repeats a part of the file, as in service.
+        // As in production, the environment repeats a part of the file.
         command.env("ROUTER_DISCOVERY", discovery.to_string()).env("ROUTER_CONFIG", &file);
         let mut child = command.stderr(Stdio::piped()).spawn().expect("start the limiter");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let errors: Arc<Mutex<String>> = Arc::default();
         let mut grpc = None;
-        let mut said = String::new();
+        let mut output = String::new();
         let address = loop {
-            let line = lines.next().unwrap_or_else(|| panic!("it ended before it listened: {said}"));
+            let line =
+                lines.next().unwrap_or_else(|| panic!("the limiter exited before it listened: {output}"));
             let line = line.expect("utf-8");
-            said.push_str(&line);
-            said.push('\n');
+            output.push_str(&line);
+            output.push('\n');
             if let Some(address) = line.strip_prefix("liftrouter: gRPC on ") {
                 grpc = Some(address.parse().expect("an address"));
             }
@@ -487,7 +494,7 @@
         Limiter { address, grpc, child, errors, log_closed, file, config }
     }
 
-    /// One with these servers, all in service, and a counter that works.
+    /// Starts a limiter with these servers, all in service, and a working counter service.
     pub fn with_servers(servers: &[&Fake]) -> Limiter {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
@@ -502,11 +509,12 @@
         self.child.id()
     }
 
-    /// Stands still from when this returns: what happens until it goes on, it finds all in one moment.
+    /// Stops the process, and returns once it has stopped. After [`Limiter::resume`], the limiter
+    /// sees everything that has happened meanwhile at the same moment.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
-        wait_until("it stands still", || {
+        wait_until("the process is stopped", || {
             let stat = std::fs::read_to_string(&stat).expect("its state");
             stat.rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('T'))
         });
@@ -516,7 +524,7 @@
         self.signal("-CONT");
     }
 
-    /// Descriptors that it has open.
+    /// The number of open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("its descriptors").count()
     }
@@ -530,7 +538,7 @@
         assert!(killed.expect("kill").success());
     }
 
-    /// Replaces the configuration file by one with these addresses, and tells the limiter.
+    /// Replaces the configuration file by one with these addresses, and sends SIGHUP.
     pub fn move_to(&self, discovery: SocketAddr, counter: SocketAddr) {
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.to_string());
@@ -552,12 +560,12 @@
         }
     }
 
-    /// Closes the reading end of its standard error, with the next line that it writes.
+    /// Closes the reading end of its standard error when the limiter writes its next line.
     pub fn close_log(&self) {
         self.log_closed.store(true, Ordering::SeqCst);
     }
 
-    /// What it wrote to standard error since it was up.
+    /// What the limiter has written to standard error since it began to listen.
     pub fn errors(&self) -> String {
         self.errors.lock().expect("lock").clone()
     }
@@ -588,7 +596,7 @@
         self.stream.write_all(text.as_bytes()).expect("send");
     }
 
-    /// Sends what still goes out: the other side may have closed.
+    /// Sends and ignores errors, since the limiter may have closed the connection.
     pub fn send_ignoring_errors(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
@@ -597,7 +605,7 @@
         self.stream.set_read_timeout(Some(time)).expect("set");
     }
 
-    /// Whether an answer has begun or the connection has been closed.
+    /// Whether a response has begun or the connection is closed; waits up to the read timeout.
     pub fn has_input_or_eof(&mut self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(_) => true,
@@ -618,12 +626,12 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends its own sending alone.
+    /// Closes only the sending half of the connection.
     pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Leaves with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
@@ -631,7 +639,7 @@
 
 static NEXT_ID: AtomicU32 = AtomicU32::new(1);
 
-/// The id in a request's text.
+/// The correlation id in the text of a request.
 pub fn correlation_id(request: &str) -> &str {
     request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.split("\r\n").next()).expect("an id")
 }
@@ -645,7 +653,7 @@
     )
 }
 
-/// A request with a body, of class `bind` (keyed) or `once`.
+/// A request with a body, of class `bind` (retried by its idempotency key) or `once` (never safe to repeat).
 pub fn post(class: &str, body: &str) -> String {
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!(
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! The real binary when its descriptors are wanted by more than there are: the limit holds, and whoever asks gets
-//! an answer.
+//! More connections than the descriptor limit allows: the limit holds, and every client that sends a request gets an
+//! answer.
 mod common;
 
 use common::*;
@@ -8,17 +8,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const SOCKETS: u32 = 128;
+const DESCRIPTOR_LIMIT: u32 = 128;
 
-fn start_over(server: &Fake, count: std::net::SocketAddr) -> (Fake, Limiter) {
-    // Behind many names it takes many requests at once.
+fn start_limiter(server: &Fake, count: std::net::SocketAddr) -> (Fake, Limiter) {
+    // Lists the server under 16 ids, so that it gets many requests at once.
     let list = (0..16).map(|n| instance(&format!("s-{n}"), server.address, "in_service")).collect();
     let discovery = discovery(list);
-    let limiter = Limiter::with_descriptor_limit(SOCKETS, settings(), &discovery, count);
+    let limiter = Limiter::with_descriptor_limit(DESCRIPTOR_LIMIT, settings(), &discovery, count);
     (discovery, limiter)
 }
 
-/// The most descriptors that are seen open in a time.
+/// The largest number of open descriptors that is seen during this time.
 fn max_open_descriptors(limiter: &Limiter, time: Duration) -> usize {
     let (mut max_open, end) = (0, Instant::now() + time);
     while Instant::now() < end {
@@ -33,12 +33,12 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::with_descriptor_limit(72, settings(), &discovery, counter().address);
     limiter.pause();
-    // No more than the kernel keeps waiting.
+    // No more than the kernel's accept queue holds.
     let mut clients: Vec<Client> = (0..110).map(|_| limiter.client()).collect();
     limiter.resume();
     let max_open = max_open_descriptors(&limiter, Duration::from_millis(400));
     assert!(max_open <= 72, "{max_open} open");
-    // The last of them has its turn.
+    // The last of them is served, too.
     let last = clients.last_mut().expect("one");
     assert_eq!(last.ask(&quote("roomy", 9000)).status(), 200);
 }
@@ -58,9 +58,9 @@
         _ => Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&after))),
     });
     let count = counter();
-    let limiter = Limiter::with_descriptor_limit(SOCKETS, settings(), &discovery, count.address);
+    let limiter = Limiter::with_descriptor_limit(DESCRIPTOR_LIMIT, settings(), &discovery, count.address);
     wait_until("discovery is down", || discovery.count() > 3);
-    // They fill all places and come again when they are let go.
+    // The idle clients use all connections that are allowed, and reconnect when they are closed.
     let done = Arc::new(AtomicBool::new(false));
     let idle: Vec<_> = (0..4)
         .map(|_| {
@@ -79,26 +79,26 @@
             })
         })
         .collect();
-    wait_until("the places are taken", || limiter.descriptors() > 40);
+    wait_until("the idle clients are connected", || limiter.descriptors() > 40);
     let (calls, mut served) = (count.count(), 0);
-    wait_until("clients that ask are served, and counted", || {
+    wait_until("clients that send requests are served, and counted", || {
         served += usize::from(limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         served > 20 && count.count() > calls
     });
     let max_open = max_open_descriptors(&limiter, Duration::from_millis(300));
-    assert!(max_open <= SOCKETS as usize, "{max_open} open");
+    assert!(max_open <= DESCRIPTOR_LIMIT as usize, "{max_open} open");
     down.store(false, Ordering::SeqCst);
     let began = Instant::now();
-    wait_until("the news hold", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
+    wait_until("the new list is in use", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
     done.store(true, Ordering::SeqCst);
     for client in idle {
-        client.join().expect("an idle one");
+        client.join().expect("an idle client");
     }
 }
 
-/// A client that asks until it is done, and counts its answers.
-fn spawn_usual_client(limiter: &Limiter, done: &Arc<AtomicBool>) -> thread::JoinHandle<u32> {
+/// Spawns a client that sends requests until `done` is set, and returns the number of its responses.
+fn spawn_active_client(limiter: &Limiter, done: &Arc<AtomicBool>) -> thread::JoinHandle<u32> {
     let (address, done) = (limiter.address, done.clone());
     let mut client = limiter.client();
     thread::spawn(move || {
@@ -111,7 +111,7 @@
                     assert!([200, 429].contains(&answer.status()), "{}", answer.start_line);
                     answered += 1;
                 }
-                // Closed between two requests: it asks once more on a new connection.
+                // The connection was closed between two requests: the client sends the next one on a new connection.
                 None => client = Client::to(address),
             }
             thread::sleep(Duration::from_millis(5));
@@ -123,7 +123,7 @@
 #[test]
 fn a_connection_flood_costs_no_client_its_answer() {
     let server = Fake::new(|_| ok("served"));
-    let (_discovery, limiter) = start_over(&server, counter().address);
+    let (_discovery, limiter) = start_limiter(&server, counter().address);
     let (done, floods) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let junk = [
         "x".repeat(100_000),
@@ -144,15 +144,15 @@
             })
         })
         .collect();
-    let usual: Vec<_> = (0..6).map(|_| spawn_usual_client(&limiter, &done)).collect();
-    wait_until("much has come", || floods.load(Ordering::SeqCst) > 300);
+    let active: Vec<_> = (0..6).map(|_| spawn_active_client(&limiter, &done)).collect();
+    wait_until("the flood has opened more than 300 connections", || floods.load(Ordering::SeqCst) > 300);
     let max_open = max_open_descriptors(&limiter, Duration::from_millis(300));
     done.store(true, Ordering::SeqCst);
     for flood in flood {
         flood.join().expect("a flood");
     }
-    for client in usual {
-        assert!(client.join().expect("a client") > 5, "it was hardly answered");
+    for client in active {
+        assert!(client.join().expect("a client") > 5, "a client got too few responses");
     }
-    assert!(max_open <= SOCKETS as usize, "{max_open} open");
+    assert!(max_open <= DESCRIPTOR_LIMIT as usize, "{max_open} open");
 }
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -175,7 +175,7 @@
     limiter.move_to(address, count.address);
     wait_until("openings are refused", || limiter.errors().contains("no connection"));
     socket.listen(16).expect("listen");
-    let (new, began) = (Fake::at(socket.into(), move |_| whole(&after)), Instant::now());
+    let (new, began) = (Fake::on_listener(socket.into(), move |_| whole(&after)), Instant::now());
     wait_until("the change holds", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
     // Not after pauses that grew: one of a fifth of a second at most, on a busy machine.
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
--- a/crates/daemon/tests/pressure.rs
+++ b/crates/daemon/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! The real binary before servers whose answers take long: by their own length, or because they wait.
+//! The concurrency limit with slow servers: responses that take long to process, or that wait in a queue.
 mod common;
 
 use common::*;
@@ -9,24 +9,30 @@
 use std::time::Duration;
 
 const CLIENTS: u32 = 6;
-const ROW: u32 = 60;
+const CONSECUTIVE_SERVED: u32 = 60;
 
-/// Starts clients that ask without end, one of four for what is worth most, and ends them with the test.
+/// Clients that send requests until [`Load::end`]; one request of four is of the class with the highest worth.
 struct Load {
-    /// Of the quotes: refused, and served one after the other since.
-    refused: Arc<AtomicU32>,
-    row: Arc<AtomicU32>,
+    /// Rejected requests of class `quote`.
+    rejected: Arc<AtomicU32>,
+    /// Requests of class `quote` served since the last rejection.
+    consecutive: Arc<AtomicU32>,
     done: Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<()>>,
 }
 
 impl Load {
-    fn on(limiter: &Limiter) -> Load {
-        let mut load =
-            Load { refused: Arc::default(), row: Arc::default(), done: Arc::default(), clients: Vec::new() };
+    fn start(limiter: &Limiter) -> Load {
+        let mut load = Load {
+            rejected: Arc::default(),
+            consecutive: Arc::default(),
+            done: Arc::default(),
+            clients: Vec::new(),
+        };
         for n in 0..CLIENTS {
             let mut client = limiter.client();
-            let (refused, row, done) = (load.refused.clone(), load.row.clone(), load.done.clone());
+            let (rejected, consecutive, done) =
+                (load.rejected.clone(), load.consecutive.clone(), load.done.clone());
             load.clients.push(thread::spawn(move || {
                 for turn in n.. {
                     if done.load(Ordering::SeqCst) {
@@ -35,10 +41,10 @@
                     if turn % 4 == 0 {
                         client.ask(&post("bind", "x"));
                     } else if client.ask(&quote("roomy", 9000)).status() == 200 {
-                        row.fetch_add(1, Ordering::SeqCst);
+                        consecutive.fetch_add(1, Ordering::SeqCst);
                     } else {
-                        row.store(0, Ordering::SeqCst);
-                        refused.fetch_add(1, Ordering::SeqCst);
+                        consecutive.store(0, Ordering::SeqCst);
+                        rejected.fetch_add(1, Ordering::SeqCst);
                         thread::sleep(Duration::from_millis(20));
                     }
                 }
@@ -63,22 +69,26 @@
     Limiter::start(settings, &discovery(list), counter().address)
 }
 
-/// Their own length is a third of the aim. No smaller window makes such answers quicker.
+/// Each response takes a third of the latency objective without any queueing, so that a lower limit would not make
+/// it faster.
 #[test]
 fn long_responses_without_queueing_do_not_lower_the_concurrency_limit() {
     let slow =
         || Fake::new(|_| Reply::Pieces(vec![(Duration::from_millis(130), raw("200 OK", "", "served"))]));
     let servers: Vec<Fake> = (0..6).map(|_| slow()).collect();
     let limiter = start(&servers);
-    let load = Load::on(&limiter);
-    // Long enough for a window that answers like these close to be closed.
-    wait_until("much has been served", || servers.iter().map(Fake::count).sum::<usize>() > 100);
-    load.row.store(0, Ordering::SeqCst);
-    wait_until("many quotes in a row are served", || load.row.load(Ordering::SeqCst) >= ROW);
+    let load = Load::start(&limiter);
+    // Long enough to reach the lowest limit, if such responses lowered it.
+    wait_until("many requests are served", || servers.iter().map(Fake::count).sum::<usize>() > 100);
+    load.consecutive.store(0, Ordering::SeqCst);
+    wait_until("many consecutive quotes are served", || {
+        load.consecutive.load(Ordering::SeqCst) >= CONSECUTIVE_SERVED
+    });
     load.end();
 }
 
-/// One after the other only: what is out waits, and what is worth least gives way.
+/// The server handles one request at a time, so that requests queue there, and those with the lowest worth are
+/// rejected.
 #[test]
 fn queued_responses_lower_the_concurrency_limit() {
     let turn = Mutex::new(());
@@ -88,9 +98,9 @@
         ok("served")
     });
     let limiter = start(std::slice::from_ref(&server));
-    let load = Load::on(&limiter);
-    wait_until("much has been served", || server.count() > 60);
-    load.refused.store(0, Ordering::SeqCst);
-    wait_until("quotes are refused", || load.refused.load(Ordering::SeqCst) >= 20);
+    let load = Load::start(&limiter);
+    wait_until("many requests are served", || server.count() > 60);
+    load.rejected.store(0, Ordering::SeqCst);
+    wait_until("quotes are rejected", || load.rejected.load(Ordering::SeqCst) >= 20);
     load.end();
 }
--- a/crates/daemon/tests/program.rs
+++ b/crates/daemon/tests/program.rs
@@ -1,4 +1,4 @@
-//! The real binary over loopback sockets, between small fakes.
+//! The limiter between fake servers, a fake discovery service and a fake counter service on loopback sockets.
 mod common;
 
 use common::*;
@@ -11,13 +11,13 @@
 
 const UNPROCESSED: &str = "X-Unprocessed: 1\r\n";
 
-/// A server that answers its first `n` requests by one rule, and all others well.
-fn at_first(n: u32, rule: impl Fn() -> Reply + Send + Sync + 'static) -> impl Fn(&Message) -> Reply {
+/// A rule that answers the first `n` requests by another rule, and all later ones with 200.
+fn fault_first(n: u32, rule: impl Fn() -> Reply + Send + Sync + 'static) -> impl Fn(&Message) -> Reply {
     let count = AtomicU32::new(0);
     move |_| if count.fetch_add(1, Ordering::SeqCst) < n { rule() } else { ok("late but good") }
 }
 
-// ----- relaying -----
+// ----- forwarding -----
 
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_answer_returned() {
@@ -27,7 +27,7 @@
     let sent = post("bind", "a policy");
     let answer = client.ask(&sent);
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo a policy"));
-    // The connection rests for some milliseconds before it is used again.
+    // A connection has to be idle for some milliseconds before it is reused.
     std::thread::sleep(Duration::from_millis(50));
     let answer = client.ask(&quote("roomy", 1500));
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
@@ -42,7 +42,7 @@
     assert_eq!(seen[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
     let left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
     assert!((1..1_500_000).contains(&left.expect("microseconds")), "{left:?}");
-    assert_eq!(server.accepted(), 1, "the connection is used again");
+    assert_eq!(server.accepted(), 1, "the connection is reused");
 }
 
 #[test]
@@ -50,26 +50,26 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
-    // Advice needs totals of the counter: a slow machine must not make it look down.
+    // `Retry-After` needs totals of the counter service, which must not seem to be down on a slow machine.
     settings["family-info"]["count-limit-s"] = json!(5.0);
     let limiter = Limiter::start(settings, &discovery, counter().address);
     let (mut client, began) = (limiter.client(), Instant::now());
-    let (mut served, mut refused) = (0, Vec::new());
-    wait_until("a refusal brings advice", || {
+    let (mut served, mut rejected) = (0, Vec::new());
+    wait_until("a rejection has Retry-After", || {
         let answer = client.ask(&quote("small", 9000));
         match answer.status() {
             200 => served += 1,
-            429 => refused.push(answer.header("retry-after").map(str::parse::<f64>)),
+            429 => rejected.push(answer.header("retry-after").map(str::parse::<f64>)),
             _ => panic!("{}", answer.start_line),
         }
-        matches!(refused.last(), Some(Some(_)))
+        matches!(rejected.last(), Some(Some(_)))
     });
-    let advice = refused.pop().flatten();
-    assert!(matches!(advice, Some(Ok(t)) if t > 0.0 && t <= 2.0), "{advice:?}");
-    assert_eq!(served, server.count(), "what is refused reaches no server");
-    // A burst of 4, one more each second; half as much again for what the module lends.
-    let most = 6.0 + 2.0 * began.elapsed().as_secs_f64();
-    assert!(served >= 4 && served as f64 <= most, "{served} served, {most} at most");
+    let retry_after = rejected.pop().flatten();
+    assert!(matches!(retry_after, Some(Ok(t)) if t > 0.0 && t <= 2.0), "{retry_after:?}");
+    assert_eq!(served, server.count(), "rejected requests reach no server");
+    // A burst of 4 and one more unit each second; half as much again for borrowed quota.
+    let max_served = 6.0 + 2.0 * began.elapsed().as_secs_f64();
+    assert!(served >= 4 && served as f64 <= max_served, "{served} served, {max_served} at most");
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let (discovery, counter) = (discovery(vec![instance("s-0", server.address, "in_service")]), counter());
     let mut settings = settings();
     settings["family-info"]["count-limit-s"] = json!(5.0);
-    // One of two limiters: a bucket of 80 units, filled by 20 to 40 a second.
+    // The bucket of one of two limiters holds 80 units, and is filled at 20 to 40 units per second.
     settings["tariffs"][1] = json!({"name": "small", "rate": 40.0, "depth": 160.0, "pays": 1.0});
     let limiter = Limiter::start(settings, &discovery, counter.address);
     let request = || quote("small", 9000).replace("units=1,spread=1", "units=4,spread=2");
@@ -93,14 +93,18 @@
         served += 4.0;
     }
     filled = 40.0 * began.elapsed().as_secs_f64();
-    assert!(served <= 80.0 + 48.0 + filled, "{served} units: no more than that part");
+    assert!(served <= 80.0 + 48.0 + filled, "{served} units served, more than may be borrowed");
 }
 
 // ----- outcomes -----
 
-/// Has a request meet a fault first; gives the final answer and what all servers saw of it.
-fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
-    let server = Fake::new(at_first(1, fault));
+/// Sends a request whose first attempt gets this fault; returns the final response, and the requests that the server
+/// received.
+fn send_with_fault(
+    fault: impl Fn() -> Reply + Send + Sync + 'static,
+    request: &str,
+) -> (Message, Vec<Message>) {
+    let server = Fake::new(fault_first(1, fault));
     let limiter = Limiter::with_servers(&[&server]);
     (limiter.client().ask(request), server.seen())
 }
@@ -126,7 +130,7 @@
 fn an_unprocessed_request_is_retried_whatever_its_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
-            let (answer, seen) = after(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
+            let (answer, seen) = send_with_fault(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
             assert_eq!((answer.status(), seen.len()), (200, 2), "{request}");
         }
     }
@@ -136,7 +140,7 @@
 fn a_request_that_may_have_run_is_retried_only_if_its_class_permits() {
     let faults: [fn() -> Reply; 6] = [
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
-        // Without its mark, a 503 does not say that the request never ran.
+        // A 503 without `X-Unprocessed` does not say that the request was not executed.
         || Reply::Raw(raw("503 Service Unavailable", "", "")),
         || Reply::RawThenClose(String::new()),
         || Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part".into()),
@@ -144,12 +148,12 @@
         || Reply::Raw(raw("200 OK", "", &"x".repeat(64 * 1024 + 1))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
-        let (answer, seen) = after(fault, &post("bind", "x"));
+        let (answer, seen) = send_with_fault(fault, &post("bind", "x"));
         assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.start_line);
         assert_eq!(answer.text(), "late but good", "a broken answer never reaches a client");
         let key = |m: &Message| (m.header("idempotency-key").map(String::from), m.body.clone());
         assert_eq!(key(&seen[0]), key(&seen[1]), "the copy carries the same key");
-        let (answer, seen) = after(fault, &post("once", "x"));
+        let (answer, seen) = send_with_fault(fault, &post("once", "x"));
         assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.start_line);
     }
 }
@@ -168,8 +172,8 @@
 
 #[test]
 fn an_attempt_starts_only_when_the_previous_one_is_closed() {
-    // Requests hang; the module calls attempts off and tries another server, which answers only once the
-    // first has seen its connection end, or notes that it did not.
+    // Requests hang at the first server, so the decision module cancels the attempts and retries at another server,
+    // which answers once the connection to the first is closed, or records an overlap if that takes over 3 s.
     let overlaps = Arc::new(AtomicU32::new(0));
     let hung = Fake::new(|_| Reply::Silence);
     let (first, noted) = (hung.clone(), overlaps.clone());
@@ -188,7 +192,7 @@
     let list = vec![instance("s-0", hung.address, "in_service")];
     let discovery = discovery(list);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
-    // Two requests hang at the only server; then it gets company.
+    // Two requests hang at the only server; then another server is added.
     let clients: Vec<_> = (0..2)
         .map(|_| {
             let mut client = limiter.client();
@@ -201,7 +205,7 @@
     let answers: Vec<_> = clients.into_iter().map(|mut c| c.answer().expect("an answer").status()).collect();
     assert!(answers.contains(&200), "{answers:?}");
     assert!(good.count() >= 1);
-    assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were out at once");
+    assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were open at once");
 }
 
 #[test]
@@ -238,17 +242,17 @@
         .collect();
     let list = servers.iter().enumerate();
     let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
-    // So many limiters share the servers that this one may have two requests out at all four.
+    // Eight limiters share the servers, so that this one may have two requests in flight at all four together.
     let mut settings = settings();
     settings["peers-total"] = json!(8);
     let limiter = Limiter::start(settings, &discovery(list), counter().address);
     let mut clients: Vec<Client> = (0..4).map(|_| limiter.client()).collect();
-    // Enough for three failures at each: as many are left out as may be.
+    // Enough for three failures at each server: as many are ejected as are allowed.
     for _ in 0..12 {
         assert_eq!(clients[0].ask(&post("once", "x")).status(), 502);
     }
     failing.store(false, Ordering::SeqCst);
-    // Asks with so many at once, all held at the servers until every one of them is there or was refused.
+    // Sends `n` requests at once; the servers hold them until all have arrived, or for 300 ms if some are rejected.
     let mut served_at_once = |n: usize| {
         let seen = || servers.iter().map(Fake::count).sum::<usize>();
         let before = seen();
@@ -261,15 +265,16 @@
         go.store(true, Ordering::SeqCst);
         clients[..n].iter_mut().all(|c| c.answer().expect("an answer").status() == 200)
     };
-    // Past the time for which they are left out, each answers well again.
+    // After the ejection time each server answers with 200 again.
     std::thread::sleep(Duration::from_millis(1500));
     served_at_once(4);
-    // Few tries: each answer in time widens what may be out by a little, and would hide the loss in the end.
+    // Few tries: each timely response raises the concurrency limit a little, which would in the end hide the lost
+    // capacity.
     let both = (0..5).any(|_| {
         std::thread::sleep(Duration::from_millis(300));
         served_at_once(2)
     });
-    assert!(both, "what the servers left out could take never came back");
+    assert!(both, "the capacity of the ejected servers was never restored");
 }
 
 // ----- discovery -----
@@ -284,7 +289,7 @@
     let limiter = Limiter::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&quote("roomy", 15_000));
-    // The other server is named once the request is on its way to the first.
+    // The other server is announced while the limiter connects to the first for the request.
     std::thread::sleep(Duration::from_millis(100));
     let began = Instant::now();
     let change = [instance("s-0", stuck, "terminating"), instance("s-1", good.address, "in_service")];
@@ -292,7 +297,7 @@
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     drop(filled);
-    // Whatever the kernel still had in its queue carries no request.
+    // Connections still in the kernel's queue carry no request.
     listener.set_nonblocking(true).expect("set");
     while let Ok((accepted, _)) = listener.accept() {
         let mut stream: TcpStream = accepted.into();
@@ -305,12 +310,12 @@
 fn requests_in_flight_at_a_removed_server_are_ended() {
     let (hung, good) = (Fake::new(|_| Reply::Silence), Fake::new(|_| ok("served")));
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
-    // One late answer alone never makes the module call an attempt off: only the news can end this one.
+    // One late response does not make the decision module cancel an attempt: only the update can end this one.
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&post("bind", "x"));
-    wait_until("the request is out", || hung.count() == 1);
-    // A whole list without it says that it is gone; the line comes in pieces.
+    wait_until("the request is sent", || hung.count() == 1);
+    // A whole list without the server removes it; the line arrives in pieces.
     let line = chunk(&update(11, true, &[instance("s-1", good.address, "in_service")]));
     let (head, tail) = line.split_at(line.len() / 2);
     discovery.push(head);
@@ -340,7 +345,7 @@
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert!(discovery.seen()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
     wait_until("the first line is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
-    // It ends; then a line is no JSON; then one lacks what an entry needs.
+    // The watch ends; then a line is not JSON; then an entry lacks required fields.
     for (n, bad) in
         ["", "{\"generation\": 12, ", "{\"generation\":12,\"instances\":[{\"cell\":1}]}"].iter().enumerate()
     {
@@ -351,7 +356,7 @@
         }
         wait_until("the watch is back", || discovery.count() == n + 2);
         assert_eq!(discovery.seen()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
-        assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the old list holds");
+        assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the old list stays in use");
     }
     wait_until("the faults are logged", || limiter.errors().matches("discovery: ").count() >= 3);
 }
@@ -363,12 +368,12 @@
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     wait_until("the other is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
-    assert_eq!(discovery.count(), 1, "the watch goes on");
+    assert_eq!(discovery.count(), 1, "the watch continues");
 }
 
 #[test]
 fn a_silent_watch_is_replaced() {
-    // A peer that is cut off never errs.
+    // A watch whose peer is cut off from the network reports no error.
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -415,7 +420,7 @@
             assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "rule {n}");
             counter.count() >= 2
         });
-        // Its connection goes with such a call: a late answer must not be taken for that of the next one.
+        // Such a call closes its connection: a late answer must not be taken for that of the next call.
         assert!(counter.accepted() >= 2, "rule {n}");
         wait_until("the connections are closed", || counter.ended() >= 2);
     }
@@ -447,7 +452,7 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     limiter.close_log();
-    // Each broken watch is a line in the log: the first closes it, the others find it closed.
+    // Each broken watch logs a line: the first line closes the log, and the others are written to the closed log.
     for watches in 2..5 {
         discovery.disconnect_all();
         wait_until("the watch is back", || discovery.count() == watches);
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -1,4 +1,4 @@
-//! The real binary and its signals, over loopback sockets between small fakes.
+//! SIGHUP and SIGTERM, and the format of the log.
 mod common;
 
 use common::*;
@@ -22,9 +22,11 @@
     });
 
     limiter.move_to(discovery_2.address, counter_2.address);
-    wait_until("the news of the second watch holds", || client.ask(&quote("roomy", 9000)).text() == "new");
+    wait_until("the list of the second watch is in use", || {
+        client.ask(&quote("roomy", 9000)).text() == "new"
+    });
     assert_eq!(discovery_2.seen()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
-    // The old ones are dropped from this side: they close what is left before long.
+    // The limiter closes its connections to the old addresses, whose services then close theirs.
     wait_until("the first watch is dropped", || discovery_1.ended() == discovery_1.accepted());
     wait_until("the first counter is dropped", || counter_1.ended() == counter_1.accepted());
     let calls = counter_1.count();
@@ -32,9 +34,9 @@
         assert_eq!(client.ask(&quote("roomy", 9000)).text(), "new");
         counter_2.count() > 0
     });
-    assert_eq!(counter_1.count(), calls, "nothing more goes to the first");
+    assert_eq!(counter_1.count(), calls, "no further call goes to the first");
 
-    // And back, twice in a row: the last one counts.
+    // Then back, with two changes in quick succession: the last one applies.
     limiter.move_to(discovery_1.address, counter_2.address);
     limiter.move_to(discovery_1.address, counter_1.address);
     wait_until("the first counter is called again", || {
@@ -58,10 +60,10 @@
         wait_until("it is logged", || limiter.errors().matches("SIGHUP").count() == n + 1);
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     }
-    assert_eq!((discovery.count(), discovery.ended()), (1, 0), "the watch goes on");
+    assert_eq!((discovery.count(), discovery.ended()), (1, 0), "the watch continues");
     limiter.terminate();
     limiter.signal("-HUP");
-    assert_eq!(limiter.wait().code(), Some(0), "SIGHUP after SIGTERM kills nothing");
+    assert_eq!(limiter.wait().code(), Some(0), "SIGHUP after SIGTERM does not kill the limiter");
 }
 
 // ----- SIGTERM -----
@@ -81,11 +83,11 @@
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
     assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
-    wait_until("the request is out", || server.count() == 2);
+    wait_until("the request is sent", || server.count() == 2);
 
     limiter.terminate();
     assert!(idle.answer().is_none(), "an idle connection is closed");
-    // Connections go on coming for a while.
+    // New connections are still accepted for a while.
     let answer = limiter.client().ask(&quote("roomy", 9000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 503);
@@ -98,13 +100,13 @@
 
 #[test]
 fn the_log_is_text_or_json_as_configured() {
-    let said = |form: &[&str]| {
-        let out = command().args(form).env_remove("ROUTER_CONFIG").output().expect("run");
+    let stderr_with = |options: &[&str]| {
+        let out = command().args(options).env_remove("ROUTER_CONFIG").output().expect("run");
         String::from_utf8_lossy(&out.stderr).into_owned()
     };
-    assert_eq!(said(&[]), "liftrouter: ROUTER_CONFIG is not set\n");
-    assert_eq!(said(&["--log", "text"]), said(&[]));
-    let line: serde_json::Value = serde_json::from_str(&said(&["--log", "json"])).expect("an object");
+    assert_eq!(stderr_with(&[]), "liftrouter: ROUTER_CONFIG is not set\n");
+    assert_eq!(stderr_with(&["--log", "text"]), stderr_with(&[]));
+    let line: serde_json::Value = serde_json::from_str(&stderr_with(&["--log", "json"])).expect("an object");
     assert_eq!((&line["part"], &line["level"]), (&"liftrouter".into(), &"INFO".into()), "{line}");
     assert_eq!(line["message"], "ROUTER_CONFIG is not set");
     assert!(line["timestamp"].is_string(), "{line}");
--- a/crates/daemon/tests/start_errors.rs
+++ b/crates/daemon/tests/start_errors.rs
@@ -1,5 +1,4 @@
-//! What an operator reads where the program cannot start: the text says what was tried, with what, and what was
-//! expected.
+//! Error messages of a start that fails: each says what was tried, with which value, and what was expected.
 mod common;
 
 use common::*;
