--- a/crates/daemon/tests/asked.rs
+++ b/crates/daemon/tests/asked.rs
@@ -397,7 +397,7 @@
         Behavior::CutInMessage,
         Behavior::AnswerAfter(Duration::from_secs(4)),
     ];
-    at_once(faults, fault_during_outage);
+    in_parallel(faults, fault_during_outage);
 }
 
 #[test]
@@ -410,7 +410,7 @@
 
 #[test]
 fn retry_after_of_a_refusal_is_respected() {
-    at_once([("2", 2.0), ("1.5", 1.5), ("0.4", 0.4)], |(text, seconds)| {
+    in_parallel([("2", 2.0), ("1.5", 1.5), ("0.4", 0.4)], |(text, seconds)| {
         let behavior = Behavior::Refuse(Some(text));
         fault_during_outage(behavior);
         // A second run checks the pauses: no call comes before the time in `Retry-After`.
@@ -470,7 +470,7 @@
         Behavior::CutInMessage,
         Behavior::AnswerAfter(Duration::from_secs(4)),
     ];
-    at_once(faults, |behavior| {
+    in_parallel(faults, |behavior| {
         let case = format!("{behavior:?} once");
         let mut rig = Rig::serving();
         rig.discovery.fail_next(rig.discovery_address(), behavior, 1);
@@ -493,7 +493,7 @@
 /// and sends the first heartbeat 2 s later.
 #[test]
 fn a_watch_that_ends_without_changes_interrupts_no_service() {
-    at_once([Behavior::Serve, Behavior::Close, Behavior::Refuse(None)], |behavior| {
+    in_parallel([Behavior::Serve, Behavior::Close, Behavior::Refuse(None)], |behavior| {
         let case = format!("{behavior:?} and nothing new");
         let mut rig = Rig::serving();
         rig.discovery.fail_next(rig.discovery_address(), behavior, 1);
@@ -573,7 +573,7 @@
 
 #[test]
 fn a_move_in_the_middle_of_a_backoff_is_followed_at_once() {
-    at_once([Behavior::Serve, Behavior::Refuse(Some("1")), Behavior::Hang], |behavior| {
+    in_parallel([Behavior::Serve, Behavior::Refuse(Some("1")), Behavior::Hang], |behavior| {
         let case = format!("a move to {behavior:?}");
         let mut rig = Rig::serving();
         let (other, counter) = (rig.discovery.add_listener(0), counter());
@@ -722,7 +722,7 @@
 
 #[test]
 fn six_limiters_recover_after_an_outage_within_the_capacity_of_discovery() {
-    at_once([Behavior::Hang, Behavior::Close], |behavior| {
+    in_parallel([Behavior::Hang, Behavior::Close], |behavior| {
         let case = format!("six after {behavior:?}");
         let mut rig = Rig::new(Cost::from_call_ms(10), Duration::from_millis(30));
         rig.start_members(6);
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -6,7 +6,7 @@
 mod connection;
 pub mod timed_server;
 
-use crate::common::{command, instance, scratch, update, Limiter, Message};
+use crate::common::{command, instance, temp_file, update, Limiter, Message};
 use connection::Connection;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -324,7 +324,7 @@
         let Ok(copy) = stream.try_clone() else { return };
         let Some(request) = Message::read(&mut BufReader::new(copy)) else { return };
         let _ = stream.set_nonblocking(true);
-        let target = request.first.split(' ').nth(1).unwrap_or("").to_string();
+        let target = request.start_line.split(' ').nth(1).unwrap_or("").to_string();
         let after = target.split("after=").nth(1).and_then(|a| a.split('&').next()?.parse().ok());
         let (call, behavior) = {
             let mut state = self.state();
@@ -349,6 +349,6 @@
     let known: Value = serde_json::from_str(known).expect("a list");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
         "discovery": discovery_address.to_string(), "known": known, "settings": settings});
-    let file = scratch(&config.to_string());
+    let file = temp_file(&config.to_string());
     Limiter::spawn(command(), file, config, discovery_address)
 }
--- a/crates/daemon/tests/common/grpc.rs
+++ b/crates/daemon/tests/common/grpc.rs
@@ -1,7 +1,7 @@
 //! gRPC test kit: a client built on hyper, a connection that sends hand-written HTTP/2 frames, and a stand-in for the
 //! external authorizer.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http2::{handshake, SendRequest};
@@ -170,7 +170,7 @@
             })
         };
         self.runtime.block_on(async {
-            tokio::time::timeout(PATIENCE, call).await.expect("the response ends in time")
+            tokio::time::timeout(WAIT_TIMEOUT, call).await.expect("the response ends in time")
         })
     }
 
@@ -213,7 +213,7 @@
     /// The next frame: the data, or as an error the `grpc-status` of the trailers. `None` if the call ended or failed.
     pub fn next_frame(&mut self) -> Option<Result<Bytes, u16>> {
         let body = &mut self.body;
-        let next = async { tokio::time::timeout(PATIENCE, body.frame()).await.expect("a frame in time") };
+        let next = async { tokio::time::timeout(WAIT_TIMEOUT, body.frame()).await.expect("a frame in time") };
         let frame = self.grpc_client.runtime.block_on(next)?.ok()?;
         let frame = match frame.into_data() {
             Ok(data) => return Some(Ok(data)),
@@ -238,8 +238,8 @@
     /// Connects as a client, and sends the preface and a SETTINGS frame with these pairs of identifier and value.
     pub fn new(address: SocketAddr, settings: &[(u16, u32)]) -> RawConnection {
         let stream = TcpStream::connect(address).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
-        stream.set_write_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
+        stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         let mut raw = RawConnection { stream };
         raw.write(wire::PREFACE);
--- a/crates/daemon/tests/common/relays/proxy.rs
+++ b/crates/daemon/tests/common/relays/proxy.rs
@@ -71,7 +71,7 @@
 ) -> Option<()> {
     subscriber.set_nodelay(true).ok()?;
     let request = Message::read(&mut BufReader::new(subscriber.try_clone().ok()?))?;
-    let target = request_target(&request.first);
+    let target = request_target(&request.start_line);
     lock(log).targets.push(target.clone());
     let mut watch = open_watch(upstream, &target)?;
     if watch.head.status() != 200 {
--- a/crates/daemon/tests/common/relays/service_discovery.rs
+++ b/crates/daemon/tests/common/relays/service_discovery.rs
@@ -126,10 +126,10 @@
     fn serve(&self, stream: &TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let Some(request) = Message::read(&mut BufReader::new(stream.try_clone()?)) else { return Ok(()) };
-        let mut after = after_param(&request.first);
+        let mut after = after_param(&request.start_line);
         {
             let mut state = lock(&self.state);
-            state.targets.push(request_target(&request.first));
+            state.targets.push(request_target(&request.start_line));
             if !state.reachable {
                 return Ok(());
             }
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -114,7 +114,7 @@
             OpenFault::Hang => Reply::Silence,
             OpenFault::HeadOnly => Reply::Raw(WATCH_HEAD.into()),
             OpenFault::Status => Reply::Raw(raw("503 Service Unavailable", "", "")),
-            OpenFault::Cut => Reply::Last(String::new()),
+            OpenFault::Cut => Reply::RawThenClose(String::new()),
         }
     }
 }
@@ -188,11 +188,11 @@
     let (before, after) = swapped_lists();
     let (old, count) = (discovery_by_watch(move |_| list_reply(&before)), counter());
     let limiter = Limiter::start(settings(), &old, count.address);
-    let (socket, address) = nobody();
+    let (socket, address) = unused_address();
     limiter.move_to(address, count.address);
     wait_until("connections are refused", || limiter.errors().contains("no connection"));
     socket.listen(16).expect("listen");
-    let (new, began) = (Fake::at(socket.into(), move |_| list_reply(&after)), Instant::now());
+    let (new, began) = (Fake::on_listener(socket.into(), move |_| list_reply(&after)), Instant::now());
     wait_until("the change is in force", || limiter.client().ask(&quote("roomy", 9000)).text() == "second");
     // Pauses after refused connections do not grow: each is 0.2 s at most; the rest allows for a busy
     // machine.
@@ -246,7 +246,7 @@
         discovery_by_watch(
             move |_| if gate.load(Ordering::SeqCst) { Reply::Silence } else { list_reply(&now) },
         );
-    let limiter = Limiter::with_known(&known, settings(), discovery.address);
+    let limiter = Limiter::with_known_list(&known, settings(), discovery.address);
     // Longer than a list takes to arrive. Requests before the limiter is ready are refused without delay.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
@@ -257,7 +257,7 @@
     wait_until("the limiter is up", || limiter.up());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "second");
     assert_eq!(first.count(), 0, "a draining server received requests");
-    assert!(!discovery.seen()[0].first.contains("after"), "a new process asks for the whole list");
+    assert!(!discovery.seen()[0].start_line.contains("after"), "a new process asks for the whole list");
 }
 
 #[test]
@@ -265,7 +265,8 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery_by_watch(|_| Reply::Silence);
     let began = Instant::now();
-    let limiter = Limiter::with_known(&list(9, &[(&server, "in_service")]), settings(), discovery.address);
+    let limiter =
+        Limiter::with_known_list(&list(9, &[(&server, "in_service")]), settings(), discovery.address);
     wait_until("the limiter is up", || limiter.up());
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "served");
--- a/crates/daemon/tests/grpc_limits.rs
+++ b/crates/daemon/tests/grpc_limits.rs
@@ -217,7 +217,7 @@
     let mut silent = RawConnection::new(address, &[]);
     let mut without_preface =
         RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
-    without_preface.stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    without_preface.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     assert!(silent.wait_for_close());
     assert!(without_preface.wait_for_close());
     assert_both_listeners_serve(&limiter, address);
@@ -276,7 +276,7 @@
     }
     // An HTTP/1.1 request to the gRPC listener.
     let mut http1 = RawConnection { stream: std::net::TcpStream::connect(address).expect("connect") };
-    http1.stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    http1.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     http1.write(quote("roomy", 1_500).as_bytes());
     assert!(http1.wait_for_close());
     // A frame after the end of its stream is an error. RFC 9113, section 5.1, requires STREAM_CLOSED; hyper sends
--- a/crates/daemon/tests/inventory.rs
+++ b/crates/daemon/tests/inventory.rs
@@ -17,7 +17,7 @@
 
 impl InventoryDirectory {
     fn new(more: &str) -> InventoryDirectory {
-        let folder = scratch("").with_extension("d");
+        let folder = temp_file("").with_extension("d");
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("nodes.csv");
         let operator = format!("[inventory]\ncsv = '{}'\n{more}", file.display());
@@ -212,12 +212,12 @@
     rename_over(&directory.file, &only(2, b.address));
     wait_until("the move is adopted", || limiter.errors().contains("version 2 adopted"));
     assert_eq!(served_by(&limiter), "b 2");
-    assert!(silent.let_go().is_empty(), "the open attempt is left alone");
+    assert!(silent.abandoned_ids().is_empty(), "the open attempt is left alone");
     // A removed node: the open attempt is ended at once, and a request that may be retried goes to another node.
     rename_over(&directory.file, &csv(3, &[("s-b", b.address, "in_service")]));
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "b 3"));
-    wait_until("its connection is closed", || silent.let_go().len() == 1);
+    wait_until("its connection is closed", || silent.abandoned_ids().len() == 1);
 }
 
 #[test]
--- a/crates/daemon/tests/together.rs
+++ b/crates/daemon/tests/together.rs
@@ -84,8 +84,11 @@
             let discovery = discovery.address;
             thread::spawn(move || {
                 let started = Instant::now();
-                let limiter =
-                    Limiter::with_known(&update(9, true, &[]), limiter_settings(index % LIMITERS), discovery);
+                let limiter = Limiter::with_known_list(
+                    &update(9, true, &[]),
+                    limiter_settings(index % LIMITERS),
+                    discovery,
+                );
                 wait_until("the limiter is ready", || limiter.up());
                 started.elapsed()
             })
