--- a/crates/cluster/src/gossip.rs
+++ b/crates/cluster/src/gossip.rs
@@ -115,7 +115,7 @@
     /// `foca` rejected it.
     #[error("{cause}")]
     Rejected {
-        /// The error of the library, which cannot be cloned or compared.
+        /// Message of the `foca` error, kept as text because the error itself can be neither cloned nor compared.
         cause: String,
     },
 }
--- a/crates/counter/src/census.rs
+++ b/crates/counter/src/census.rs
@@ -1,7 +1,7 @@
 //! The instance census: one count per period, which every instance increments once and reads once.
 //!
-//! A total below the configured number of instances means that the counter is split, or that some instances cannot
-//! reach it.
+//! A total below the configured number of instances means that the counter service is split into parts with separate
+//! counts, or that some instances cannot reach the service.
 
 /// End of the registration window, as a fraction of the period.
 const REGISTRATION_END: f64 = 0.4;
--- a/crates/counter/src/settings.rs
+++ b/crates/counter/src/settings.rs
@@ -14,9 +14,9 @@
     /// Seconds for which one census and one sentinel counter are used. The instances' clocks must agree to within a tenth
     /// of it.
     pub census_period_s: f64,
-    /// Consecutive failed calls after which the counter is unavailable.
+    /// Consecutive failed calls after which the counter service counts as unavailable.
     pub failure_threshold: u32,
-    /// Consecutive valid answers after which a failed counter is valid again.
+    /// Consecutive valid answers after which a counter service that failed counts as valid again.
     pub required_valid_answers: u32,
 }
 
--- a/crates/counter/tests/validator.rs
+++ b/crates/counter/tests/validator.rs
@@ -292,7 +292,8 @@
         instances.run_without_fault(12.0, &mut counter);
         instances.now += pause_s;
         instances.validators[0].process_resumed(instances.now);
-        // Two sentinel answers, in the part of the period between registration and reading of the census.
+        // The pause ends after the registration window of the census, and the run ends before the reading window:
+        // all calls go to the sentinel, enough of them for the two valid answers that a valid verdict requires.
         instances.run_for(0.7, |_, key, n| {
             assert!(key.starts_with("canary"), "{key}");
             CallResult::Total(add(&mut counter, key, n))
--- a/crates/daemon/src/counter/pool.rs
+++ b/crates/daemon/src/counter/pool.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sets the address of the first counter, and notifies the validation if it changed.
+    /// Sets the address of the first counter. If the address changed, the task that validates the counters is notified.
     pub fn set_first_address(&self, address: SocketAddr) {
         let Some(first) = self.clients.first() else { return };
         if first.set_address(address) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Records a pause of the process, and notifies the validation.
+    /// Records a pause of the process, and notifies the task that validates the counters.
     pub fn process_resumed(&self) {
         let changes = self.changes.get();
         self.changes.set(ChangeCounts { pauses: changes.pauses + 1, ..changes });
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -174,7 +174,7 @@
         let mut client = limiter.client();
         client.send(&post("bind", "x"));
         wait_until("the request is sent", || first.count() == 1);
-        // A second server, at which the request is retried after the reset at the first.
+        // Adds a second server: once the first has reset the connection, the limiter retries the request there.
         discovery.push(&chunk(&update(11, false, &[instance("s-1", late, "in_service")])));
         // Waits past the reset and the short window. Then connections succeed when the kernel retransmits the SYN.
         thread::sleep(Duration::from_millis(950));
--- a/crates/daemon/tests/common/asked.rs
+++ b/crates/daemon/tests/common/asked.rs
@@ -92,7 +92,7 @@
     pub at: Instant,
 }
 
-/// A drain of a server.
+/// A server that is draining, and when its drain started.
 #[derive(Clone, Debug)]
 pub struct Drain {
     /// The server's index.
--- a/crates/daemon/tests/common/relays/subscriber.rs
+++ b/crates/daemon/tests/common/relays/subscriber.rs
@@ -99,7 +99,7 @@
         RawSubscriber { head, stream, list }
     }
 
-    /// Opens one and waits for its first message.
+    /// Opens a watch and waits for its first line.
     pub fn follow(relay: SocketAddr, after: Option<u64>, services: &[&str]) -> RawSubscriber {
         let subscriber = RawSubscriber::open(relay, after, services);
         wait_until("the subscriber has its first message", || !subscriber.received().is_empty());
@@ -110,7 +110,7 @@
         lock(&self.list).received.clone()
     }
 
-    /// Its first message.
+    /// The first update received.
     pub fn first(&self) -> Update {
         let first = self.received().into_iter().find_map(|received| received.update);
         first.expect("a first message")
--- a/crates/decision/src/endpoints/fleet_limit.rs
+++ b/crates/decision/src/endpoints/fleet_limit.rs
@@ -55,8 +55,8 @@
     low_traffic_factor: f64,
 }
 
-/// Degree to which each of `instance_count` limiters has little traffic: 0 where its share of an endpoint's
-/// least limit is one attempt or more, approaching 1 for hundreds of limiters.
+/// Degree to which each of `instance_count` limiters has little traffic, from 0 to 1. The degree is 0 if a
+/// limiter's share of [`MIN_ATTEMPTS`] is at least one attempt, and is close to 1 with hundreds of limiters.
 fn low_traffic_factor(instance_count: u32) -> f64 {
     (1.0 - MIN_ATTEMPTS / f64::from(instance_count.max(1))).max(0.0)
 }
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -85,8 +85,8 @@
         /// The endpoint's load report.
         report: LoadReport,
     },
-    /// The client disconnected and needs no response. For an authorization: the client did not receive it and
-    /// will not call the endpoints.
+    /// The client disconnected and needs no response. For an authorization: the client did not receive the
+    /// decision and will not call the endpoints.
     ClientDisconnected {
         /// The request.
         id: RequestId,
--- a/crates/decision/src/interface/settings/mod.rs
+++ b/crates/decision/src/interface/settings/mod.rs
@@ -53,7 +53,8 @@
     pub streaming: bool,
 }
 
-/// A plan. Its limits apply to each customer, over all limiters together.
+/// The quota, limits and weights of a kind of customer. Each customer on the plan has its own quota and limits,
+/// which cover its requests at all limiters.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Name by which requests refer to it.
--- a/crates/decision/src/quota/quota_check.rs
+++ b/crates/decision/src/quota/quota_check.rs
@@ -85,7 +85,7 @@
 }
 
 impl Customer {
-    /// Refills the bucket and the hard limit up to `now`.
+    /// Adds the tokens accrued by `now` to the customer's bucket and to its share of the hard limit.
     fn refill(
         &mut self,
         plan: &Plan,
