--- a/crates/daemon/src/authoriser/client.rs
+++ b/crates/daemon/src/authorizer/client.rs
@@ -1,35 +1,35 @@
-//! The client of one authoriser: its limit of open check requests, its circuit breaker, its timeout and its retry.
+//! The client of one authorizer: limits open check requests, and applies timeout, retry and circuit breaker.
 
 use super::error::{AttemptError, CheckError};
 use super::exchange::{build_request, exchange};
 use super::pool::{ConnectionPool, SilenceGuard};
-use super::settings::AuthoriserSettings;
-use super::Authorisation;
-use crate::count::Count;
+use super::settings::AuthorizerSettings;
+use super::Authorization;
+use crate::count_guard::CountGuard;
 use crate::log::log;
 use liftrouter_authz::messages::envoy::service::auth::v3::CheckRequest;
-use liftrouter_authz::{frame, verdict, Breaker, Leave, Verdict};
+use liftrouter_authz::{frame, parse_verdict, Breaker, Permit, Verdict};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// A check request that surely was not seen is sent once more.
+/// A check request that the authorizer certainly did not process is retried once.
 const MAX_ATTEMPTS: usize = 2;
 
-/// The client of one authoriser.
-pub struct Authoriser {
-    pub(super) settings: Rc<AuthoriserSettings>,
+/// The client of one authorizer.
+pub struct Authorizer {
+    pub(super) settings: Rc<AuthorizerSettings>,
     breaker: RefCell<Breaker>,
-    /// Times of the breaker are seconds from here.
+    /// Time zero of the breaker's clock.
     started_at: Instant,
     open_checks: Cell<usize>,
     pool: Rc<ConnectionPool>,
 }
 
-impl Authoriser {
-    pub(super) fn new(settings: AuthoriserSettings) -> Authoriser {
+impl Authorizer {
+    pub(super) fn new(settings: AuthorizerSettings) -> Authorizer {
         let settings = Rc::new(settings);
-        Authoriser {
+        Authorizer {
             breaker: RefCell::new(Breaker::new(settings.breaker)),
             started_at: Instant::now(),
             open_checks: Cell::new(0),
@@ -38,42 +38,43 @@
         }
     }
 
+    /// The present time on the breaker's clock, in seconds.
     fn seconds(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Sends a check request and waits for the decision until `deadline`, or as long as the settings allow.
-    pub(super) async fn check(&self, request: &CheckRequest, via: &str, deadline: Instant) -> Authorisation {
-        if self.open_checks.get() >= self.settings.questions {
-            // Busy with others, not down: that does not count as a failure.
-            return Authorisation::Undecided { retry_after: 0.0 };
+    /// Sends a check request and waits for the decision until `deadline` or the timeout, whichever comes first.
+    pub(super) async fn check(&self, request: &CheckRequest, via: &str, deadline: Instant) -> Authorization {
+        if self.open_checks.get() >= self.settings.max_open_checks {
+            // The limit does not show that the authorizer is down, so this is not recorded as a failure.
+            return Authorization::Undecided { retry_after: 0.0 };
         }
-        let leave = match self.breaker.borrow_mut().leave(self.seconds()) {
-            Ok(leave) => leave,
-            Err(retry_after) => return Authorisation::Undecided { retry_after },
+        let breaker_permit = match self.breaker.borrow_mut().acquire(self.seconds()) {
+            Ok(permit) => permit,
+            Err(retry_after) => return Authorization::Undecided { retry_after },
         };
-        let _open = Count::new(&self.open_checks);
-        let mut permit = BreakerPermit { authoriser: self, leave: Some(leave) };
+        let _open = CountGuard::new(&self.open_checks);
+        let mut permit = BreakerPermit { authorizer: self, permit: Some(breaker_permit) };
         let until = deadline.min(Instant::now() + self.settings.timeout);
         let result = timeout_at(until, self.check_with_retry(request, via, until)).await;
         let error = match result {
             Ok(Ok(verdict)) => {
                 permit.record(true);
-                return Authorisation::Decided(verdict);
+                return Authorization::Decided(verdict);
             }
             Ok(Err(error)) => error,
-            // The request's own time was shorter than a response may take: no fault of the authoriser's.
-            Err(_) if until == deadline => return Authorisation::Undecided { retry_after: 0.0 },
+            // The request's deadline came before the timeout, so this is not a failure of the authorizer.
+            Err(_) if until == deadline => return Authorization::Undecided { retry_after: 0.0 },
             Err(_) => CheckError::Timeout,
         };
         permit.record(false);
         if !self.breaker.borrow().is_closed() {
-            log("authoriser", format_args!("{}: left alone for a while: {error}", self.settings.name));
+            log("authoriser", format_args!("{}: circuit breaker open: {error}", self.settings.name));
         }
-        Authorisation::Undecided { retry_after: 0.0 }
+        Authorization::Undecided { retry_after: 0.0 }
     }
 
-    /// Sends a check request, and once more if the first attempt surely was not seen.
+    /// Sends a check request, and retries it once if the authorizer certainly did not process the first attempt.
     async fn check_with_retry(
         &self,
         request: &CheckRequest,
@@ -83,13 +84,13 @@
         let body = frame(request);
         for _ in 0..MAX_ATTEMPTS {
             let connection = self.pool.least_loaded().await;
-            let _open = Count::new(connection.open_checks.clone());
+            let _open = CountGuard::new(connection.open_checks.clone());
             let silence = SilenceGuard::new(&self.pool, &connection);
             let http_request = build_request(&self.settings, body.clone(), via, deadline);
-            let response = exchange(connection.sender, http_request, self.settings.message).await;
+            let response = exchange(connection.sender, http_request, self.settings.max_message_bytes).await;
             silence.disarm();
             match response {
-                Ok(response) => return verdict(response).map_err(CheckError::Verdict),
+                Ok(response) => return parse_verdict(response).map_err(CheckError::Verdict),
                 Err(AttemptError::StreamRefused) => {}
                 Err(AttemptError::ConnectionClosed) => self.pool.remove(connection.number),
                 Err(AttemptError::Failed(error)) => return Err(error),
@@ -99,10 +100,11 @@
     }
 }
 
-/// The circuit breaker's permission for one check request, given back without a result if the client disconnects.
+/// The circuit breaker's permit for one check request. Dropped before a result is recorded, as when the client
+/// disconnects, it is released without one.
 struct BreakerPermit<'a> {
-    authoriser: &'a Authoriser,
-    leave: Option<Leave>,
+    authorizer: &'a Authorizer,
+    permit: Option<Permit>,
 }
 
 impl BreakerPermit<'_> {
@@ -111,8 +113,8 @@
     }
 
     fn release(&mut self, success: Option<bool>) {
-        if let Some(leave) = self.leave.take() {
-            self.authoriser.breaker.borrow_mut().ended(self.authoriser.seconds(), leave, success);
+        if let Some(permit) = self.permit.take() {
+            self.authorizer.breaker.borrow_mut().release(self.authorizer.seconds(), permit, success);
         }
     }
 }
--- a/crates/daemon/src/listeners/grpc/serve.rs
+++ b/crates/daemon/src/listeners/grpc/serve.rs
@@ -1,10 +1,10 @@
-//! Serves one HTTP/2 connection within its limits, up to a close that loses no call.
+//! Serves one HTTP/2 connection within its limits, and closes it without losing a call.
 
 use super::call;
-use super::connection::{Connection, Next, OpenCall};
+use super::connection::{Connection, ConnectionAction, OpenCall};
 use super::context::CallContext;
 use super::reply::Reply;
-use crate::http2::{Local, Metered};
+use crate::http2::{LocalExecutor, MeteredStream};
 use hyper::server::conn::http2;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
@@ -16,16 +16,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, Instant};
 
-/// A client that answers no PING is gone.
+/// The interval of PINGs. A client that does not answer within [`PING_TIMEOUT`] is considered disconnected.
 const PING_INTERVAL: Duration = Duration::from_secs(20);
 const PING_TIMEOUT: Duration = Duration::from_secs(5);
-/// The connection's flow-control window: what a client may send unread over all its streams, in bytes.
+/// The connection's flow-control window in bytes: how much a client may send over all streams before it is read.
 const CONNECTION_WINDOW: u32 = 128 * 1024;
 const MAX_FRAME_BYTES: u32 = 16 * 1024;
-/// What may wait to be written of one stream's reply.
+/// How much of one stream's reply may be buffered for writing.
 const SEND_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Serves a connection until it ends. What is open on it then is dropped, which reports its clients as disconnected.
+/// Serves a connection until it ends. Calls that are still open are then dropped, which reports their clients as
+/// disconnected.
 pub(super) async fn serve(context: &Rc<CallContext>, connection: &Rc<Connection>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let limits = &context.limits;
@@ -33,36 +34,36 @@
         let (context, open_call) = (context.clone(), OpenCall::new(connection));
         async move { Ok::<_, Infallible>(call::respond(&context, open_call, request).await) }
     });
-    let mut builder = http2::Builder::new(Local);
+    let mut builder = http2::Builder::new(LocalExecutor);
     builder
         .timer(TokioTimer::new())
-        .max_concurrent_streams(limits.streams)
-        .max_header_list_size(limits.header_list)
+        .max_concurrent_streams(limits.max_streams)
+        .max_header_list_size(limits.max_header_list_bytes)
         .max_frame_size(MAX_FRAME_BYTES)
-        .initial_stream_window_size((limits.message as u32).saturating_add(MAX_FRAME_BYTES))
+        .initial_stream_window_size((limits.max_message_bytes as u32).saturating_add(MAX_FRAME_BYTES))
         .initial_connection_window_size(CONNECTION_WINDOW)
         .max_send_buf_size(SEND_BUFFER_BYTES)
         // The meter bounds how often streams are reset; hyper must not be stricter (CVE-2023-44487).
-        .max_pending_accept_reset_streams(limits.frames.resets as usize * 2)
+        .max_pending_accept_reset_streams(limits.frame_limits.resets_per_s as usize * 2)
         .keep_alive_interval(PING_INTERVAL)
         .keep_alive_timeout(PING_TIMEOUT);
-    let socket = Metered::new(stream, FrameMeter::server(limits.frames, 0.0));
+    let socket = MeteredStream::new(stream, FrameMeter::server(limits.frame_limits, 0.0));
     let mut http = pin!(builder.serve_connection::<_, _, Reply>(TokioIo::new(socket), service));
     let mut shutdown_started = false;
     loop {
-        let wake = match connection.next(Instant::now(), limits.idle, limits.age) {
-            Next::Close => return,
-            Next::GoAway => {
+        let wake = match connection.next_action(Instant::now(), limits.idle_timeout, limits.max_age) {
+            ConnectionAction::Close => return,
+            ConnectionAction::GoAway => {
                 connection.go_away();
                 continue;
             }
-            Next::Wait(until) => until,
+            ConnectionAction::Wait(until) => until,
         };
         if connection.is_going_away() && !std::mem::replace(&mut shutdown_started, true) {
             http.as_mut().graceful_shutdown();
         }
         tokio::select! {
-            // An error here is the client's: it left, or broke the protocol and was told so by hyper.
+            // Errors are caused by the client: it disconnected, or violated the protocol and got an error from hyper.
             _ = http.as_mut() => return,
             () = connection.changed() => {}
             () = sleep_until(wake) => {}
--- a/crates/decision/src/requests/attempt.rs
+++ b/crates/decision/src/requests/attempt.rs
@@ -5,21 +5,21 @@
 use crate::endpoints::Location;
 use crate::interface::{Action, EndpointId, RequestId};
 
-/// An attempt, and what is known of its end.
+/// The state of an attempt.
 pub struct Attempt {
     pub endpoint: EndpointId,
     pub location: Location,
     pub sent_at: f64,
-    /// Its end was not reported yet.
+    /// Its end has not been reported yet.
     pub is_in_flight: bool,
-    /// It holds a place in its endpoint's concurrency limit.
-    pub holds_place: bool,
-    /// It may have run; an outcome may prove that it did not.
+    /// It counts against its endpoint's concurrency limit.
+    pub holds_slot: bool,
+    /// The endpoint may have run it. True until an outcome proves the contrary.
     pub may_have_run: bool,
 }
 
 impl Requests {
-    /// Sends a request to an endpoint, and sets the timer after which the attempt counts as slow.
+    /// Sends an attempt to an endpoint, and sets the timer after which it counts as slow.
     pub(super) fn send(
         &mut self,
         context: Context,
@@ -36,7 +36,7 @@
             location,
             sent_at: now,
             is_in_flight: true,
-            holds_place: true,
+            holds_slot: true,
             may_have_run: true,
         });
         self.quota.on_attempt_started(&request.customer);
@@ -44,14 +44,14 @@
         actions.push(Action::Send { id, endpoint, timeout_s: 0.0, send_deadline });
     }
 
-    /// Frees an attempt's place in its endpoint's concurrency limit, once: at its end, or when it takes so
-    /// long that it may be lost or hang.
-    pub(super) fn release_place(&mut self, id: RequestId, attempt: u32) {
+    /// Frees an attempt's slot in its endpoint's concurrency limit, when the attempt ends or when it takes so
+    /// long that it may be lost or hang. Later calls for the same attempt have no effect.
+    pub(super) fn release_slot(&mut self, id: RequestId, attempt: u32) {
         let request = self.in_flight.get_mut(&id);
         let Some(attempt) = request.and_then(|request| request.attempts.get_mut(attempt as usize)) else {
             return;
         };
-        if std::mem::take(&mut attempt.holds_place) {
+        if std::mem::take(&mut attempt.holds_slot) {
             self.endpoints.release_attempt(&attempt.endpoint);
         }
     }
--- a/crates/decision/src/requests/load_shedding.rs
+++ b/crates/decision/src/requests/load_shedding.rs
@@ -1,18 +1,20 @@
-//! Load shedding: where the fleet is full, the classes that are worth least for their work give way.
+//! Load shedding: when the fleet is saturated, classes with a low priority per service time are rejected
+//! first.
 //!
-//! The quota has decided before, so that shedding takes nothing from one customer for another. What it can get
-//! wrong: a class with long service times is shed first although it may be the one that clients need. Held by
-//! `tests/decision/admission.rs`, `a_full_fleet_sheds_the_class_of_least_value`.
+//! The quota is checked before, so shedding does not move capacity from one customer to another. What it can
+//! get wrong: of classes with equal priority, the one with the longest service times is shed first, although
+//! it may be the one that clients need. Held by `tests/decision/admission.rs`,
+//! `a_saturated_fleet_sheds_the_class_of_lowest_priority`.
 
 use super::Requests;
 use crate::interface::Settings;
 
-/// How strongly a full fleet sheds classes of less value.
+/// Factor on the probability with which a saturated fleet sheds classes of lower value.
 const SHEDDING_STRENGTH: f64 = 4.0;
 
 impl Requests {
-    /// Whether a request of a class is shed.
-    pub(super) fn sheds(&mut self, settings: &Settings, class: usize) -> bool {
+    /// Whether to shed a request of this class; decided at random.
+    pub(super) fn should_shed(&mut self, settings: &Settings, class: usize) -> bool {
         let saturation = self.endpoints.update_saturation();
         let best =
             (0..settings.classes.len()).map(|class| self.value_density(settings, class)).fold(0.0, f64::max);
@@ -22,6 +24,6 @@
 
     /// Priority per second of service time.
     fn value_density(&self, settings: &Settings, class: usize) -> f64 {
-        settings.classes[class].priority_weight / self.service_times.of_class(class).max(1e-6)
+        settings.classes[class].priority_weight / self.service_times.per_unit_s(class).max(1e-6)
     }
 }
